--- a/batch/collector.go
+++ b/batch/collector.go
@@ -60,7 +60,7 @@
 		c.jobs = map[string]*collectable{}
 	}
 	for _, row := range s.Rows {
-		id, end := HeadOf(row.Name)
+		id, end := ParseJobRowName(row.Name)
 		if row.Deleted {
 			delete(c.jobs, id)
 			continue
--- a/batch/demand.go
+++ b/batch/demand.go
@@ -105,7 +105,7 @@
 
 func (w *demandWatcher) see(s store.Snapshot) {
 	for _, row := range s.Rows {
-		if _, end := HeadOf(row.Name); end || row.Deleted {
+		if _, end := ParseJobRowName(row.Name); end || row.Deleted {
 			continue
 		}
 		job, err := DecodeJob(row.Value)
--- a/batch/fakerewards_test.go
+++ b/batch/fakerewards_test.go
@@ -30,7 +30,7 @@
 	at time.Time
 }
 
-func (f *fakeRewards) Score(ctx context.Context, ask RewardAsk) (RewardAnswer, error) {
+func (f *fakeRewards) Score(ctx context.Context, ask RewardRequest) (RewardResponse, error) {
 	f.mu.Lock()
 	f.calls = append(f.calls, rewardCall{ask.Call.ID, time.Now()})
 	n := len(f.calls)
@@ -44,16 +44,16 @@
 		f.mu.Lock()
 		f.ended++
 		f.mu.Unlock()
-		return RewardAnswer{}, ErrBroken
+		return RewardResponse{}, ErrBroken
 	}
 	if err != nil {
-		answer := RewardAnswer{MaxAttempts: 4}
+		answer := RewardResponse{MaxAttempts: 4}
 		if errors.Is(err, ErrFailed) {
 			answer.Failures = 1
 		}
 		return answer, err
 	}
-	return RewardAnswer{Score: fmt.Sprintf("score-%d of %s", n, ask.Call.ID), MaxAttempts: 4}, nil
+	return RewardResponse{Score: fmt.Sprintf("score-%d of %s", n, ask.Call.ID), MaxAttempts: 4}, nil
 }
 
 // of are the sends of a call.
--- a/batch/handover.go
+++ b/batch/handover.go
@@ -8,12 +8,12 @@
 )
 
 // handOver gives up items for another agent: waiting ones first, the longest of them.
-func (w *Worker) handOver(to string, ask *TakeAsk) *HandedItems {
+func (w *Worker) handOver(to string, ask *TakeRequest) *Handover {
 	w.mu.Lock()
 	j, ok := w.jobs[ask.Job]
 	if !ok || j.ended {
 		w.mu.Unlock()
-		return &HandedItems{Job: ask.Job}
+		return &Handover{Job: ask.Job}
 	}
 	give, stopped := w.detach(w.toGive(j, to, ask))
 	w.mu.Unlock()
@@ -21,7 +21,7 @@
 }
 
 // toGive picks the items to give up. It is called with w.mu held.
-func (w *Worker) toGive(j *workJob, to string, ask *TakeAsk) []*task {
+func (w *Worker) toGive(j *workJob, to string, ask *TakeRequest) []*task {
 	var give []*task
 	for _, t := range w.waiting {
 		if t.j == j && len(give) < ask.Max && !slices.Contains(t.avoid, to) && !w.isHeld(t) {
@@ -71,13 +71,13 @@
 }
 
 // collect awaits the ends of runs and packs up the tasks.
-func (w *Worker) collect(j *workJob, tasks []*task, stopped []chan struct{}, to, why string) *HandedItems {
+func (w *Worker) collect(j *workJob, tasks []*task, stopped []chan struct{}, to, why string) *Handover {
 	for _, c := range stopped {
 		<-c
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	handed := &HandedItems{Job: j.job.ID}
+	handed := &Handover{Job: j.job.ID}
 	for _, t := range tasks {
 		if j.tasks[t.index] != nil || j.done[t.index] {
 			t.leaving = false
@@ -86,9 +86,9 @@
 		if t.breaks >= maxBreaks {
 			t.avoid = append(t.avoid, w.Engine)
 		}
-		handed.Items = append(handed.Items, Handed{
+		handed.Items = append(handed.Items, HandoverItem{
 			Index: t.index, Text: t.text, Versions: t.versions, Failures: t.failures, Avoid: t.avoid,
-			Whole: t.whole, RewardFailures: t.rewardFailures,
+			Complete: t.whole, RewardFailures: t.rewardFailures,
 		})
 		w.Log.WithFields(t.fields()).WithFields(logrus.Fields{"to": to, "why": why}).Info("item handed over")
 	}
@@ -96,7 +96,7 @@
 }
 
 // accept takes items that another agent gives.
-func (w *Worker) accept(from string, given *HandedItems) int {
+func (w *Worker) accept(from string, given *Handover) int {
 	w.mu.Lock()
 	j, ok := w.jobs[given.Job]
 	refuse := !ok || j.ended || w.stopping
@@ -113,7 +113,7 @@
 		}
 		t := &task{
 			index: h.Index, text: h.Text, versions: h.Versions, failures: h.Failures, avoid: h.Avoid,
-			whole: h.Whole, rewardFailures: h.RewardFailures,
+			whole: h.Complete, rewardFailures: h.RewardFailures,
 		}
 		if w.take(j, t) {
 			w.Log.WithFields(t.fields()).WithField("from", from).Info("item taken over")
--- a/batch/handover_test.go
+++ b/batch/handover_test.go
@@ -39,7 +39,7 @@
 func TestItemIsHandedToOneAgent(t *testing.T) {
 	others := &takers{}
 	w, j, all := holder(others, 4)
-	taken := w.handOver("10.0.0.2:80", &TakeAsk{Job: "j", Max: 2})
+	taken := w.handOver("10.0.0.2:80", &TakeRequest{Job: "j", Max: 2})
 	w.giveJob(t.Context(), j, all, []string{"10.0.0.3:80"})
 	if n := len(taken.Items); n != 2 {
 		t.Fatalf("%d items taken, want 2", n)
--- a/batch/help.go
+++ b/batch/help.go
@@ -208,7 +208,7 @@
 	statuses := map[string]*Status{}
 	for _, e := range engines {
 		wg.Go(func() {
-			reply, err := w.call(ctx, e, &PeerRequest{Status: &StatusAsk{Jobs: ids}})
+			reply, err := w.call(ctx, e, &PeerRequest{Status: &StatusRequest{Jobs: ids}})
 			if err != nil || reply.Status == nil {
 				return
 			}
@@ -236,15 +236,15 @@
 		if n == 0 {
 			continue
 		}
-		ask := &TakeAsk{Job: j.job.ID, Max: min(free-taken, (n+1)/2), Running: running}
+		ask := &TakeRequest{Job: j.job.ID, Max: min(free-taken, (n+1)/2), Running: running}
 		if !w.read(j, false) {
 			continue
 		}
 		reply, err := w.call(ctx, engine, &PeerRequest{Take: ask})
-		if err != nil || reply.Handed == nil {
+		if err != nil || reply.Handover == nil {
 			continue
 		}
-		taken += w.accept(engine, reply.Handed)
+		taken += w.accept(engine, reply.Handover)
 	}
 	return taken
 }
@@ -265,8 +265,8 @@
 	for _, e := range engines {
 		s := statuses[e]
 		held := len(s.Jobs[job].Running) + len(s.Jobs[job].Waiting)
-		if held > 0 && pace > 0 && s.Pace > slowest && float64(s.Pace) > slowRatio*float64(pace) {
-			engine, n, slowest = e, 2*held, s.Pace // all of them
+		if held > 0 && pace > 0 && s.EventInterval > slowest && float64(s.EventInterval) > slowRatio*float64(pace) {
+			engine, n, slowest = e, 2*held, s.EventInterval // all of them
 		}
 	}
 	if n > 0 {
--- a/batch/help_test.go
+++ b/batch/help_test.go
@@ -20,7 +20,7 @@
 	for i := range running {
 		s.Running = append(s.Running, waiting+i)
 	}
-	return &Status{Up: true, Pace: pace, Jobs: map[string]JobStatus{"j": s}}
+	return &Status{Up: true, EventInterval: pace, Jobs: map[string]JobStatus{"j": s}}
 }
 
 // TestHelpGoesToTheSlowEngineFirst has one agent with items that wait for a
--- a/batch/job.go
+++ b/batch/job.go
@@ -38,7 +38,7 @@
 
 // Job is an accepted job without the contents of its items.
 type Job struct {
-	// ID is its client's id within the scope of its organisation, see Scope.
+	// ID is its client's id within the scope of its organisation, see ScopedID.
 	ID      string `cbor:"1,keyasint"`
 	Route   string `cbor:"2,keyasint"`
 	Host    string `cbor:"3,keyasint"`
@@ -51,8 +51,8 @@
 	SingleVersion bool `cbor:"8,keyasint,omitempty"`
 	// Items is the number of items.
 	Items int `cbor:"9,keyasint"`
-	// Wanted is how many complete groups the caller waits for; 0 is all.
-	Wanted      int `cbor:"10,keyasint,omitempty"`
+	// RequiredGroups is how many complete groups the caller waits for; 0 is all.
+	RequiredGroups      int `cbor:"10,keyasint,omitempty"`
 	MaxAttempts int `cbor:"11,keyasint"`
 	// ItemTTL is how long after Accepted an item may be given up.
 	ItemTTL time.Duration `cbor:"12,keyasint"`
--- a/batch/ledger.go
+++ b/batch/ledger.go
@@ -248,8 +248,8 @@
 	return job, nil
 }
 
-// HeadOf tells whose row of TableJobs a name is, and whether it says that the job was ended.
-func HeadOf(name string) (id string, end bool) {
+// ParseJobRowName tells whose row of TableJobs a name is, and whether it says that the job was ended.
+func ParseJobRowName(name string) (id string, end bool) {
 	id, end = strings.CutSuffix(name, endSuffix)
 	return id, end
 }
--- a/batch/orphans.go
+++ b/batch/orphans.go
@@ -113,7 +113,7 @@
 	w.mu.Unlock()
 	for _, s := range append(slices.Collect(maps.Values(statuses)), &Status{Jobs: map[string]JobStatus{j.job.ID: own}}) {
 		js := s.Jobs[j.job.ID]
-		for _, list := range [][]int{js.Waiting, js.Running, js.Whole} {
+		for _, list := range [][]int{js.Waiting, js.Running, js.AwaitingScore} {
 			for _, i := range list {
 				held[i] = true
 			}
@@ -148,11 +148,11 @@
 	}
 	slices.Sort(engines)
 	saved := w.savedTexts(j, true)
-	shares := map[string]*HandedItems{}
+	shares := map[string]*Handover{}
 	for _, i := range lost {
 		e := engines[best(j.items[i].ID, engines)]
 		if shares[e] == nil {
-			shares[e] = &HandedItems{Job: j.job.ID}
+			shares[e] = &Handover{Job: j.job.ID}
 		}
 		shares[e].Items = append(shares[e].Items, saved[i].handed(i))
 		w.Log.WithFields(logrus.Fields{
@@ -166,7 +166,7 @@
 }
 
 // deliver gives found items to an agent. What it does not take is found again.
-func (w *Worker) deliver(ctx context.Context, engine string, items *HandedItems) {
+func (w *Worker) deliver(ctx context.Context, engine string, items *Handover) {
 	if engine == w.Engine {
 		w.accept(w.Engine, items)
 		return
--- a/batch/peer.go
+++ b/batch/peer.go
@@ -27,7 +27,7 @@
 	case req.Status != nil:
 		return &PeerReply{Status: w.status(req.Status.Jobs)}
 	case req.Take != nil:
-		return &PeerReply{Handed: w.handOver(req.From, req.Take)}
+		return &PeerReply{Handover: w.handOver(req.From, req.Take)}
 	case req.Give != nil:
 		return &PeerReply{Taken: w.accept(req.From, req.Give)}
 	case req.Store != nil && w.Direct != nil:
@@ -41,7 +41,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := &Status{
-		Up: registered && w.engine.up && !w.stopping, Free: w.free(), Pace: w.engine.pace,
+		Up: registered && w.engine.up && !w.stopping, Free: w.free(), EventInterval: w.engine.pace,
 		Jobs: make(map[string]JobStatus, len(jobs)),
 	}
 	for _, id := range jobs {
@@ -66,7 +66,7 @@
 	for i, t := range j.tasks {
 		switch {
 		case t.whole:
-			s.Whole = append(s.Whole, i)
+			s.AwaitingScore = append(s.AwaitingScore, i)
 		case t.cancel != nil:
 			s.Running = append(s.Running, i)
 		default:
--- a/batch/progress.go
+++ b/batch/progress.go
@@ -81,8 +81,8 @@
 }
 
 // handed is an item with the text, as one agent gives it to another.
-func (s savedText) handed(index int) Handed {
-	return Handed{Index: index, Text: s.events, Versions: s.versions, Whole: s.whole, RewardFailures: s.rewardFailures}
+func (s savedText) handed(index int) HandoverItem {
+	return HandoverItem{Index: index, Text: s.events, Versions: s.versions, Complete: s.whole, RewardFailures: s.rewardFailures}
 }
 
 // saveProgress appends segments. It is tried once: the next save repeats what
@@ -200,10 +200,10 @@
 // stay within their share of the store's writes.
 func (w *Worker) saveInterval() time.Duration {
 	agents := len(w.View.Snapshot().OfService(w.Service))
-	if w.StoreWrites == 0 {
+	if w.StoreWriteRate == 0 {
 		return saveInterval
 	}
-	fair := time.Duration(float64(agents) / (saveShare * float64(w.StoreWrites)) * float64(time.Second))
+	fair := time.Duration(float64(agents) / (saveShare * float64(w.StoreWriteRate)) * float64(time.Second))
 	return max(saveInterval, fair)
 }
 
@@ -270,7 +270,7 @@
 }
 
 func (w *Worker) leftoverKey(j *workJob, item string) store.Key {
-	return store.Key{Table: tableLeftovers, Part: Scope(j.job.Organisation, cmp.Or(j.job.Model, j.job.Route)), Name: item}
+	return store.Key{Table: tableLeftovers, Part: ScopedID(j.job.Organisation, cmp.Or(j.job.Model, j.job.Route)), Name: item}
 }
 
 // leftovers reads the text of a job's items that earlier jobs left unfinished.
--- a/batch/reward.go
+++ b/batch/reward.go
@@ -11,17 +11,17 @@
 	"mulberryscale.example/observe"
 )
 
-// RewardAsk is one send of a reward call.
-type RewardAsk struct {
+// RewardRequest is one send of a reward call.
+type RewardRequest struct {
 	Call *RewardCall
-	// Rank orders calls that wait for each other, the lowest first.
-	Rank time.Duration
-	// Left is how long the item may still take.
-	Left time.Duration
+	// QueueTime orders calls that wait for each other, the lowest first.
+	QueueTime time.Duration
+	// TimeLeft is how long the item may still take.
+	TimeLeft time.Duration
 }
 
-// RewardAnswer is what came of a send that the service answered.
-type RewardAnswer struct {
+// RewardResponse is what came of a send that the service answered.
+type RewardResponse struct {
 	// Score is the signature of the answer.
 	Score string
 	// Failures are the endpoints' own failures of just this call that were met,
@@ -32,12 +32,12 @@
 	MaxAttempts int
 }
 
-// Rewarder sends reward calls.
-type Rewarder interface {
+// Scorer sends reward calls.
+type Scorer interface {
 	// Score sends a call to endpoints of its route until one has answered. Its
 	// error is, or wraps, ErrNotRun, ErrFailed or ErrBroken; ErrFailed says that
 	// Failures is above 0.
-	Score(ctx context.Context, ask RewardAsk) (RewardAnswer, error)
+	Score(ctx context.Context, ask RewardRequest) (RewardResponse, error)
 }
 
 const (
@@ -75,7 +75,7 @@
 func (w *Worker) score(ctx context.Context, t *task) (string, error) {
 	for silent := 0; ; {
 		began := time.Now()
-		answer, err := w.Rewards.Score(ctx, RewardAsk{Call: t.item.Reward, Rank: t.j.job.turn(), Left: w.timeLeft(t.j.job)})
+		answer, err := w.Rewards.Score(ctx, RewardRequest{Call: t.item.Reward, QueueTime: t.j.job.turn(), TimeLeft: w.timeLeft(t.j.job)})
 		if err == nil {
 			return answer.Score, nil
 		}
--- a/batch/scope.go
+++ b/batch/scope.go
@@ -12,10 +12,10 @@
 // the store bounds at 200, and of objects.
 const maxJobID = 180
 
-// Scope is the id of a client's job within its organisation; the empty name is no
+// ScopedID is the id of a client's job within its organisation; the empty name is no
 // organisation. Jobs of two organisations never have the same, so that whoever
 // asks under one name finds nothing of another's, and takes no id from it.
-func Scope(organisation, id string) string {
+func ScopedID(organisation, id string) string {
 	if organisation == "" && !strings.Contains(id, scopeMark) {
 		return id
 	}
@@ -36,4 +36,4 @@
 }
 
 // scoped is the job's id in the store.
-func (s *Submission) scoped() string { return Scope(s.Organisation, s.ID) }
+func (s *Submission) scoped() string { return ScopedID(s.Organisation, s.ID) }
--- a/batch/scope_test.go
+++ b/batch/scope_test.go
@@ -14,10 +14,10 @@
 		name := rapid.StringMatching(`[a-c:/%+]{0,4}`)
 		o1, o2, id1, id2 := name.Draw(t, "o1"), name.Draw(t, "o2"), name.Draw(t, "id1"), name.Draw(t, "id2")
 		same := o1 == o2 && id1 == id2
-		if (Scope(o1, id1) == Scope(o2, id2)) != same {
-			t.Fatalf("%q and %q", Scope(o1, id1), Scope(o2, id2))
+		if (ScopedID(o1, id1) == ScopedID(o2, id2)) != same {
+			t.Fatalf("%q and %q", ScopedID(o1, id1), ScopedID(o2, id2))
 		}
-		if got := ClientID(Scope(o1, id1)); got != id1 {
+		if got := ClientID(ScopedID(o1, id1)); got != id1 {
 			t.Fatalf("the client's id is %q instead of %q", got, id1)
 		}
 	})
--- a/batch/worker.go
+++ b/batch/worker.go
@@ -30,11 +30,11 @@
 	Demand *Demand
 	// JobsPace is how the jobs are followed.
 	JobsPace store.Pace
-	// StoreWrites is the store's write calls a second for all processes; 0 is unknown.
-	StoreWrites int
+	// StoreWriteRate is the store's write calls a second for all processes; 0 is unknown.
+	StoreWriteRate int
 	Engines     Engine
 	// Rewards scores whole texts; nil where no job has reward calls.
-	Rewards Rewarder
+	Rewards Scorer
 	Peers   PeerCaller
 	// Quarantine keeps items that end engines away from them; nil keeps none.
 	Quarantine *quarantine.Keeper
@@ -135,12 +135,12 @@
 // Apply implements store.Watcher.
 func (w *Worker) Apply(s store.Snapshot) {
 	for _, row := range s.Rows {
-		if id, end := HeadOf(row.Name); end || row.Deleted {
+		if id, end := ParseJobRowName(row.Name); end || row.Deleted {
 			w.drop(id, row.Deleted)
 		}
 	}
 	for _, row := range s.Rows {
-		if _, end := HeadOf(row.Name); end || row.Deleted {
+		if _, end := ParseJobRowName(row.Name); end || row.Deleted {
 			continue
 		}
 		job, err := DecodeJob(row.Value)
--- a/batch/worker_test.go
+++ b/batch/worker_test.go
@@ -368,9 +368,9 @@
 func TestAnAgentThatHasNotStartedTakesNothing(t *testing.T) {
 	w := NewWorker(WorkerConfig{})
 	for _, req := range []*PeerRequest{
-		{Status: &StatusAsk{Jobs: []string{"j"}}}, {Take: &TakeAsk{Job: "j"}}, {Give: &HandedItems{Job: "j"}}, {Store: &detour.Call{List: &store.Range{Table: TableJobs}}},
+		{Status: &StatusRequest{Jobs: []string{"j"}}}, {Take: &TakeRequest{Job: "j"}}, {Give: &Handover{Job: "j"}}, {Store: &detour.Call{List: &store.Range{Table: TableJobs}}},
 	} {
-		if reply := w.Serve(req); reply.Status != nil || reply.Handed != nil || reply.Taken != 0 || reply.Store != nil {
+		if reply := w.Serve(req); reply.Status != nil || reply.Handover != nil || reply.Taken != 0 || reply.Store != nil {
 			t.Errorf("got %+v", reply)
 		}
 	}
--- a/cmd/mulberryctl/jobs.go
+++ b/cmd/mulberryctl/jobs.go
@@ -68,13 +68,13 @@
 	}
 	ended := map[string]bool{}
 	for _, row := range s.Rows {
-		if id, end := batch.HeadOf(row.Name); end {
+		if id, end := batch.ParseJobRowName(row.Name); end {
 			ended[id] = true
 		}
 	}
 	jobs := []jobLine{}
 	for _, row := range s.Rows {
-		if _, end := batch.HeadOf(row.Name); end {
+		if _, end := batch.ParseJobRowName(row.Name); end {
 			continue
 		}
 		job, err := batch.DecodeJob(row.Value)
--- a/cmd/mulberryctl/platform_test.go
+++ b/cmd/mulberryctl/platform_test.go
@@ -41,7 +41,7 @@
 		ID: "i-1", Service: "engines", Addr: "10.1.0.9:80", Zone: "patan", Slots: 8, Versions: map[string]uint64{"guide": 2, "meter": 3},
 	}, 1))
 	ledger := &batch.Ledger{Store: rows, RowBytes: 65536, ObjectBytes: 1 << 20}
-	open := batch.Scope("guthi", "job-open")
+	open := batch.ScopedID("guthi", "job-open")
 	for id, organisation := range map[string]string{"job-ended": "", open: "guthi"} {
 		job := &batch.Job{ID: id, Organisation: organisation, Route: "train", Model: "guide", Step: 4, MinVersion: 3, Items: 2, ItemTTL: time.Minute, Owners: []string{"10.1.0.9:80"}}
 		items := []batch.Item{{ID: "a", Path: "/a"}, {ID: "b", Path: "/b"}}
--- a/reward/caller.go
+++ b/reward/caller.go
@@ -17,7 +17,7 @@
 	"mulberryscale.example/observe"
 )
 
-// Caller is a batch.Rewarder. It is safe for concurrent use.
+// Caller is a batch.Scorer. It is safe for concurrent use.
 type Caller struct {
 	View    *fleet.View
 	Forward *forward.Forwarder
@@ -56,29 +56,29 @@
 // be slow, or its answer lost.
 const maxSends = 2
 
-// Score implements batch.Rewarder.
-func (c *Caller) Score(ctx context.Context, ask batch.RewardAsk) (batch.RewardAnswer, error) {
+// Score implements batch.Scorer.
+func (c *Caller) Score(ctx context.Context, ask batch.RewardRequest) (batch.RewardResponse, error) {
 	call := ask.Call
 	config := c.View.Snapshot().Config
 	if config == nil {
-		return batch.RewardAnswer{}, fmt.Errorf("%w: no configuration yet", batch.ErrNotRun)
+		return batch.RewardResponse{}, fmt.Errorf("%w: no configuration yet", batch.ErrNotRun)
 	}
 	matched := config.Match(call.Host, call.Path)
 	if matched == nil {
-		return batch.RewardAnswer{}, fmt.Errorf("%w: no route for %s%s in configuration %d", batch.ErrNotRun, call.Host, call.Path, config.Version)
+		return batch.RewardResponse{}, fmt.Errorf("%w: no route for %s%s in configuration %d", batch.ErrNotRun, call.Host, call.Path, config.Version)
 	}
 	route := *matched
 	route.MaxAttempts = min(maxSends, matched.MaxAttempts)
 	service := route.Backend(call.ID)
 	gate := c.gate(service)
 	asked := time.Now()
-	if err := gate.Enter(ctx, ask.Rank, c.share(service)); err != nil {
-		return batch.RewardAnswer{}, fmt.Errorf("%w: %w", batch.ErrNotRun, err)
+	if err := gate.Enter(ctx, ask.QueueTime, c.share(service)); err != nil {
+		return batch.RewardResponse{}, fmt.Errorf("%w: %w", batch.ErrNotRun, err)
 	}
 	c.Forward.Counters.Observe(observe.NameRewardWait, route.Name, time.Since(asked))
 	answer, err := c.Forward.Do(ctx, &forward.Request{
 		ID: call.ID, Route: &route, Method: http.MethodPost, Target: call.Path, Host: call.Host, Header: http.Header{},
-		Body: call.Body, Deadline: time.Now().Add(min(ask.Left, route.Timeout)),
+		Body: call.Body, Deadline: time.Now().Add(min(ask.TimeLeft, route.Timeout)),
 	})
 	gate.Leave(c.share(service), func(w *background.Window, now time.Time) {
 		switch {
@@ -102,22 +102,22 @@
 
 // notAnswered says what a call came to that no endpoint answered, or none but
 // with failures.
-func notAnswered(err error, route *fleet.Route) (batch.RewardAnswer, error) {
+func notAnswered(err error, route *fleet.Route) (batch.RewardResponse, error) {
 	var refusal *forward.Refusal
 	switch {
 	case errors.As(err, &refusal) && refusal.NotRun:
-		return batch.RewardAnswer{}, fmt.Errorf("%w: %w", batch.ErrNotRun, err)
+		return batch.RewardResponse{}, fmt.Errorf("%w: %w", batch.ErrNotRun, err)
 	case refusal != nil && refusal.Failures > 0:
-		return batch.RewardAnswer{Failures: refusal.Failures, MaxAttempts: route.MaxAttempts}, fmt.Errorf("%w: %w", batch.ErrFailed, err)
+		return batch.RewardResponse{Failures: refusal.Failures, MaxAttempts: route.MaxAttempts}, fmt.Errorf("%w: %w", batch.ErrFailed, err)
 	}
-	return batch.RewardAnswer{}, fmt.Errorf("%w: %w", batch.ErrBroken, err)
+	return batch.RewardResponse{}, fmt.Errorf("%w: %w", batch.ErrBroken, err)
 }
 
 // judge says what an endpoint's answer means for the item. Of failures only 500
 // says that the call itself failed there; others, such as 504 at the deadline
 // handed on, say nothing of it.
-func judge(answer *forward.Answer, route *fleet.Route) (batch.RewardAnswer, error) {
-	out := batch.RewardAnswer{MaxAttempts: route.MaxAttempts, Failures: answer.Failures}
+func judge(answer *forward.Answer, route *fleet.Route) (batch.RewardResponse, error) {
+	out := batch.RewardResponse{MaxAttempts: route.MaxAttempts, Failures: answer.Failures}
 	switch {
 	case answer.Status >= http.StatusInternalServerError && answer.Failures > 0:
 		return out, fmt.Errorf("%w: status %d", batch.ErrFailed, answer.Status)
--- a/reward/caller_test.go
+++ b/reward/caller_test.go
@@ -42,8 +42,8 @@
 	return &Caller{View: view, Forward: forward.New(view, s, "z", observe.Discard(), observe.NewCounters())}
 }
 
-func ask(path string) batch.RewardAsk {
-	return batch.RewardAsk{Call: &batch.RewardCall{ID: "r1", Host: "s.example", Path: path, Body: []byte("body")}, Left: 10 * time.Second}
+func ask(path string) batch.RewardRequest {
+	return batch.RewardRequest{Call: &batch.RewardCall{ID: "r1", Host: "s.example", Path: path, Body: []byte("body")}, TimeLeft: 10 * time.Second}
 }
 
 func TestWhatAnAnswerMeansForAnItem(t *testing.T) {
--- a/service/node/agent.go
+++ b/service/node/agent.go
@@ -44,7 +44,7 @@
 		Rewards:     &reward.Caller{View: b.view, Forward: a.forwarder, Service: settings.Service},
 		Quarantine:  keeper,
 		JobsPace:    agentJobsPace(),
-		StoreWrites: settings.StoreWrites,
+		StoreWriteRate: settings.StoreWrites,
 		Now:         b.store.Now, Log: b.log, Counters: b.counters,
 	})
 	return a, nil
