--- a/admission/doc.go
+++ b/admission/doc.go
@@ -6,7 +6,7 @@
 // lets no more than Slots requests through at once and decides their order:
 //
 //   - Interactive requests go before training requests. Training is not starved:
-//     when training requests wait and none was started for TrainingPatience,
+//     when training requests wait and none was started for TrainingMaxWait,
 //     the next free slot goes to training.
 //   - While interactive rows are active (a request within ActiveWindow), training
 //     leaves Reserve slots free besides those that interactive requests use, so
--- a/admission/load.go
+++ b/admission/load.go
@@ -51,9 +51,9 @@
 	return m.tokens / m.seconds
 }
 
-// Wait estimates how long a new request of the class would wait; the second
+// EstimateWait estimates how long a new request of the class would wait; the second
 // result is false, and the wait 0, while nothing is known.
-func (q *Queue) Wait(c wire.Class) (time.Duration, bool) {
+func (q *Queue) EstimateWait(c wire.Class) (time.Duration, bool) {
 	ahead := q.class(wire.ClassInteractive).tokens
 	if c == wire.ClassTraining {
 		ahead = q.tokens
--- a/admission/preempt.go
+++ b/admission/preempt.go
@@ -5,11 +5,11 @@
 // trainingFloor is the part of the slots that preemption leaves to training.
 const trainingFloor = 4 // one in four
 
-// Preempt says how many running training requests must make room for the
+// PreemptCount says how many running training requests must make room for the
 // waiting interactive ones. preempting counts those that were told already and
 // still hold their slots. A quarter of the slots, at least one, stays with
 // training, so that interactive load alone cannot stop it.
-func (q *Queue) Preempt(preempting int) int {
+func (q *Queue) PreemptCount(preempting int) int {
 	waiting := q.class(wire.ClassInteractive).waiting
 	free := max(q.slots-q.running, 0)
 	floor := max(q.slots/trainingFloor, 1)
--- a/admission/preempt_test.go
+++ b/admission/preempt_test.go
@@ -30,7 +30,7 @@
 			started++
 		}
 		preempting := rapid.IntRange(0, training).Draw(t, "preempting")
-		got := q.Preempt(preempting)
+		got := q.PreemptCount(preempting)
 		waiting := interactive - started
 		if got > max(waiting-preempting, 0) {
 			t.Fatalf("%d make room for %d that wait, with %d on their way", got, waiting, preempting)
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -10,10 +10,10 @@
 
 // Defaults of Options.
 const (
-	DefaultMaxItems         = 1024
-	DefaultMaxBytes         = 16 << 20
-	DefaultTrainingPatience = 10 * time.Second
-	DefaultActiveWindow     = time.Minute
+	DefaultMaxItems        = 1024
+	DefaultMaxBytes        = 16 << 20
+	DefaultTrainingMaxWait = 10 * time.Second
+	DefaultActiveWindow    = time.Minute
 )
 
 // stepEnqueue is the processing step that refusals of the queue name.
@@ -30,9 +30,9 @@
 	// interactive requests use, while interactive rows are active. At least
 	// one slot is always open to training.
 	Reserve int
-	// TrainingPatience is how long training may wait behind interactive
+	// TrainingMaxWait is how long training may wait behind interactive
 	// requests without a start.
-	TrainingPatience time.Duration
+	TrainingMaxWait time.Duration
 	// ActiveWindow is how long after its last request an interactive row counts as active.
 	ActiveWindow time.Duration
 }
@@ -44,8 +44,8 @@
 	if o.MaxBytes <= 0 {
 		o.MaxBytes = DefaultMaxBytes
 	}
-	if o.TrainingPatience <= 0 {
-		o.TrainingPatience = DefaultTrainingPatience
+	if o.TrainingMaxWait <= 0 {
+		o.TrainingMaxWait = DefaultTrainingMaxWait
 	}
 	if o.ActiveWindow <= 0 {
 		o.ActiveWindow = DefaultActiveWindow
@@ -143,7 +143,7 @@
 	if it.Deadline.IsZero() {
 		return nil
 	}
-	wait, _ := q.Wait(it.Class)
+	wait, _ := q.EstimateWait(it.Class)
 	if !now.Add(wait).Before(it.Deadline) {
 		return q.refuse(api.CodeDeadline, "the deadline would pass in the queue", wait)
 	}
@@ -173,8 +173,8 @@
 	return true
 }
 
-// Clear takes the waiting items that match out, in no particular order.
-func (q *Queue) Clear(match func(*Item) bool) []*Item {
+// RemoveMatching takes the waiting items that match out, in no particular order.
+func (q *Queue) RemoveMatching(match func(*Item) bool) []*Item {
 	var matching []*Item
 	for _, f := range q.rows {
 		for _, it := range f.waiting {
@@ -253,7 +253,7 @@
 		return interactive
 	case interactive == nil:
 		return training
-	case now.Sub(q.trainingSince) >= q.opts.TrainingPatience:
+	case now.Sub(q.trainingSince) >= q.opts.TrainingMaxWait:
 		return training
 	}
 	return interactive
--- a/background/gate.go
+++ b/background/gate.go
@@ -24,7 +24,7 @@
 
 // Enter waits until a call may begin; calls of a lower rank go first, those of
 // one rank in order of arrival. After nil, Leave must be called.
-func (g *Gate) Enter(ctx context.Context, rank time.Duration, s Share) error {
+func (g *Gate) Enter(ctx context.Context, rank time.Duration, s ServiceCapacity) error {
 	g.mu.Lock()
 	w := &waiter{rank: rank, pass: make(chan struct{})}
 	at, _ := slices.BinarySearchFunc(g.waiting, w, func(a, b *waiter) int {
@@ -49,21 +49,21 @@
 }
 
 // Leave says that a call has ended, after what it told has been noted.
-func (g *Gate) Leave(s Share, note func(w *Window, now time.Time)) {
+func (g *Gate) Leave(s ServiceCapacity, note func(w *Window, now time.Time)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	note(&g.window, time.Now())
 	g.end(s)
 }
 
-func (g *Gate) end(s Share) {
+func (g *Gate) end(s ServiceCapacity) {
 	g.open--
-	g.window.Ended(g.open, time.Now())
+	g.window.CallDone(g.open, time.Now())
 	g.admit(s)
 }
 
 // admit lets through what the window allows. It is called with g.mu held.
-func (g *Gate) admit(s Share) {
+func (g *Gate) admit(s ServiceCapacity) {
 	for len(g.waiting) > 0 && g.open < g.window.Size(s, g.open, time.Now()) {
 		close(g.waiting[0].pass)
 		g.waiting = g.waiting[1:]
--- a/background/window.go
+++ b/background/window.go
@@ -54,21 +54,21 @@
 	minWindow = 1
 )
 
-// Share is what a sender can know of a service without asking anybody.
-type Share struct {
-	// Places are those of all endpoints of the service.
-	Places int
+// ServiceCapacity is what a sender can know of a service without asking anybody.
+type ServiceCapacity struct {
+	// Slots are those of all endpoints of the service.
+	Slots int
 	// Senders are the processes that send such calls, this one among them.
 	Senders int
 }
 
 // fair is the window at which all senders together reach the target.
-func (s Share) fair() float64 {
-	return max(minWindow, target*float64(s.Places)/float64(max(1, s.Senders)))
+func (s ServiceCapacity) fair() float64 {
+	return max(minWindow, target*float64(s.Slots)/float64(max(1, s.Senders)))
 }
 
 // most is the window at which one sender alone does.
-func (s Share) most() float64 { return max(minWindow, target*float64(s.Places)) }
+func (s ServiceCapacity) most() float64 { return max(minWindow, target*float64(s.Slots)) }
 
 // Window bounds one sender's open calls. It begins with the sender's fair share,
 // grows while endpoints tell of room, since other senders may have nothing to
@@ -80,7 +80,7 @@
 }
 
 // Size is how many calls may be open.
-func (w *Window) Size(s Share, open int, now time.Time) int {
+func (w *Window) Size(s ServiceCapacity, open int, now time.Time) int {
 	if w.size == 0 || (open == 0 && now.Sub(w.idleFrom) > idleTime) {
 		w.size = s.fair()
 	}
@@ -88,15 +88,15 @@
 	return int(math.Round(w.size))
 }
 
-// Ended says that an open call has ended, and how many are left open.
-func (w *Window) Ended(open int, now time.Time) {
+// CallDone says that an open call has ended, and how many are left open.
+func (w *Window) CallDone(open int, now time.Time) {
 	if open == 0 {
 		w.idleFrom = now
 	}
 }
 
-// Heard takes the load that an endpoint told with an answer.
-func (w *Window) Heard(load fleet.Load, now time.Time) {
+// ObserveLoad takes the load that an endpoint told with an answer.
+func (w *Window) ObserveLoad(load fleet.Load, now time.Time) {
 	switch {
 	case load.Waiting > 0 || load.Running >= load.Places-spare:
 		w.shrink(now)
--- a/background/window_test.go
+++ b/background/window_test.go
@@ -14,18 +14,18 @@
 
 var (
 	start = time.Date(2000, time.January, 1, 0, 0, 0, 0, time.UTC)
-	share = Share{Places: 24, Senders: 9}
+	share = ServiceCapacity{Slots: 24, Senders: 9}
 )
 
 func TestWindowBeginsWithItsFairShare(t *testing.T) {
 	for name, c := range map[string]struct {
-		share Share
+		share ServiceCapacity
 		want  int
 	}{
-		"nine senders":           {Share{Places: 24, Senders: 9}, 2}, // 0.7 x 24 / 9
-		"alone":                  {Share{Places: 24, Senders: 1}, 17},
-		"more senders than room": {Share{Places: 24, Senders: 100}, 1},
-		"nothing known":          {Share{}, 1},
+		"nine senders":           {ServiceCapacity{Slots: 24, Senders: 9}, 2}, // 0.7 x 24 / 9
+		"alone":                  {ServiceCapacity{Slots: 24, Senders: 1}, 17},
+		"more senders than room": {ServiceCapacity{Slots: 24, Senders: 100}, 1},
+		"nothing known":          {ServiceCapacity{}, 1},
 	} {
 		var w Window
 		if got := w.Size(c.share, 0, start); got != c.want {
@@ -39,7 +39,7 @@
 		now := start
 		for range n {
 			now = now.Add(backOffPause)
-			w.Heard(l, now)
+			w.ObserveLoad(l, now)
 		}
 		return w.Size(share, 1, now)
 	}
@@ -62,11 +62,11 @@
 // Answers that were under way together tell of one queue.
 func TestOneQueueShrinksTheWindowOnce(t *testing.T) {
 	var w Window
-	w.Size(Share{Places: 100, Senders: 7}, 0, start)
+	w.Size(ServiceCapacity{Slots: 100, Senders: 7}, 0, start)
 	for range 10 {
-		w.Heard(fleet.Load{Running: 6, Waiting: 9, Places: 6}, start)
+		w.ObserveLoad(fleet.Load{Running: 6, Waiting: 9, Places: 6}, start)
 	}
-	if got := w.Size(Share{Places: 100, Senders: 7}, 1, start); got != 6 {
+	if got := w.Size(ServiceCapacity{Slots: 100, Senders: 7}, 1, start); got != 6 {
 		t.Fatalf("%d, want 0.6 of 10", got)
 	}
 }
@@ -75,9 +75,9 @@
 	var w Window
 	w.Size(share, 0, start)
 	for range 50 {
-		w.Heard(fleet.Load{Places: 6}, start)
+		w.ObserveLoad(fleet.Load{Places: 6}, start)
 	}
-	w.Ended(0, start)
+	w.CallDone(0, start)
 	if got := w.Size(share, 0, start.Add(idleTime/2)); got != 17 {
 		t.Errorf("after a short pause: %d", got)
 	}
@@ -88,19 +88,19 @@
 
 func TestWindowStaysWithinItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Share{Places: rapid.IntRange(0, 200).Draw(t, "places"), Senders: rapid.IntRange(0, 50).Draw(t, "senders")}
+		s := ServiceCapacity{Slots: rapid.IntRange(0, 200).Draw(t, "places"), Senders: rapid.IntRange(0, 50).Draw(t, "senders")}
 		var w Window
 		now, open := start, 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond)
-			w.Heard(fleet.Load{
+			w.ObserveLoad(fleet.Load{
 				Running: rapid.IntRange(0, 8).Draw(t, "running"), Waiting: rapid.IntRange(0, 3).Draw(t, "waiting"),
 				Places: rapid.IntRange(1, 8).Draw(t, "places of one"),
 			}, now)
 			open = rapid.IntRange(0, 3).Draw(t, "open")
-			w.Ended(open, now)
-			if n := w.Size(s, open, now); n < 1 || n > max(1, s.Places) {
-				t.Fatalf("%d calls at %d places", n, s.Places)
+			w.CallDone(open, now)
+			if n := w.Size(s, open, now); n < 1 || n > max(1, s.Slots) {
+				t.Fatalf("%d calls at %d places", n, s.Slots)
 			}
 		}
 	})
@@ -111,7 +111,7 @@
 func TestGateLetsTheMostUrgentThroughFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &Gate{}
-		one := Share{Places: 1, Senders: 1}
+		one := ServiceCapacity{Slots: 1, Senders: 1}
 		enter := func(rank time.Duration) error { return g.Enter(t.Context(), rank, one) }
 		if err := enter(0); err != nil {
 			t.Fatal(err)
@@ -144,7 +144,7 @@
 func TestCallThatIsGivenUpLeavesItsTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &Gate{}
-		one := Share{Places: 1, Senders: 1}
+		one := ServiceCapacity{Slots: 1, Senders: 1}
 		if err := g.Enter(t.Context(), 0, one); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/mulberry-entry/settings.go
+++ b/cmd/mulberry-entry/settings.go
@@ -41,7 +41,7 @@
 	set := s.set
 	s.subset = set.Int("subset", membership.DefaultSubset, 1, 4096, "agents that this entry watches at most")
 	s.maxBody = set.Bytes("max-body", entry.DefaultMaxBody, 1<<10, 1<<30, "largest body of a request")
-	s.linger = set.Duration("linger", rollout.DefaultLinger, time.Second, time.Hour,
+	s.linger = set.Duration("linger", rollout.DefaultRetention, time.Second, time.Hour,
 		"how long agents keep a trainer's samples when this entry is gone")
 	s.headerTimeout = set.Duration("header-timeout", 5*time.Second, 100*time.Millisecond, time.Minute,
 		"how long a caller may take for its headers")
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -136,7 +136,7 @@
 	watched := m.watched()
 	lines := float64(m.d.Entries + m.d.Agents)
 	interval := membership.ListInterval(membership.DefaultListInterval, int(lines)).Seconds()
-	told := float64(min(m.d.LimitedRows, limits.MaxRows))
+	told := float64(min(m.d.LimitedRows, limits.MaxRowsPerMessage))
 	gossip := Line{
 		What: "demand of limited rows", Mechanism: "epidemic averaging with 8 neighbours (limits.Averager)",
 		Messages: 2 * exchangesPerSecond, Bytes: exchangesPerSecond * (m.s.at("exchange_size", told) + streamBytes),
--- a/internal/loadmodel/model.go
+++ b/internal/loadmodel/model.go
@@ -60,10 +60,10 @@
 type Bound interface {
 	// Size is how many may be open while so many are.
 	Size(open int, now time.Time) int
-	// Heard takes the load that came with an answer.
-	Heard(load fleet.Load, now time.Time)
-	// Ended says that a call has ended and how many are left open.
-	Ended(open int, now time.Time)
+	// ObserveLoad takes the load that came with an answer.
+	ObserveLoad(load fleet.Load, now time.Time)
+	// CallDone says that a call has ended and how many are left open.
+	CallDone(open int, now time.Time)
 }
 
 // Result is what a day came to.
@@ -274,8 +274,8 @@
 	} else {
 		d.result.Background = append(d.result.Background, took)
 		d.result.Finished[s.index]++
-		s.bound.Heard(load, d.clock())
-		s.bound.Ended(s.open, d.clock())
+		s.bound.ObserveLoad(load, d.clock())
+		s.bound.CallDone(s.open, d.clock())
 	}
 	d.send(s)
 }
--- a/internal/loadmodel/patterns.go
+++ b/internal/loadmodel/patterns.go
@@ -78,7 +78,7 @@
 		"one":  func(Pattern) Bound { return fixed(1) },
 		"two":  func(Pattern) Bound { return fixed(2) },
 		"window": func(p Pattern) Bound {
-			return &window{share: background.Share{Places: p.Endpoints * p.Places, Senders: p.Background.Senders}}
+			return &window{share: background.ServiceCapacity{Slots: p.Endpoints * p.Places, Senders: p.Background.Senders}}
 		},
 	}
 }
@@ -89,14 +89,14 @@
 // fixed is a bound that follows nothing.
 type fixed int
 
-func (f fixed) Size(int, time.Time) int     { return int(f) }
-func (f fixed) Heard(fleet.Load, time.Time) {}
-func (f fixed) Ended(int, time.Time)        {}
+func (f fixed) Size(int, time.Time) int           { return int(f) }
+func (f fixed) ObserveLoad(fleet.Load, time.Time) {}
+func (f fixed) CallDone(int, time.Time)           {}
 
 // window is the bound that the programs use.
 type window struct {
 	background.Window
-	share background.Share
+	share background.ServiceCapacity
 }
 
 func (w *window) Size(open int, now time.Time) int { return w.Window.Size(w.share, open, now) }
--- a/limits/average.go
+++ b/limits/average.go
@@ -13,8 +13,8 @@
 
 // Bounds of the exchange.
 const (
-	// MaxRows is how many rows one message tells of; more rows take turns.
-	MaxRows = 16
+	// MaxRowsPerMessage is how many rows one message tells of; more rows take turns.
+	MaxRowsPerMessage = 16
 	// minDemand is the demand a second below which a row is not told of.
 	minDemand = 1e-3
 	// convergence is the factor by which a round of pairwise averaging shrinks
@@ -65,7 +65,7 @@
 		return 1
 	}
 	shrink := accuracy * accuracy / float64(entries)
-	turns := max(1, (rows+MaxRows-1)/MaxRows)
+	turns := max(1, (rows+MaxRowsPerMessage-1)/MaxRowsPerMessage)
 	return turns * (spareRounds + int(math.Ceil(math.Log(shrink)/math.Log(convergence))))
 }
 
@@ -116,18 +116,18 @@
 	defer a.mu.Unlock()
 	rows := slices.Sorted(maps.Keys(a.values))
 	g := wire.Gossip{Epoch: a.epoch}
-	for i := range min(len(rows), MaxRows) {
+	for i := range min(len(rows), MaxRowsPerMessage) {
 		row := rows[(a.turn+i)%len(rows)]
 		g.Demand = append(g.Demand, wire.RowDemand{Row: row, PerSecond: a.values[row]})
 	}
-	a.turn += MaxRows
+	a.turn += MaxRowsPerMessage
 	return g
 }
 
-// Answer takes an offer in and returns what to reply: the values before, of the
+// HandleOffer takes an offer in and returns what to reply: the values before, of the
 // rows offered and of more as far as they fit. An offer of another epoch is not
 // averaged; a newer one makes this entry begin that epoch with demand.
-func (a *Averager) Answer(now time.Time, offer wire.Gossip, entries int, demand map[string]float64) wire.Gossip {
+func (a *Averager) HandleOffer(now time.Time, offer wire.Gossip, entries int, demand map[string]float64) wire.Gossip {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.join(now, offer.Epoch, entries, demand)
@@ -152,7 +152,7 @@
 // rows, the rows that only this entry knows, those of the largest values first.
 func (a *Averager) rowsToAnswer(offered map[string]float64) []string {
 	rows := slices.Sorted(maps.Keys(offered))
-	if len(offered) >= MaxRows {
+	if len(offered) >= MaxRowsPerMessage {
 		return rows
 	}
 	var more []string
@@ -164,11 +164,11 @@
 	slices.SortFunc(more, func(x, y string) int {
 		return cmp.Or(cmp.Compare(a.values[y], a.values[x]), cmp.Compare(x, y))
 	})
-	return append(rows, more[:min(len(more), MaxRows-len(rows))]...)
+	return append(rows, more[:min(len(more), MaxRowsPerMessage-len(rows))]...)
 }
 
-// Take ends an exchange that this entry began: offer is what it sent.
-func (a *Averager) Take(now time.Time, offer, reply wire.Gossip, entries int, demand map[string]float64) {
+// ApplyReply ends an exchange that this entry began: offer is what it sent.
+func (a *Averager) ApplyReply(now time.Time, offer, reply wire.Gossip, entries int, demand map[string]float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.join(now, reply.Epoch, entries, demand)
@@ -205,5 +205,5 @@
 
 // boundedRows is what is taken in of a message.
 func boundedRows(rows []wire.RowDemand) []wire.RowDemand {
-	return rows[:min(len(rows), MaxRows)]
+	return rows[:min(len(rows), MaxRowsPerMessage)]
 }
--- a/limits/bench_test.go
+++ b/limits/bench_test.go
@@ -59,7 +59,7 @@
 				if err := codec.Unmarshal(asked, &request); err != nil {
 					b.Fatal(err)
 				}
-				reply := y.Answer(now, *request.Gossip, 820, demand)
+				reply := y.HandleOffer(now, *request.Gossip, 820, demand)
 				answered, err := codec.Marshal(&wire.Reply{Header: header, Gossip: &reply})
 				if err != nil {
 					b.Fatal(err)
@@ -68,7 +68,7 @@
 				if err := codec.Unmarshal(answered, &back); err != nil {
 					b.Fatal(err)
 				}
-				x.Take(now, offer, *back.Gossip, 820, demand)
+				x.ApplyReply(now, offer, *back.Gossip, 820, demand)
 				total = len(asked) + len(answered)
 			}
 			b.ReportMetric(float64(total), "B/exchange")
--- a/limits/fleet_sizes_test.go
+++ b/limits/fleet_sizes_test.go
@@ -133,14 +133,14 @@
 		before := sumOf(a) + sumOf(b)
 		for range 5 {
 			offer := a.Offer()
-			if len(offer.Demand) > MaxRows {
+			if len(offer.Demand) > MaxRowsPerMessage {
 				t.Fatalf("an offer of %d rows", len(offer.Demand))
 			}
-			reply := b.Answer(now, offer, 2, nil)
-			if len(reply.Demand) > MaxRows {
+			reply := b.HandleOffer(now, offer, 2, nil)
+			if len(reply.Demand) > MaxRowsPerMessage {
 				t.Fatalf("an answer of %d rows", len(reply.Demand))
 			}
-			a.Take(now, offer, reply, 2, nil)
+			a.ApplyReply(now, offer, reply, 2, nil)
 		}
 		if after := sumOf(a) + sumOf(b); after < before*0.999999 || after > before*1.000001 {
 			t.Fatalf("sum %v became %v", before, after)
--- a/limits/fleet_test.go
+++ b/limits/fleet_test.go
@@ -55,8 +55,8 @@
 			continue
 		}
 		offer := a.average.Offer()
-		reply := b.average.Answer(f.now, offer, f.listed, b.set.Demand())
-		a.average.Take(f.now, offer, reply, f.listed, demand)
+		reply := b.average.HandleOffer(f.now, offer, f.listed, b.set.Demand())
+		a.average.ApplyReply(f.now, offer, reply, f.listed, demand)
 	}
 }
 
--- a/reward/caller.go
+++ b/reward/caller.go
@@ -42,11 +42,11 @@
 }
 
 // share is what is known of a service that scores.
-func (c *Caller) share(service string) background.Share {
+func (c *Caller) share(service string) background.ServiceCapacity {
 	snap := c.View.Snapshot()
-	s := background.Share{Senders: len(snap.OfService(c.Service))}
+	s := background.ServiceCapacity{Senders: len(snap.OfService(c.Service))}
 	for _, i := range snap.OfService(service) {
-		s.Places += i.Slots
+		s.Slots += i.Slots
 	}
 	return s
 }
@@ -85,7 +85,7 @@
 		case isDeclined(err):
 			w.Declined(now)
 		case err == nil && answer.Load != nil:
-			w.Heard(*answer.Load, now)
+			w.ObserveLoad(*answer.Load, now)
 		}
 	})
 	if err != nil {
--- a/rollout/runner.go
+++ b/rollout/runner.go
@@ -21,9 +21,9 @@
 	"mulberryscale.example/table"
 )
 
-// DefaultLinger is how long an agent keeps a run and its result for a trainer
+// DefaultRetention is how long an agent keeps a run and its result for a trainer
 // whose entry is gone.
-const DefaultLinger = 2 * time.Minute
+const DefaultRetention = 2 * time.Minute
 
 // Scorer gives a finished sample its score.
 type Scorer interface {
@@ -42,10 +42,10 @@
 	Router routing.Picker
 	Budget *retry.Budget
 	// Scorer may be nil when no row has one.
-	Scorer   Scorer
-	Linger   time.Duration
-	Counters *observe.Counters
-	Log      logrus.FieldLogger
+	Scorer    Scorer
+	Retention time.Duration
+	Counters  *observe.Counters
+	Log       logrus.FieldLogger
 	// Seed seeds the placing of each step.
 	Seed uint64
 	// Policy says how samples are placed and moved.
@@ -66,9 +66,9 @@
 // DefaultBacklog keeps each row's next sample at hand in the agents' fair queues.
 const DefaultBacklog = 2
 
-// Sink takes in what a step brings; it is called by one goroutine. An error
+// ResultHandler takes in what a step brings; it is called by one goroutine. An error
 // means that the trainer's connection is gone.
-type Sink interface {
+type ResultHandler interface {
 	Sample(s *api.Sample) error
 	Placement(p api.Placement) error
 }
@@ -115,7 +115,7 @@
 
 // Run runs a step until its trainer has as many samples as it waits for, every
 // sample is settled, or ctx ends. The error is the sink's or ctx's.
-func (r *Runner) Run(ctx context.Context, row *table.Row, req *api.StepRequest, minVersion uint64, sink Sink) (*api.StepEnd, error) {
+func (r *Runner) Run(ctx context.Context, row *table.Row, req *api.StepRequest, minVersion uint64, sink ResultHandler) (*api.StepEnd, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	s := &step{
 		Runner: r, row: row, req: req, minVersion: minVersion,
@@ -142,7 +142,7 @@
 }
 
 // collect passes on what the tasks bring until enough is delivered.
-func (s *step) collect(ctx context.Context, sink Sink) (*api.StepEnd, error) {
+func (s *step) collect(ctx context.Context, sink ResultHandler) (*api.StepEnd, error) {
 	end := &api.StepEnd{}
 	for settled := 0; settled < len(s.req.Samples) && end.Delivered < s.waitFor; {
 		select {
@@ -160,7 +160,7 @@
 	return end, nil
 }
 
-func take(ev event, sink Sink, end *api.StepEnd) error {
+func take(ev event, sink ResultHandler, end *api.StepEnd) error {
 	switch {
 	case ev.sample != nil:
 		end.Delivered++
--- a/routing/profiles.go
+++ b/routing/profiles.go
@@ -37,8 +37,8 @@
 type Router struct {
 	// Strict also drops agents that are suspect or excluded.
 	Strict Profile
-	// Floor keeps those, so that a cut zone or stopped reports never empty the set.
-	Floor Profile
+	// Fallback keeps those, so that a cut zone or stopped reports never empty the set.
+	Fallback Profile
 }
 
 // NewInteractive routes interactive requests: power of two choices.
@@ -50,8 +50,8 @@
 func newRouter(choices int) *Router {
 	strict := slices.Concat(softFilters, hardFilters)
 	return &Router{
-		Strict: Profile{Filters: strict, Scorers: defaultScorers(), Choices: choices},
-		Floor:  Profile{Filters: hardFilters, Scorers: defaultScorers(), Choices: choices},
+		Strict:   Profile{Filters: strict, Scorers: defaultScorers(), Choices: choices},
+		Fallback: Profile{Filters: hardFilters, Scorers: defaultScorers(), Choices: choices},
 	}
 }
 
@@ -68,5 +68,5 @@
 	if none.DroppedBy(FilterSuspect)+none.DroppedBy(FilterExcluded) == 0 {
 		return nil, err
 	}
-	return r.Floor.Pick(req, snap, rng)
+	return r.Fallback.Pick(req, snap, rng)
 }
--- a/service/agent/job.go
+++ b/service/agent/job.go
@@ -255,7 +255,7 @@
 // they are placed elsewhere. Match is called under the agent's lock.
 func (a *Agent) refuseQueued(refusal *api.Refusal, match func(*admission.Item) bool) {
 	a.mu.Lock()
-	items := a.queue.Clear(match)
+	items := a.queue.RemoveMatching(match)
 	for _, it := range items {
 		a.forgetJob(it.Value.(*job))
 	}
--- a/service/agent/preempt.go
+++ b/service/agent/preempt.go
@@ -20,7 +20,7 @@
 		return
 	}
 	running, preempting := a.preemptible()
-	n := min(a.queue.Preempt(preempting), len(running))
+	n := min(a.queue.PreemptCount(preempting), len(running))
 	if n == 0 {
 		return
 	}
--- a/service/entry/entry.go
+++ b/service/entry/entry.go
@@ -78,7 +78,7 @@
 
 func (c *Config) setDefaults() {
 	if c.Linger == 0 {
-		c.Linger = rollout.DefaultLinger
+		c.Linger = rollout.DefaultRetention
 	}
 	if c.Training == nil {
 		c.Training = routing.NewTraining()
@@ -150,7 +150,7 @@
 		ID: e.cfg.ID, Zone: e.cfg.Zone, Client: e.client, View: e.view,
 		Router: e.cfg.Training, Policy: e.cfg.Policy, Budget: e.budget, Scorer: &scorer{e},
 		Quarantine: e.quarantine,
-		Linger:     e.cfg.Linger, Counters: e.cfg.Counters, Log: e.cfg.Log, Seed: e.cfg.Seed,
+		Retention:  e.cfg.Linger, Counters: e.cfg.Counters, Log: e.cfg.Log, Seed: e.cfg.Seed,
 	}
 }
 
--- a/service/entry/gossip.go
+++ b/service/entry/gossip.go
@@ -89,7 +89,7 @@
 	}
 	g.e.watcher.Hear(reply.Members)
 	g.e.hearContents(reply.Contents)
-	g.average.Take(time.Now(), offer, *reply, entries, demand)
+	g.average.ApplyReply(time.Now(), offer, *reply, entries, demand)
 }
 
 // exchange sends an offer to another entry and returns its answer.
@@ -119,7 +119,7 @@
 // answer serves another entry's exchange.
 func (g *gossip) answer(offer *wire.Gossip) wire.Reply {
 	entries := len(g.e.view.Entries()) + 1
-	reply := g.average.Answer(time.Now(), *offer, entries, g.e.limits.Demand())
+	reply := g.average.HandleOffer(time.Now(), *offer, entries, g.e.limits.Demand())
 	reply.Entries = entries
 	reply.Members = g.e.watcher.News()
 	reply.Contents = g.e.contentNews()
--- a/service/entry/steps.go
+++ b/service/entry/steps.go
@@ -191,10 +191,10 @@
 	return &stepSink{w: w, conn: http.NewResponseController(w.Naive()), turn: make(chan struct{}, 1)}
 }
 
-// Sample implements rollout.Sink.
+// Sample implements rollout.ResultHandler.
 func (s *stepSink) Sample(sample *api.Sample) error { return s.event(api.EventSample, sample) }
 
-// Placement implements rollout.Sink.
+// Placement implements rollout.ResultHandler.
 func (s *stepSink) Placement(p api.Placement) error { return s.event(api.EventPlacement, p) }
 
 func (s *stepSink) event(name string, v any) error {
