--- a/batch/collector.go
+++ b/batch/collector.go
@@ -27,10 +27,10 @@
 // is a store.Watcher of TableJobs.
 type Collector struct {
 	Ledger *Ledger
-	// Keep is how long after its submission an ended job's results are owed.
-	Keep time.Duration
-	Now  func() (time.Duration, bool)
-	Log  logrus.FieldLogger
+	// Retention is how long after its submission an ended job's results are owed.
+	Retention time.Duration
+	Now       func() (time.Duration, bool)
+	Log       logrus.FieldLogger
 
 	mu   sync.Mutex
 	jobs map[string]*collectable
@@ -102,7 +102,7 @@
 		if x.job == nil {
 			continue
 		}
-		owed := c.Keep + collectMargin
+		owed := c.Retention + collectMargin
 		if !x.ended {
 			owed = max(owed, keepOpen)
 		}
--- a/batch/collector_test.go
+++ b/batch/collector_test.go
@@ -23,7 +23,7 @@
 		}
 		must(t, l.End(t.Context(), "j0"))
 		must(t, l.End(t.Context(), "j1"))
-		c := &Collector{Ledger: l, Keep: 2 * time.Minute, Now: s.Now, Log: observe.Discard()}
+		c := &Collector{Ledger: l, Retention: 2 * time.Minute, Now: s.Now, Log: observe.Discard()}
 		go store.Follow(t.Context(), s, store.Source{Table: TableJobs}, NewDemand().Watcher(c, observe.Discard()))
 		go c.Run(t.Context())
 		time.Sleep(2 * time.Minute)
--- a/batch/deal.go
+++ b/batch/deal.go
@@ -8,45 +8,45 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Deal says which engines serve a model. They change versions in turn: those
+// Assignment says which engines serve a model. They change versions in turn: those
 // of one half take even versions as soon as they are named, those of the other
 // odd ones. A step may use the version before the newest, so one half runs a
 // new step at once while the other loads, and each engine loads every second
 // version only. Loads are what binds: more than a few at a time slow each other
 // down. Against loading every version on every engine once it is idle, turns
 // raised what twelve engines with three trainers earned by 6 in 100.
-type Deal struct {
+type Assignment struct {
 	Halves [2][]string
 }
 
 // All are the engines of both halves.
-func (d Deal) All() []string {
+func (d Assignment) All() []string {
 	return slices.Sorted(slices.Values(slices.Concat(d.Halves[0], d.Halves[1])))
 }
 
 // Has reports whether an engine serves the model.
-func (d Deal) Has(engine string) bool {
+func (d Assignment) Has(engine string) bool {
 	return slices.Contains(d.Halves[0], engine) || slices.Contains(d.Halves[1], engine)
 }
 
-// Turns reports whether the halves take turns; a single engine cannot.
-func (d Deal) Turns() bool { return len(d.Halves[0]) > 0 && len(d.Halves[1]) > 0 }
+// Alternates reports whether the halves take turns; a single engine cannot.
+func (d Assignment) Alternates() bool { return len(d.Halves[0]) > 0 && len(d.Halves[1]) > 0 }
 
-// Takes reports whether an engine loads a version as soon as it is named.
-func (d Deal) Takes(engine string, version uint64) bool {
-	return d.Turns() && slices.Contains(d.Halves[version%2], engine)
+// LoadsAtOnce reports whether an engine loads a version as soon as it is named.
+func (d Assignment) LoadsAtOnce(engine string, version uint64) bool {
+	return d.Alternates() && slices.Contains(d.Halves[version%2], engine)
 }
 
-// DealModels deals a service's engines out to its models, as many to each as
+// AssignEngines deals a service's engines out to its models, as many to each as
 // its share of the demand wants and at least one: each model in turn takes the
 // free engine that it ranks highest, so that the loss of one engine moves few
 // others. All processes that see the same engines, models and jobs compute the
 // same. Engines are named by their addresses, which outlive a restart. With
 // fewer engines than models, every engine serves all models.
-func DealModels(engines, models []string, demand *Demand) map[string]Deal {
+func AssignEngines(engines, models []string, demand *Demand) map[string]Assignment {
 	engines = slices.Compact(slices.Sorted(slices.Values(engines))) // a restarted engine may be listed twice
 	models = slices.Sorted(slices.Values(models))
-	deals := make(map[string]Deal, len(models))
+	deals := make(map[string]Assignment, len(models))
 	if len(engines) < len(models) {
 		for _, m := range models {
 			deals[m] = halve(m, engines)
@@ -140,10 +140,10 @@
 // other half. One that changes its half as a version is named loads the version
 // whose step it was just about to run, and the items that it was dealt wait there
 // for one to three seconds.
-func halve(model string, engines []string) Deal {
+func halve(model string, engines []string) Assignment {
 	ordered := byRank("half of "+model, engines)
 	middle := (len(ordered) + 1) / 2
-	return Deal{Halves: [2][]string{ordered[:middle], ordered[middle:]}}
+	return Assignment{Halves: [2][]string{ordered[:middle], ordered[middle:]}}
 }
 
 // best is the index of the engine that a key ranks highest (rendezvous hashing).
@@ -167,10 +167,10 @@
 // already, in generated tokens: what an engine of a dozen slots makes in two seconds.
 const lateWork = 40_000
 
-// Split says which owner each item of a job goes to, by index: groups stay
+// AssignItems says which owner each item of a job goes to, by index: groups stay
 // together, since their items share a prompt, and go in order of their expected
 // tokens to the owner that has the least so far. All agents compute the same.
-func Split(job *Job, items []Item) []int {
+func AssignItems(job *Job, items []Item) []int {
 	groups := groupItems(items)
 	slices.SortStableFunc(groups, func(a, b itemGroup) int {
 		return cmp.Or(cmp.Compare(b.tokens, a.tokens), cmp.Compare(a.name, b.name))
--- a/batch/deal_test.go
+++ b/batch/deal_test.go
@@ -20,7 +20,7 @@
 func demandOf(work map[string]int) *Demand {
 	d := NewDemand()
 	for model, w := range work {
-		d.See(&Job{ID: "job of " + model, Model: model, Work: w})
+		d.Add(&Job{ID: "job of " + model, Model: model, Work: w})
 	}
 	return d
 }
@@ -33,7 +33,7 @@
 		for _, m := range models {
 			work[m] = rapid.IntRange(0, 100_000).Draw(t, m)
 		}
-		deals := DealModels(engines, models, demandOf(work))
+		deals := AssignEngines(engines, models, demandOf(work))
 		var dealt []string
 		for _, m := range models {
 			all := deals[m].All()
@@ -51,9 +51,9 @@
 	})
 }
 
-// slowDeal is what DealModels is to compute: each model in turn takes the free
+// slowDeal is what AssignEngines is to compute: each model in turn takes the free
 // engine that it ranks highest.
-func slowDeal(engines, models []string, demand *Demand) map[string]Deal {
+func slowDeal(engines, models []string, demand *Demand) map[string]Assignment {
 	dealt, quotas, free := map[string][]string{}, quotas(len(engines), models, demand), slices.Clone(engines)
 	for i := 0; len(free) > 0; i++ {
 		m := models[i%len(models)]
@@ -65,9 +65,9 @@
 		dealt[m] = append(dealt[m], free[at])
 		free = slices.Delete(free, at, at+1)
 	}
-	deals := map[string]Deal{}
+	deals := map[string]Assignment{}
 	for _, m := range models {
-		var d Deal
+		var d Assignment
 		for left, middle := dealt[m], (len(dealt[m])+1)/2; len(left) > 0; {
 			at := best("half of "+m, left)
 			half := 0
@@ -90,7 +90,7 @@
 		for _, m := range models {
 			work[m] = rapid.IntRange(0, 100_000).Draw(t, m)
 		}
-		got, want := DealModels(engines, models, demandOf(work)), slowDeal(engines, models, demandOf(work))
+		got, want := AssignEngines(engines, models, demandOf(work)), slowDeal(engines, models, demandOf(work))
 		for _, m := range models {
 			if !slices.Equal(got[m].Halves[0], want[m].Halves[0]) || !slices.Equal(got[m].Halves[1], want[m].Halves[1]) {
 				t.Fatalf("%s: got %v, want %v", m, got[m], want[m])
@@ -103,8 +103,8 @@
 // while its former incarnation is still listed.
 func TestDealOfAnAddressListedTwice(t *testing.T) {
 	engines, models := names("e", 5), []string{"a", "b"}
-	want := DealModels(engines, models, NewDemand())
-	got := DealModels(append(engines, engines[2], engines[4]), models, NewDemand())
+	want := AssignEngines(engines, models, NewDemand())
+	got := AssignEngines(append(engines, engines[2], engines[4]), models, NewDemand())
 	for _, m := range models {
 		if !slices.Equal(got[m].All(), want[m].All()) {
 			t.Errorf("%s: got %v, want %v", m, got[m], want[m])
@@ -118,18 +118,18 @@
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
 			engines, demand := names("e", n), NewDemand()
 			for b.Loop() {
-				DealModels(engines, []string{"a", "b", "c"}, demand)
+				AssignEngines(engines, []string{"a", "b", "c"}, demand)
 			}
 		})
 	}
 }
 
 func TestDealFollowsDemand(t *testing.T) {
-	deals := DealModels(names("e", 12), []string{"a", "b", "c"}, demandOf(map[string]int{"a": 900, "b": 1800, "c": 1800}))
+	deals := AssignEngines(names("e", 12), []string{"a", "b", "c"}, demandOf(map[string]int{"a": 900, "b": 1800, "c": 1800}))
 	if a, b := len(deals["a"].All()), len(deals["b"].All()); a != 2 || b != 5 {
 		t.Fatalf("a has %d, b %d", a, b)
 	}
-	equal := DealModels(names("e", 12), []string{"a", "b", "c"}, NewDemand())
+	equal := AssignEngines(names("e", 12), []string{"a", "b", "c"}, NewDemand())
 	if n := len(equal["a"].All()); n != 4 {
 		t.Fatalf("without known jobs a has %d", n)
 	}
@@ -137,9 +137,9 @@
 
 func TestLossOfAnEngineMovesFewOthers(t *testing.T) {
 	engines, models := names("e", 30), names("m", 3)
-	before := DealModels(engines, models, NewDemand())
+	before := AssignEngines(engines, models, NewDemand())
 	for i := range engines {
-		after := DealModels(slices.Delete(slices.Clone(engines), i, i+1), models, NewDemand())
+		after := AssignEngines(slices.Delete(slices.Clone(engines), i, i+1), models, NewDemand())
 		moved := 0
 		for _, m := range models {
 			for _, e := range after[m].All() {
@@ -160,11 +160,11 @@
 
 // unrest counts engines that change their model, and such that change their half
 // of the same model, over the steps; halve says how a model's engines are halved.
-func unrest(jobs int, halve func(model string, engines []string) Deal) (models, halves int) {
+func unrest(jobs int, halve func(model string, engines []string) Assignment) (models, halves int) {
 	engines, names := names("e", 41), []string{"a", "b", "c"}
 	mean := map[string]float64{"a": 150_000, "b": 330_000, "c": 310_000}
 	rng := rand.New(rand.NewPCG(7, 7))
-	var before map[string]Deal
+	var before map[string]Assignment
 	work := map[string][]int{}
 	for range 60 {
 		average := map[string]int{}
@@ -177,7 +177,7 @@
 			}
 			average[m] = sum / len(last)
 		}
-		deals := DealModels(engines, names, demandOf(average))
+		deals := AssignEngines(engines, names, demandOf(average))
 		for _, m := range names {
 			deals[m] = halve(m, slices.Concat(deals[m].Halves[0], deals[m].Halves[1]))
 		}
@@ -187,7 +187,7 @@
 				case before == nil:
 				case !before[m].Has(e):
 					models++
-				case before[m].Takes(e, 2) != deals[m].Takes(e, 2):
+				case before[m].LoadsAtOnce(e, 2) != deals[m].LoadsAtOnce(e, 2):
 					halves++
 				}
 			}
@@ -198,8 +198,8 @@
 }
 
 // alternating halves engines in the order in which they were dealt.
-func alternating(_ string, engines []string) Deal {
-	var d Deal
+func alternating(_ string, engines []string) Assignment {
+	var d Assignment
 	for i, e := range engines {
 		d.Halves[i%2] = append(d.Halves[i%2], e)
 	}
@@ -218,21 +218,21 @@
 }
 
 func TestFewerEnginesThanModelsServeAll(t *testing.T) {
-	deals := DealModels(names("e", 2), names("m", 3), NewDemand())
+	deals := AssignEngines(names("e", 2), names("m", 3), NewDemand())
 	for m, d := range deals {
 		if len(d.All()) != 2 {
 			t.Errorf("model %s has %v", m, d)
 		}
 	}
-	if one := DealModels(names("e", 1), names("m", 1), NewDemand())["m000"]; one.Turns() {
+	if one := AssignEngines(names("e", 1), names("m", 1), NewDemand())["m000"]; one.Alternates() {
 		t.Error("a single engine cannot take turns")
 	}
 }
 
 func TestHalvesTakeVersionsInTurn(t *testing.T) {
-	d := DealModels(names("e", 4), []string{"m"}, NewDemand())["m"]
+	d := AssignEngines(names("e", 4), []string{"m"}, NewDemand())["m"]
 	for _, e := range d.All() {
-		if d.Takes(e, 4) == d.Takes(e, 5) {
+		if d.LoadsAtOnce(e, 4) == d.LoadsAtOnce(e, 5) {
 			t.Errorf("%s takes both or neither of two versions", e)
 		}
 	}
@@ -243,7 +243,7 @@
 		owners := names("e", rapid.IntRange(1, 9).Draw(t, "owners"))
 		items := someItems(rapid.IntRange(1, 200).Draw(t, "items"))
 		job := &Job{ID: rapid.String().Draw(t, "id"), Owners: owners, Ready: len(owners)}
-		split := Split(job, items)
+		split := AssignItems(job, items)
 		byGroup := map[string]int{}
 		load := make([]int, len(owners))
 		largest := 0
@@ -265,12 +265,12 @@
 
 func TestSplitGivesLateOwnersLess(t *testing.T) {
 	job := &Job{ID: "j", Owners: names("e", 2), Ready: 1}
-	for _, o := range Split(job, someItems(40)) {
+	for _, o := range AssignItems(job, someItems(40)) {
 		if o != 0 {
 			t.Fatal("a small job goes to the engine that is ready")
 		}
 	}
-	if got := Split(&Job{ID: "j"}, someItems(2)); got[0] != noOwner {
+	if got := AssignItems(&Job{ID: "j"}, someItems(2)); got[0] != noOwner {
 		t.Fatalf("without owners: %v", got)
 	}
 }
--- a/batch/dealer.go
+++ b/batch/dealer.go
@@ -13,12 +13,12 @@
 	mu     sync.Mutex
 	snap   *fleet.Snapshot
 	demand uint64
-	deals  map[string]Deal
+	deals  map[string]Assignment
 }
 
 // deals are the engines of each model of this worker's service. Callers must
 // not change them.
-func (w *Worker) deals(snap *fleet.Snapshot) map[string]Deal {
+func (w *Worker) deals(snap *fleet.Snapshot) map[string]Assignment {
 	if snap.Config == nil {
 		return nil
 	}
@@ -29,9 +29,9 @@
 	d := &w.dealer
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if seen := w.Demand.Seen(); d.snap != snap || d.demand != seen {
+	if seen := w.Demand.Revision(); d.snap != snap || d.demand != seen {
 		d.snap, d.demand = snap, seen
-		d.deals = DealModels(addrs(snap.OfService(w.Service)), service.Models, w.Demand)
+		d.deals = AssignEngines(addrs(snap.OfService(w.Service)), service.Models, w.Demand)
 	}
 	return d.deals
 }
--- a/batch/demand.go
+++ b/batch/demand.go
@@ -36,8 +36,8 @@
 // NewDemand returns a demand that knows no jobs.
 func NewDemand() *Demand { return &Demand{jobs: map[string][]demandJob{}} }
 
-// See takes a job.
-func (d *Demand) See(job *Job) {
+// Add takes a job.
+func (d *Demand) Add(job *Job) {
 	if job.Model == "" || job.Work == 0 {
 		return
 	}
@@ -55,8 +55,8 @@
 	d.seen++
 }
 
-// Seen is the number of jobs seen; the demand stays the same while it does.
-func (d *Demand) Seen() uint64 {
+// Revision is the number of jobs seen; the demand stays the same while it does.
+func (d *Demand) Revision() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.seen
@@ -113,6 +113,6 @@
 			w.log.WithError(err).WithField("job", row.Name).Error("job not readable")
 			continue
 		}
-		w.demand.See(job)
+		w.demand.Add(job)
 	}
 }
--- a/batch/engine.go
+++ b/batch/engine.go
@@ -27,8 +27,8 @@
 	// Organisation is the name of the one whose job it is; empty for none.
 	Organisation string
 	Item         *Item
-	// After is the id of the last event that is known already, 0 for none.
-	After int
+	// LastEventID is the id of the last event that is known already, 0 for none.
+	LastEventID int
 	// Deadline is when the engine may stop.
 	Deadline time.Duration
 }
@@ -50,13 +50,13 @@
 
 // Report is the state of an engine.
 type Report struct {
-	// Born is the Unix millisecond of its start; 0 if it does not say.
-	Born     int64
-	Busy     bool // an order is being carried out
-	Sequence uint64
-	Versions map[string]uint64 // by model
-	Running  int
-	Waiting  int
+	// StartedAt is the Unix millisecond of its start; 0 if it does not say.
+	StartedAt int64
+	Busy      bool // an order is being carried out
+	Sequence  uint64
+	Versions  map[string]uint64 // by model
+	Running   int
+	Waiting   int
 }
 
 // Order wants an engine to change the version of a model.
@@ -65,8 +65,8 @@
 	Instance string
 	Model    string
 	Version  uint64
-	// Keep lets running requests go on under the new version; otherwise they end first.
-	Keep bool
+	// KeepRunning lets running requests go on under the new version; otherwise they end first.
+	KeepRunning bool
 	// Holder is the process that orders, Token its fencing token.
 	Holder string
 	Token  uint64
@@ -74,8 +74,8 @@
 	Sequence uint64
 }
 
-// Engine speaks to model engines.
-type Engine interface {
+// EngineClient speaks to model engines.
+type EngineClient interface {
 	// Start sends a run. Its error is, or wraps, one of this package's.
 	Start(ctx context.Context, r Run) (Stream, error)
 	// Report asks for an engine's state.
--- a/batch/enginestate.go
+++ b/batch/enginestate.go
@@ -169,7 +169,7 @@
 // report asks the engine for its state.
 func (w *Worker) report(ctx context.Context) {
 	r, err := w.Engines.Report(ctx, w.Engine)
-	if err == nil && !w.seeBirth(r.Born) {
+	if err == nil && !w.seeBirth(r.StartedAt) {
 		return // a former incarnation's
 	}
 	w.mu.Lock()
@@ -258,7 +258,7 @@
 			continue
 		}
 		e.order = &Order{
-			Addr: w.Engine, Instance: instance.ID, Model: model, Version: version, Keep: true,
+			Addr: w.Engine, Instance: instance.ID, Model: model, Version: version, KeepRunning: true,
 			Holder: w.Node, Token: w.token, Sequence: e.sequence,
 		}
 		e.ordered = time.Now()
@@ -271,7 +271,7 @@
 // wait for them or when it is this engine's turn; otherwise when the step of
 // that version has come and nothing of it is left here, or has not come for a
 // while. It is called with w.mu held.
-func (w *Worker) due(model string, version uint64, deal Deal, age time.Duration) bool {
+func (w *Worker) due(model string, version uint64, deal Assignment, age time.Duration) bool {
 	held, stepped := false, false
 	for _, j := range w.jobs {
 		if j.ended || j.job.Model != model {
@@ -292,10 +292,10 @@
 	if !deal.Has(w.Engine) {
 		return false
 	}
-	if deal.Takes(w.Engine, version) {
+	if deal.LoadsAtOnce(w.Engine, version) {
 		return true
 	}
-	if deal.Turns() && w.engine.versions[model]+1 >= version {
+	if deal.Alternates() && w.engine.versions[model]+1 >= version {
 		return false // recent enough for the step at hand; the next version is this engine's
 	}
 	return !held && (stepped || age > settleTime)
--- a/batch/help_test.go
+++ b/batch/help_test.go
@@ -102,7 +102,7 @@
 		rig := newWorkerRig(t, 8)
 		rig.view.SetConfig(&fleet.Config{Version: 2, Services: []fleet.Service{{Name: "svc", Models: []string{"m", "n"}}}})
 		snap := rig.view.Snapshot()
-		deal := DealModels(addrs(snap.OfService("svc")), []string{"m", "n"}, NewDemand())["m"]
+		deal := AssignEngines(addrs(snap.OfService("svc")), []string{"m", "n"}, NewDemand())["m"]
 		rig.engines.lengths["item-000"] = 1000
 		rig.submit("j", 1, func(j *Job) { j.Owners, j.MinVersion, j.Ready = deal.All(), 2, len(deal.All()) })
 		time.Sleep(5 * time.Second)
@@ -142,7 +142,7 @@
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 8)
 		rig.view.SetConfig(&fleet.Config{Version: 2, Services: []fleet.Service{{Name: "svc", Models: []string{"m", "n"}}}})
-		deals := DealModels(addrs(rig.view.Snapshot().OfService("svc")), []string{"m", "n"}, NewDemand())
+		deals := AssignEngines(addrs(rig.view.Snapshot().OfService("svc")), []string{"m", "n"}, NewDemand())
 		for i := range 16 {
 			rig.engines.lengths[fmt.Sprintf("item-%03d", i)] = 100 // four seconds
 		}
@@ -159,7 +159,7 @@
 		rig.peers.mu.Unlock()
 		rig.list(slices.Index(rig.addrs(), leaving), true)
 		time.Sleep(3 * time.Second)
-		after := DealModels(addrs(rig.view.Snapshot().OfService("svc")), []string{"m", "n"}, NewDemand())["m"]
+		after := AssignEngines(addrs(rig.view.Snapshot().OfService("svc")), []string{"m", "n"}, NewDemand())["m"]
 		rig.peers.mu.Lock()
 		defer rig.peers.mu.Unlock()
 		asked := 0
--- a/batch/intake.go
+++ b/batch/intake.go
@@ -40,7 +40,7 @@
 	Model        string
 	Step         int
 	MinVersion   uint64
-	Wanted       int
+	WantedGroups int
 	Items        []Item
 	// Deadline is when the client stops waiting; zero if it did not say.
 	Deadline time.Time
@@ -155,7 +155,7 @@
 	engines := addrs(snap.OfService(service))
 	ready := len(engines)
 	if config := snap.Config.Service(service); config != nil && s.Model != "" {
-		engines, ready = owners(snap, service, s, DealModels(engines, config.Models, in.Demand)[s.Model])
+		engines, ready = owners(snap, service, s, AssignEngines(engines, config.Models, in.Demand)[s.Model])
 	}
 	work := 0
 	for i := range s.Items {
@@ -163,7 +163,7 @@
 	}
 	return &Job{
 		Priority: s.priority(snap.Config), ID: s.scoped(), Organisation: s.Organisation, Route: s.Route.Name, Host: s.Host, Service: service, Model: s.Model, Step: s.Step,
-		MinVersion: s.MinVersion, SingleVersion: s.Route.SingleVersion, Items: len(s.Items), Wanted: s.Wanted,
+		MinVersion: s.MinVersion, SingleVersion: s.Route.SingleVersion, Items: len(s.Items), Wanted: s.WantedGroups,
 		MaxAttempts: s.Route.MaxAttempts, ItemTTL: s.Route.ItemTTL, Accepted: now, Owners: engines, Ready: ready, Work: work,
 		GroupItems: sizeOfGroups(s.Items), RunTarget: s.Route.RunTarget,
 	}
@@ -196,7 +196,7 @@
 
 // owners are the engines of a model's deal, those first that can run its items
 // at once; the others load the newest version just now, or must first.
-func owners(snap *fleet.Snapshot, service string, s Submission, deal Deal) (list []string, ready int) {
+func owners(snap *fleet.Snapshot, service string, s Submission, deal Assignment) (list []string, ready int) {
 	newest := snap.Named[s.Model]
 	loading := time.Since(snap.NamedAt[s.Model]) < loadTime
 	var late []string
@@ -204,7 +204,7 @@
 		version := i.Versions[s.Model]
 		switch {
 		case !deal.Has(i.Addr):
-		case version < s.MinVersion, loading && version < newest && deal.Takes(i.Addr, newest):
+		case version < s.MinVersion, loading && version < newest && deal.LoadsAtOnce(i.Addr, newest):
 			late = append(late, i.Addr)
 		default:
 			list = append(list, i.Addr)
--- a/batch/openjobs.go
+++ b/batch/openjobs.go
@@ -108,7 +108,7 @@
 			return false
 		}
 		w.mu.Lock()
-		j.items, j.owners = items, Split(j.job, items)
+		j.items, j.owners = items, AssignItems(j.job, items)
 		w.mu.Unlock()
 	}
 	if !results {
--- a/batch/rig_test.go
+++ b/batch/rig_test.go
@@ -71,7 +71,7 @@
 		e.fail[r.Item.ID] = list[1:]
 		return nil, list[0]
 	}
-	f.runs = append(f.runs, fakeRun{r.Addr, r.Item.ID, r.After, time.Now(), r.Organisation})
+	f.runs = append(f.runs, fakeRun{r.Addr, r.Item.ID, r.LastEventID, time.Now(), r.Organisation})
 	length := 10
 	if n, ok := f.lengths[r.Item.ID]; ok {
 		length = n
@@ -80,7 +80,7 @@
 		length = f.crashSoon(e)
 	}
 	e.open++
-	s := &fakeStream{ctx: ctx, f: f, e: e, item: r.Item.ID, next: r.After + 1, length: length, cut: -1, born: e.born}
+	s := &fakeStream{ctx: ctx, f: f, e: e, item: r.Item.ID, next: r.LastEventID + 1, length: length, cut: -1, born: e.born}
 	if n, ok := e.cutAfter[r.Item.ID]; ok {
 		s.cut = n
 		delete(e.cutAfter, r.Item.ID)
@@ -166,7 +166,7 @@
 	if e.down || e.silent {
 		return Report{}, errors.New("no report")
 	}
-	return Report{Born: e.born, Sequence: e.sequence, Versions: map[string]uint64{"m": e.version}}, nil
+	return Report{StartedAt: e.born, Sequence: e.sequence, Versions: map[string]uint64{"m": e.version}}, nil
 }
 
 func (f *fakeEngines) Order(_ context.Context, o Order) error {
--- a/batch/run.go
+++ b/batch/run.go
@@ -56,7 +56,7 @@
 		stall.Reset(stallTimeout)
 		w.mu.Lock()
 		t.add(event)
-		w.engine.observe(t.j.job.Model, event.Version, now.Sub(last), event.ID > run.After+1)
+		w.engine.observe(t.j.job.Model, event.Version, now.Sub(last), event.ID > run.LastEventID+1)
 		fits := t.fits()
 		w.mu.Unlock()
 		last = now
--- a/batch/schedule.go
+++ b/batch/schedule.go
@@ -62,7 +62,7 @@
 	w.running[t] = struct{}{}
 	t.sentTo = fleet.Incarnation{ID: instance.ID, Born: w.engine.born}
 	run := Run{
-		Addr: instance.Addr, Instance: instance.ID, Host: t.j.job.Host, Organisation: t.j.job.Organisation, Item: t.item, After: len(t.text),
+		Addr: instance.Addr, Instance: instance.ID, Host: t.j.job.Host, Organisation: t.j.job.Organisation, Item: t.item, LastEventID: len(t.text),
 		Deadline: w.timeLeft(t.j.job),
 	}
 	w.Log.WithFields(t.fields()).WithFields(logrus.Fields{
--- a/batch/worker.go
+++ b/batch/worker.go
@@ -32,7 +32,7 @@
 	JobsPace store.Pace
 	// StoreWrites is the store's write calls a second for all processes; 0 is unknown.
 	StoreWrites int
-	Engines     Engine
+	Engines     EngineClient
 	// Rewards scores whole texts; nil where no job has reward calls.
 	Rewards Rewarder
 	Peers   PeerCaller
@@ -148,7 +148,7 @@
 			w.Log.WithError(err).WithField(observe.FieldJob, row.Name).Error("job not readable")
 			continue
 		}
-		w.Demand.See(job)
+		w.Demand.Add(job)
 		w.see(job, s.Now)
 	}
 	w.forgetOld(s.Now)
--- a/e2e/soak_engine_test.go
+++ b/e2e/soak_engine_test.go
@@ -160,7 +160,7 @@
 func (e *soakEngine) Report() batch.Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return batch.Report{Born: e.born, Busy: e.busy, Sequence: e.sequence, Running: e.running, Versions: maps.Clone(e.versions)}
+	return batch.Report{StartedAt: e.born, Busy: e.busy, Sequence: e.sequence, Running: e.running, Versions: maps.Clone(e.versions)}
 }
 
 // Order implements enginehttp.StandIn: it changes the weights of a model.
--- a/e2e/soak_trainer_test.go
+++ b/e2e/soak_trainer_test.go
@@ -71,7 +71,7 @@
 
 // body encodes a job and registers its items.
 func (t *soakTrainer) body(j *soakJob, step int, groups [][]string) string {
-	s := &batch.Submission{Model: t.model, Step: step, MinVersion: j.minVersion, Wanted: soakWanted}
+	s := &batch.Submission{Model: t.model, Step: step, MinVersion: j.minVersion, WantedGroups: soakWanted}
 	for _, group := range groups {
 		for _, id := range group {
 			j.items = append(j.items, id)
--- a/service/node/entry.go
+++ b/service/node/entry.go
@@ -93,7 +93,7 @@
 	}
 	wg.Go(func() { e.reader.Run(working) })
 	wg.Go(func() { e.forwarder.WatchEnds(working) })
-	collector := &batch.Collector{Ledger: e.ledger, Keep: e.settings.KeepResults, Now: e.store.Now, Log: e.log}
+	collector := &batch.Collector{Ledger: e.ledger, Retention: e.settings.KeepResults, Now: e.store.Now, Log: e.log}
 	jobs := store.Source{Table: batch.TableJobs, Pace: entryJobsPace()}
 	wg.Go(func() { store.Follow(working, e.rows, jobs, e.demand.Watcher(collector, e.log)) })
 	wg.Go(func() { collector.Run(working) })
