--- a/service/agent/config.go
+++ b/service/agent/config.go
@@ -31,7 +31,7 @@
 	DefaultSettleTime         = 2 * time.Second
 	DefaultMinBackoff         = 500 * time.Millisecond
 	DefaultMaxBackoff         = 15 * time.Second
-	DefaultHandOver           = 5 * time.Second
+	DefaultHandOverTimeout    = 5 * time.Second
 	DefaultRetryAfter         = time.Second
 )
 
@@ -88,8 +88,8 @@
 	// Budget is the deadline of a request that names none.
 	Budget time.Duration
 
-	// HandOver is how long a drain waits for results that nobody has fetched yet.
-	HandOver time.Duration
+	// HandOverTimeout is how long a drain waits for results that nobody has fetched yet.
+	HandOverTimeout time.Duration
 	// PollInterval is how often the engine is asked for its status, and
 	// PollTimeout how long it may take to answer.
 	PollInterval time.Duration
@@ -150,7 +150,7 @@
 	setInt(&c.MaxRequestBytes, DefaultMaxRequestBytes)
 	setInt(&c.MaxAnswerBytes, DefaultMaxAnswerBytes)
 	setDuration(&c.Budget, DefaultBudget)
-	setDuration(&c.HandOver, DefaultHandOver)
+	setDuration(&c.HandOverTimeout, DefaultHandOverTimeout)
 	setDuration(&c.PollInterval, DefaultPollInterval)
 	setDuration(&c.PollTimeout, DefaultPollTimeout)
 	setDuration(&c.StallTimeout, DefaultStallTimeout)
--- a/service/agent/drain.go
+++ b/service/agent/drain.go
@@ -15,7 +15,7 @@
 // Running ones and waiting interactive ones, which may have nowhere to go when
 // everything stops at once, end and are answered; they can be attached to until
 // then. Results that nobody has fetched are kept for
-// HandOver. It returns when nothing runs any more; the caller then ends Run's
+// HandOverTimeout. It returns when nothing runs any more; the caller then ends Run's
 // context. The error is the context's.
 func (a *Agent) Drain(ctx context.Context) error {
 	a.beginDrain("")
@@ -26,9 +26,9 @@
 	return a.awaitIdle(ctx)
 }
 
-// handOver waits until all results have been fetched, for at most HandOver.
+// handOver waits until all results have been fetched, for at most HandOverTimeout.
 func (a *Agent) handOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, a.cfg.HandOver)
+	ctx, cancel := context.WithTimeout(ctx, a.cfg.HandOverTimeout)
 	defer cancel()
 	for {
 		settled := a.settled.Wait()
--- a/service/agent/drain_test.go
+++ b/service/agent/drain_test.go
@@ -134,7 +134,7 @@
 			if err := <-drained; err != nil {
 				t.Fatal(err)
 			}
-			if took := time.Since(began); (took < DefaultHandOver) != fetched {
+			if took := time.Since(began); (took < DefaultHandOverTimeout) != fetched {
 				t.Fatalf("fetched %v: the drain took %s", fetched, took)
 			}
 		})
