--- a/batch/handover_test.go
+++ b/batch/handover_test.go
@@ -19,7 +19,7 @@
 }
 
 // holder is an agent with items of one job that wait.
-func holder(peers PeerCaller, items int) (*Worker, *workJob, []*task) {
+func holder(peers PeerClient, items int) (*Worker, *workJob, []*task) {
 	w := NewWorker(WorkerConfig{
 		Engine: "10.0.0.1:80", View: fleet.NewView(), Peers: peers, Log: observe.Discard(), Counters: observe.NewCounters(),
 	})
--- a/batch/intake.go
+++ b/batch/intake.go
@@ -163,7 +163,7 @@
 	}
 	return &Job{
 		Priority: s.priority(snap.Config), ID: s.scoped(), Organisation: s.Organisation, Route: s.Route.Name, Host: s.Host, Service: service, Model: s.Model, Step: s.Step,
-		MinVersion: s.MinVersion, SingleVersion: s.Route.SingleVersion, Items: len(s.Items), RequiredGroups: s.WantedGroups,
+		MinVersion: s.MinVersion, SingleVersion: s.Route.SingleVersion, Items: len(s.Items), WantedGroups: s.WantedGroups,
 		MaxAttempts: s.Route.MaxAttempts, ItemTTL: s.Route.ItemTTL, Accepted: now, Owners: engines, Ready: ready, Work: work,
 		GroupItems: sizeOfGroups(s.Items), RunTarget: s.Route.RunTarget,
 	}
--- a/batch/job.go
+++ b/batch/job.go
@@ -51,8 +51,8 @@
 	SingleVersion bool `cbor:"8,keyasint,omitempty"`
 	// Items is the number of items.
 	Items int `cbor:"9,keyasint"`
-	// RequiredGroups is how many complete groups the caller waits for; 0 is all.
-	RequiredGroups      int `cbor:"10,keyasint,omitempty"`
+	// WantedGroups is how many complete groups the caller waits for; 0 is all.
+	WantedGroups      int `cbor:"10,keyasint,omitempty"`
 	MaxAttempts int `cbor:"11,keyasint"`
 	// ItemTTL is how long after Accepted an item may be given up.
 	ItemTTL time.Duration `cbor:"12,keyasint"`
--- a/batch/patience_test.go
+++ b/batch/patience_test.go
@@ -20,7 +20,7 @@
 func stepRig(t *testing.T, runTarget time.Duration) (*Reader, *Ledger) {
 	s := rowstore.New()
 	job := someJob("j", 8)
-	job.RequiredGroups, job.GroupItems, job.RunTarget = 3, 2, runTarget
+	job.WantedGroups, job.GroupItems, job.RunTarget = 3, 2, runTarget
 	must(t, newLedger(s).Submit(t.Context(), job, someItems(8)))
 	return NewReader(newLedger(s), s.Now, observe.Discard()), newLedger(s)
 }
@@ -106,7 +106,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := rowstore.New()
 				job := someJob("j", 2*groups)
-				job.RequiredGroups, job.GroupItems, job.RunTarget = wanted, groupItems, time.Minute
+				job.WantedGroups, job.GroupItems, job.RunTarget = wanted, groupItems, time.Minute
 				must(t, newLedger(s).Submit(t.Context(), job, someItems(2*groups)))
 				r, l := NewReader(newLedger(s), s.Now, observe.Discard()), newLedger(s)
 				name := func(g, i int) string { return fmt.Sprintf("%c%d", 'a'+g, i) }
--- a/batch/peer.go
+++ b/batch/peer.go
@@ -10,8 +10,8 @@
 	"mulberryscale.example/store/detour"
 )
 
-// PeerCaller calls other agents.
-type PeerCaller interface {
+// PeerClient calls other agents.
+type PeerClient interface {
 	// Call sends a request to the agent at addr, "ip:port".
 	Call(ctx context.Context, addr string, req *PeerRequest) (*PeerReply, error)
 }
--- a/batch/reader.go
+++ b/batch/reader.go
@@ -183,7 +183,7 @@
 	defer r.mu.Unlock()
 	short := min(q.wait, readPeriod)
 	now, ok := r.now()
-	if j.job.GroupItems == 0 || j.job.RequiredGroups == 0 || !ok {
+	if j.job.GroupItems == 0 || j.job.WantedGroups == 0 || !ok {
 		return short, false
 	}
 	if j.wantedWhole() {
@@ -208,7 +208,7 @@
 			whole++
 		}
 	}
-	return whole >= j.job.RequiredGroups
+	return whole >= j.job.WantedGroups
 }
 
 // gather waits for further results, unless the list is whole: near its end for
--- a/batch/reward.go
+++ b/batch/reward.go
@@ -32,8 +32,8 @@
 	MaxAttempts int
 }
 
-// Scorer sends reward calls.
-type Scorer interface {
+// RewardClient sends reward calls.
+type RewardClient interface {
 	// Score sends a call to endpoints of its route until one has answered. Its
 	// error is, or wraps, ErrNotRun, ErrFailed or ErrBroken; ErrFailed says that
 	// Failures is above 0.
--- a/batch/worker.go
+++ b/batch/worker.go
@@ -34,8 +34,8 @@
 	StoreWriteRate int
 	Engines        EngineClient
 	// Rewards scores whole texts; nil where no job has reward calls.
-	Rewards Scorer
-	Peers   PeerCaller
+	Rewards RewardClient
+	Peers   PeerClient
 	// Quarantine keeps items that end engines away from them; nil keeps none.
 	Quarantine *quarantine.Keeper
 	// Now is the store's clock; false before it is known.
--- a/reward/caller.go
+++ b/reward/caller.go
@@ -17,7 +17,7 @@
 	"mulberryscale.example/observe"
 )
 
-// Caller is a batch.Scorer. It is safe for concurrent use.
+// Caller is a batch.RewardClient. It is safe for concurrent use.
 type Caller struct {
 	View    *fleet.View
 	Forward *forward.Forwarder
@@ -56,7 +56,7 @@
 // be slow, or its answer lost.
 const maxSends = 2
 
-// Score implements batch.Scorer.
+// Score implements batch.RewardClient.
 func (c *Caller) Score(ctx context.Context, ask batch.RewardRequest) (batch.RewardResponse, error) {
 	call := ask.Call
 	config := c.View.Snapshot().Config
--- a/service/node/peers.go
+++ b/service/node/peers.go
@@ -38,7 +38,7 @@
 	return quictransport.Options{KeepAlive: quictransport.NoKeepAlive, IdleTimeout: peerIdle}
 }
 
-// peers calls agents. It is a batch.PeerCaller.
+// peers calls agents. It is a batch.PeerClient.
 type peers struct {
 	mu     sync.Mutex
 	dialer transport.Dialer
@@ -55,7 +55,7 @@
 // errUnsent wraps the errors of calls that were not sent.
 var errUnsent = errors.New("node: not sent")
 
-// Call implements batch.PeerCaller.
+// Call implements batch.PeerClient.
 func (p *peers) Call(ctx context.Context, addr string, req *batch.PeerRequest) (*batch.PeerReply, error) {
 	p.mu.Lock()
 	dialer := p.dialer
