--- a/batch/job.go
+++ b/batch/job.go
@@ -52,8 +52,8 @@
 	// Items is the number of items.
 	Items int `cbor:"9,keyasint"`
 	// WantedGroups is how many complete groups the caller waits for; 0 is all.
-	WantedGroups      int `cbor:"10,keyasint,omitempty"`
-	MaxAttempts int `cbor:"11,keyasint"`
+	WantedGroups int `cbor:"10,keyasint,omitempty"`
+	MaxAttempts  int `cbor:"11,keyasint"`
 	// ItemTTL is how long after Accepted an item may be given up.
 	ItemTTL time.Duration `cbor:"12,keyasint"`
 	// Accepted is the store's clock when the job was submitted.
--- a/batch/messages.go
+++ b/batch/messages.go
@@ -9,17 +9,17 @@
 // PeerRequest is a call from one agent to another; one of the pointers is set.
 type PeerRequest struct {
 	// From is the address of the caller's engine.
-	From   string       `cbor:"1,keyasint"`
-	Status *StatusRequest   `cbor:"2,keyasint,omitempty"`
-	Take   *TakeRequest     `cbor:"3,keyasint,omitempty"`
-	Give   *Handover `cbor:"4,keyasint,omitempty"`
+	From   string         `cbor:"1,keyasint"`
+	Status *StatusRequest `cbor:"2,keyasint,omitempty"`
+	Take   *TakeRequest   `cbor:"3,keyasint,omitempty"`
+	Give   *Handover      `cbor:"4,keyasint,omitempty"`
 	// Store asks to make a call to the store that the caller has no path to.
 	Store *detour.Call `cbor:"5,keyasint,omitempty"`
 }
 
 // PeerReply answers it.
 type PeerReply struct {
-	Status *Status      `cbor:"1,keyasint,omitempty"`
+	Status   *Status   `cbor:"1,keyasint,omitempty"`
 	Handover *Handover `cbor:"2,keyasint,omitempty"`
 	// Taken is the number of given items that were taken.
 	Taken int           `cbor:"3,keyasint,omitempty"`
@@ -39,7 +39,7 @@
 	Free int `cbor:"2,keyasint"`
 	// EventInterval is the mean time between two events of a run there, 0 while unknown.
 	EventInterval time.Duration        `cbor:"3,keyasint,omitempty"`
-	Jobs map[string]JobStatus `cbor:"4,keyasint,omitempty"`
+	Jobs          map[string]JobStatus `cbor:"4,keyasint,omitempty"`
 }
 
 // JobStatus lists items of a job by their indexes.
@@ -62,7 +62,7 @@
 
 // Handover are items of a job that go from one agent to another.
 type Handover struct {
-	Job   string   `cbor:"1,keyasint"`
+	Job   string         `cbor:"1,keyasint"`
 	Items []HandoverItem `cbor:"2,keyasint"`
 }
 
@@ -74,7 +74,7 @@
 	Failures int      `cbor:"4,keyasint,omitempty"`
 	// Complete says that the text has its last event; RewardFailures counts the
 	// failures that its reward call was answered with.
-	Complete          bool `cbor:"6,keyasint,omitempty"`
+	Complete       bool `cbor:"6,keyasint,omitempty"`
 	RewardFailures int  `cbor:"7,keyasint,omitempty"`
 	// Avoid are engines where it broke off again and again.
 	Avoid []string `cbor:"5,keyasint,omitempty"`
--- a/service/node/agent.go
+++ b/service/node/agent.go
@@ -41,11 +41,11 @@
 	a.worker = batch.NewWorker(batch.WorkerConfig{
 		Node: settings.Node, Incarnation: b.incarnation, Engine: settings.Engine, Service: settings.Service,
 		PeerPort: settings.PeerPort, View: b.view, Ledger: b.ledger, Direct: b.store, Demand: batch.NewDemand(), Engines: engines, Peers: a.peers,
-		Rewards:     &reward.Caller{View: b.view, Forward: a.forwarder, Service: settings.Service},
-		Quarantine:  keeper,
-		JobsPace:    agentJobsPace(),
+		Rewards:        &reward.Caller{View: b.view, Forward: a.forwarder, Service: settings.Service},
+		Quarantine:     keeper,
+		JobsPace:       agentJobsPace(),
 		StoreWriteRate: settings.StoreWrites,
-		Now:         b.store.Now, Log: b.log, Counters: b.counters,
+		Now:            b.store.Now, Log: b.log, Counters: b.counters,
 	})
 	return a, nil
 }
