--- a/batch/enginestate.go
+++ b/batch/enginestate.go
@@ -159,7 +159,7 @@
 	w.engine.bear(born)
 	for t := range w.running {
 		if t.sentTo.Born < born {
-			t.stop(errReborn)
+			t.stop(errEngineRestarted)
 		}
 	}
 	w.Log.WithFields(logrus.Fields{"engine": w.Engine, "born": born, "former": was, "running": len(w.running)}).Warn("engine started again")
@@ -279,7 +279,7 @@
 		}
 		stepped = stepped || j.job.MinVersion+1 >= version
 		for _, t := range j.tasks {
-			if t.whole {
+			if t.complete {
 				continue // needs the engine no more
 			}
 			if t.cancel == nil && j.job.MinVersion > w.engine.versions[model] {
--- a/batch/expiry.go
+++ b/batch/expiry.go
@@ -75,7 +75,7 @@
 // is this agent's turn.
 func (w *Worker) giveUpLost(j *workJob) {
 	rank := slices.Index(byRank(j.job.ID, w.participants(j)), w.Engine)
-	if rank < 0 || w.overdueBy(j) < time.Duration(rank+1)*expiryTurn || !w.read(j, true) {
+	if rank < 0 || w.overdueBy(j) < time.Duration(rank+1)*expiryTurn || !w.load(j, true) {
 		return
 	}
 	w.mu.Lock()
--- a/batch/handover.go
+++ b/batch/handover.go
@@ -39,7 +39,7 @@
 func (j *workJob) longestRunning(n int) []*task {
 	var list []*task
 	for _, t := range j.tasks {
-		if t.cancel != nil && !t.whole {
+		if t.cancel != nil && !t.complete {
 			list = append(list, t)
 		}
 	}
@@ -55,17 +55,17 @@
 // two agents would run them. It is called with w.mu held.
 func (w *Worker) detach(tasks []*task) (detached []*task, stopped []chan struct{}) {
 	for _, t := range tasks {
-		if t.leaving || t.j.tasks[t.index] != t {
+		if t.handingOver || t.j.tasks[t.index] != t {
 			continue
 		}
-		t.leaving = true
+		t.handingOver = true
 		detached = append(detached, t)
 		if t.cancel != nil {
-			t.stop(errGiven)
+			t.stop(errHandedOver)
 			stopped = append(stopped, t.stopped)
 			continue
 		}
-		w.forget(t)
+		w.removeTask(t)
 	}
 	return detached, stopped
 }
@@ -80,15 +80,15 @@
 	handed := &Handover{Job: j.job.ID}
 	for _, t := range tasks {
 		if j.tasks[t.index] != nil || j.done[t.index] {
-			t.leaving = false
+			t.handingOver = false
 			continue // it finished before it could be stopped
 		}
-		if t.breaks >= maxBreaks {
+		if t.brokenAnswers >= maxBrokenAnswers {
 			t.avoid = append(t.avoid, w.Engine)
 		}
 		handed.Items = append(handed.Items, HandoverItem{
 			Index: t.index, Text: t.text, Versions: t.versions, Failures: t.failures, Avoid: t.avoid,
-			Complete: t.whole, RewardFailures: t.rewardFailures,
+			Complete: t.complete, RewardFailures: t.rewardFailures,
 		})
 		w.Log.WithFields(t.fields()).WithFields(logrus.Fields{"to": to, "why": why}).Info("item handed over")
 	}
@@ -101,7 +101,7 @@
 	j, ok := w.jobs[given.Job]
 	refuse := !ok || j.ended || w.stopping
 	w.mu.Unlock()
-	if refuse || !w.read(j, false) {
+	if refuse || !w.load(j, false) {
 		return 0
 	}
 	w.mu.Lock()
@@ -113,9 +113,9 @@
 		}
 		t := &task{
 			index: h.Index, text: h.Text, versions: h.Versions, failures: h.Failures, avoid: h.Avoid,
-			whole: h.Complete, rewardFailures: h.RewardFailures,
+			complete: h.Complete, rewardFailures: h.RewardFailures,
 		}
-		if w.take(j, t) {
+		if w.enqueue(j, t) {
 			w.Log.WithFields(t.fields()).WithField("from", from).Info("item taken over")
 		}
 		n++ // held or done here already counts as taken
--- a/batch/handover_test.go
+++ b/batch/handover_test.go
@@ -63,7 +63,7 @@
 				t.Fatalf("detached %d and %d times", len(detached), len(again))
 			}
 			if !ends {
-				w.forget(running)
+				w.removeTask(running)
 			}
 			close(running.stopped)
 			handed := w.collect(j, detached, stopped, "10.0.0.2:80", "taken")
--- a/batch/intake.go
+++ b/batch/intake.go
@@ -95,7 +95,7 @@
 	if s.ID == "" {
 		return fmt.Errorf("%w: no id", ErrMalformed)
 	}
-	if !validJobID(s.scoped()) {
+	if !validJobID(s.scopedID()) {
 		return fmt.Errorf("%w: the id is %.60q: want at most %d bytes without a slash, less the name of the organisation", ErrMalformed, s.ID, maxJobID)
 	}
 	if len(s.Items) == 0 {
@@ -162,7 +162,7 @@
 		work += s.Items[i].expected()
 	}
 	return &Job{
-		Priority: s.priority(snap.Config), ID: s.scoped(), Organisation: s.Organisation, Route: s.Route.Name, Host: s.Host, Service: service, Model: s.Model, Step: s.Step,
+		Priority: s.priority(snap.Config), ID: s.scopedID(), Organisation: s.Organisation, Route: s.Route.Name, Host: s.Host, Service: service, Model: s.Model, Step: s.Step,
 		MinVersion: s.MinVersion, SingleVersion: s.Route.SingleVersion, Items: len(s.Items), WantedGroups: s.WantedGroups,
 		MaxAttempts: s.Route.MaxAttempts, ItemTTL: s.Route.ItemTTL, Accepted: now, Owners: engines, Ready: ready, Work: work,
 		GroupItems: sizeOfGroups(s.Items), RunTarget: s.Route.RunTarget,
--- a/batch/job.go
+++ b/batch/job.go
@@ -86,8 +86,8 @@
 // the highest waits two steps less than the lowest (TestRanksUnderOverload).
 const priorityStep = time.Second
 
-// turn orders jobs that wait for one thing, the earliest first.
-func (j *Job) turn() time.Duration {
+// queueTime orders jobs that wait for one thing, the earliest first.
+func (j *Job) queueTime() time.Duration {
 	return j.Accepted + time.Duration(min(max(j.Priority, 0), maxPriority))*priorityStep
 }
 
--- a/batch/ledger.go
+++ b/batch/ledger.go
@@ -32,10 +32,10 @@
 	// into objects. The store takes 1 MB a transaction, in an encoding that
 	// needs four bytes for three.
 	maxInlineBytes = 640 << 10
-	// rowShare keeps a row's value under the store's bound.
-	rowShare = 0.9
-	// writePause is the pause before a write that got no clear answer is sent again.
-	writePause = 100 * time.Millisecond
+	// rowFillShare keeps a row's value under the store's bound.
+	rowFillShare = 0.9
+	// writeRetryPause is the pause before a write that got no clear answer is sent again.
+	writeRetryPause = 100 * time.Millisecond
 )
 
 // Ledger keeps jobs and their results in the store. It is safe for concurrent use.
@@ -62,7 +62,7 @@
 			return err
 		}
 	} else {
-		pieces := cut(data, l.rowLimit())
+		pieces := splitBytes(data, l.rowLimit())
 		job.Chunks = len(pieces)
 		for i, piece := range pieces {
 			tx.Put = append(tx.Put, store.Row{Key: itemsKey(job.ID, i), Value: piece})
@@ -91,7 +91,7 @@
 		case errors.Is(err, store.ErrUnknown):
 			open = true
 		}
-		if pause.For(ctx, writePause) != nil {
+		if pause.For(ctx, writeRetryPause) != nil {
 			if open {
 				return fmt.Errorf("%w: %v", store.ErrUnknown, err)
 			}
@@ -101,7 +101,7 @@
 }
 
 func (l *Ledger) putObjects(ctx context.Context, id string, data []byte) (int, error) {
-	pieces := cut(data, l.ObjectBytes)
+	pieces := splitBytes(data, l.ObjectBytes)
 	for i, piece := range pieces {
 		for {
 			err := l.Store.PutObject(ctx, objectName(id, i), piece)
@@ -109,7 +109,7 @@
 				break
 			}
 			// An object alone accepts nothing, so its outcome need not be known.
-			if errors.Is(err, store.ErrInvalid) || pause.For(ctx, writePause) != nil {
+			if errors.Is(err, store.ErrInvalid) || pause.For(ctx, writeRetryPause) != nil {
 				return 0, fmt.Errorf("%w: %v", store.ErrRefused, err)
 			}
 		}
@@ -262,9 +262,9 @@
 
 func objectName(id string, i int) string { return fmt.Sprintf("items-%s-%03d", id, i) }
 
-func (l *Ledger) rowLimit() int { return int(rowShare * float64(l.RowBytes)) }
+func (l *Ledger) rowLimit() int { return int(rowFillShare * float64(l.RowBytes)) }
 
-func cut(data []byte, limit int) [][]byte {
+func splitBytes(data []byte, limit int) [][]byte {
 	var pieces [][]byte
 	for len(data) > limit {
 		pieces = append(pieces, data[:limit])
--- a/batch/listing.go
+++ b/batch/listing.go
@@ -47,7 +47,7 @@
 		for n < len(rows) && rows[n].Version == rows[0].Version {
 			n++
 		}
-		if err := l.add(rows[:n]); err != nil {
+		if err := l.addBatch(rows[:n]); err != nil {
 			return err
 		}
 		rows = rows[n:]
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// add takes the rows of one transaction.
-func (l *Listing) add(rows []store.Row) error {
+// addBatch takes the rows of one transaction.
+func (l *Listing) addBatch(rows []store.Row) error {
 	var data []byte
 	for _, row := range rows {
 		data = append(data, row.Value...)
--- a/batch/openjobs.go
+++ b/batch/openjobs.go
@@ -10,9 +10,9 @@
 	"mulberryscale.example/observe"
 )
 
-// see takes a job of this worker's service.
-func (w *Worker) see(job *Job, now time.Duration) {
-	if job.Service != w.Service || now-job.Accepted > job.ItemTTL+forgetJobAfter {
+// addJob takes a job of this worker's service.
+func (w *Worker) addJob(job *Job, now time.Duration) {
+	if job.Service != w.Service || now-job.Accepted > job.ItemTTL+jobRetention {
 		return
 	}
 	w.mu.Lock()
@@ -20,7 +20,7 @@
 	if _, known := w.jobs[job.ID]; known {
 		return
 	}
-	j := &workJob{job: job, tasks: map[int]*task{}, done: map[int]bool{}, checked: time.Now()}
+	j := &workJob{job: job, tasks: map[int]*task{}, done: map[int]bool{}, orphansChecked: time.Now()}
 	j.outbox = newOutbox(w, j)
 	w.jobs[job.ID] = j
 	owner := slices.Contains(job.Owners, w.Engine)
@@ -28,48 +28,48 @@
 		observe.FieldJob: job.ID, "model": job.Model, "items": job.Items, "owners": len(job.Owners), "owner": owner,
 		"min_version": job.MinVersion, "age_ms": (now - job.Accepted).Milliseconds(),
 	})
-	log.Log(levelOf(owner), "job seen")
+	log.Log(jobLogLevel(owner), "job seen")
 	if owner {
-		go w.begin(j, now-job.Accepted > freshAge)
+		go w.startJob(j, now-job.Accepted > newJobAge)
 	}
 }
 
-// levelOf is the level of lines about a job: those that have nothing to do
+// jobLogLevel is the level of lines about a job: those that have nothing to do
 // with it here would only repeat what its owners say.
-func levelOf(involved bool) logrus.Level {
+func jobLogLevel(involved bool) logrus.Level {
 	if involved {
 		return logrus.InfoLevel
 	}
 	return logrus.DebugLevel
 }
 
-// freshAge is the age above which a job may have results already: the store
+// newJobAge is the age above which a job may have results already: the store
 // tells of a new job within milliseconds, and the shortest items take some
 // hundred.
-const freshAge = 300 * time.Millisecond
+const newJobAge = 300 * time.Millisecond
 
-// begin reads a job's items and takes this worker's part of them.
-func (w *Worker) begin(j *workJob, old bool) {
-	for !w.read(j, old) {
-		if pause.For(w.ctx, writePause) != nil {
+// startJob reads a job's items and takes this worker's part of them.
+func (w *Worker) startJob(j *workJob, old bool) {
+	for !w.load(j, old) {
+		if pause.For(w.ctx, writeRetryPause) != nil {
 			return
 		}
 	}
-	saved := w.savedTexts(j, old)
+	saved := w.resumableTexts(j, old)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	self := slices.Index(j.job.Owners, w.Engine)
 	for i, owner := range j.owners {
 		if owner == self {
-			w.take(j, saved[i].task(i))
+			w.enqueue(j, saved[i].newTask(i))
 		}
 	}
 	w.wake()
 }
 
-// savedTexts are the texts that a job's items can go on from: those that were
+// resumableTexts are the texts that a job's items can go on from: those that were
 // saved while they ran before, and those that earlier jobs left unfinished.
-func (w *Worker) savedTexts(j *workJob, old bool) map[int]savedText {
+func (w *Worker) resumableTexts(j *workJob, old bool) map[int]savedText {
 	texts := map[int]savedText{}
 	if old {
 		saved, err := w.Ledger.progress(w.ctx, j.job)
@@ -77,7 +77,7 @@
 			w.Log.WithError(err).WithField(observe.FieldJob, j.job.ID).Warn("saved text not read")
 		}
 		for i, text := range saved {
-			if !j.job.fits(text.versions) {
+			if !j.job.allowsVersions(text.versions) {
 				text = savedText{rewardFailures: text.rewardFailures}
 			}
 			texts[i] = text
@@ -85,7 +85,7 @@
 	}
 	left := w.leftovers(j)
 	for i := range j.items {
-		if l, ok := left[j.items[i].ID]; ok && j.job.fits(l.versions) && l.better(texts[i]) {
+		if l, ok := left[j.items[i].ID]; ok && j.job.allowsVersions(l.versions) && l.betterThan(texts[i]) {
 			l.rewardFailures = texts[i].rewardFailures
 			texts[i] = l
 		}
@@ -96,8 +96,8 @@
 	return texts
 }
 
-// read reads what is not known yet of a job; it reports whether all is known.
-func (w *Worker) read(j *workJob, results bool) bool {
+// load reads what is not known yet of a job; it reports whether all is known.
+func (w *Worker) load(j *workJob, results bool) bool {
 	w.mu.Lock()
 	known := j.items != nil
 	w.mu.Unlock()
@@ -129,27 +129,27 @@
 	return true
 }
 
-// take adds an item to those that wait here, or that are scored if its text is
+// enqueue adds an item to those that wait here, or that are scored if its text is
 // whole, unless it is held or done. It is called with w.mu held.
-func (w *Worker) take(j *workJob, t *task) bool {
+func (w *Worker) enqueue(j *workJob, t *task) bool {
 	if j.ended || j.done[t.index] || j.tasks[t.index] != nil {
 		return false
 	}
 	t.j, t.item = j, &j.items[t.index]
 	t.beginLineage()
 	j.tasks[t.index] = t
-	if t.whole && t.fits() {
-		w.textWhole(t)
+	if t.complete && t.textAllowed() {
+		w.scoreOrFinish(t)
 		return true
 	}
-	t.whole = false
+	t.complete = false
 	at, _ := slices.BinarySearchFunc(w.waiting, t, compareTasks)
 	w.waiting = slices.Insert(w.waiting, at, t)
 	return true
 }
 
-// drop ends a job here: what waits is dropped, what runs is stopped.
-func (w *Worker) drop(id string, removed bool) {
+// endJob ends a job here: what waits is dropped, what runs is stopped.
+func (w *Worker) endJob(id string, removed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	j, ok := w.jobs[id]
@@ -168,13 +168,13 @@
 	w.waiting = slices.DeleteFunc(w.waiting, func(t *task) bool { return t.j == j })
 	left := map[string]savedText{}
 	for _, t := range j.tasks {
-		if len(t.text) >= saveAfter || (t.whole && !t.finished) {
-			left[t.item.ID] = savedText{events: slices.Clone(t.text), versions: slices.Clone(t.versions), whole: t.whole}
+		if len(t.text) >= minSavedEvents || (t.complete && !t.finished) {
+			left[t.item.ID] = savedText{events: slices.Clone(t.text), versions: slices.Clone(t.versions), complete: t.complete}
 		}
 		t.stop(errJobEnded)
 	}
 	w.Log.WithFields(logrus.Fields{observe.FieldJob: id, "unfinished": len(j.tasks)}).
-		Log(levelOf(j.items != nil), "job ended")
+		Log(jobLogLevel(j.items != nil), "job ended")
 	if len(left) > 0 {
 		go w.saveLeftovers(j, left)
 	}
@@ -182,14 +182,14 @@
 }
 
 // forgetAfter bounds the memory of jobs beyond their items' time.
-const forgetJobAfter = 10 * time.Second
+const jobRetention = 10 * time.Second
 
-// forgetOld drops jobs whose time is up.
-func (w *Worker) forgetOld(now time.Duration) {
+// removeExpiredJobs drops jobs whose time is up.
+func (w *Worker) removeExpiredJobs(now time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, j := range w.jobs {
-		if now-j.job.Accepted <= j.job.ItemTTL+forgetJobAfter {
+		if now-j.job.Accepted <= j.job.ItemTTL+jobRetention {
 			continue
 		}
 		if len(j.tasks) == 0 {
--- a/batch/orphans.go
+++ b/batch/orphans.go
@@ -12,50 +12,50 @@
 )
 
 const (
-	// orphanCheck is the least time between two reads of a job's results in
+	// orphanScanInterval is the least time between two reads of a job's results in
 	// search of items that nobody holds. It is longer than a handover takes.
-	orphanCheck = 600 * time.Millisecond
-	// neighbourCheck is how often an agent looks whether the next one lives.
-	neighbourCheck = 500 * time.Millisecond
+	orphanScanInterval = 600 * time.Millisecond
+	// neighbourInterval is how often an agent looks whether the next one lives.
+	neighbourInterval = 500 * time.Millisecond
 )
 
-// lostRounds says when an agent asks all others of its jobs, to find items that
+// orphanScans says when an agent asks all others of its jobs, to find items that
 // nobody holds. Two causes are told apart. An agent that dies is noticed by the
 // one before it in the ring of their addresses, which asks it twice a second. A
 // hand-over that was lost leaves all agents alive, so all of them together make a
 // round each orphanCheck, in turns drawn at random. So the calls of an agent do not
 // grow with the agents: four a second for its neighbour and its part of the rounds.
-type lostRounds struct {
+type orphanScans struct {
 	draw      func() float64 // uniform in [0, 1)
 	next      time.Time      // of the next round
 	neighbour time.Time      // when it was last asked
 }
 
-func newLostRounds(draw func() float64) *lostRounds { return &lostRounds{draw: draw} }
+func newOrphanScans(draw func() float64) *orphanScans { return &orphanScans{draw: draw} }
 
 // due reports whether a round of n agents is due, and draws the time of the next.
-func (l *lostRounds) due(now time.Time, n int) bool {
+func (l *orphanScans) due(now time.Time, n int) bool {
 	first := l.next.IsZero()
 	if !first && now.Before(l.next) {
 		return false
 	}
-	mean := float64(n) * float64(orphanCheck)
+	mean := float64(n) * float64(orphanScanInterval)
 	l.next = now.Add(time.Duration(2 * l.draw() * mean))
 	return !first
 }
 
 // neighbourDue reports whether the neighbour is to be asked now.
-func (l *lostRounds) neighbourDue(now time.Time) bool {
-	if now.Sub(l.neighbour) < neighbourCheck {
+func (l *orphanScans) neighbourDue(now time.Time) bool {
+	if now.Sub(l.neighbour) < neighbourInterval {
 		return false
 	}
 	l.neighbour = now
 	return true
 }
 
-// findLost finds items that no agent holds and that are not done, and deals
+// findOrphans finds items that no agent holds and that are not done, and deals
 // them out.
-func (h *helper) findLost(ctx context.Context, jobs []*workJob) {
+func (h *helper) findOrphans(ctx context.Context, jobs []*workJob) {
 	jobs = slices.DeleteFunc(slices.Clone(jobs), func(j *workJob) bool { return !h.takesPart(j) })
 	if len(jobs) == 0 {
 		return
@@ -68,7 +68,7 @@
 		round = !lives
 	}
 	if round {
-		h.adoptOrphans(ctx, jobs, h.ask(ctx, jobs, others))
+		h.reassignOrphans(ctx, jobs, h.ask(ctx, jobs, others))
 	}
 }
 
@@ -78,11 +78,11 @@
 	return others[at%len(others)]
 }
 
-// adoptOrphans deals out the items that no agent holds and that are not done, as
+// reassignOrphans deals out the items that no agent holds and that are not done, as
 // happens when an agent died or a handover was lost.
-func (w *Worker) adoptOrphans(ctx context.Context, jobs []*workJob, statuses map[string]*Status) {
+func (w *Worker) reassignOrphans(ctx context.Context, jobs []*workJob, statuses map[string]*Status) {
 	for _, j := range jobs {
-		missing, finished := w.missing(j, statuses)
+		missing, finished := w.orphansOf(j, statuses)
 		if finished {
 			w.mu.Lock()
 			j.finished = true
@@ -93,20 +93,20 @@
 			continue
 		}
 		w.mu.Lock()
-		due := time.Since(j.checked) > orphanCheck
+		due := time.Since(j.orphansChecked) > orphanScanInterval
 		if due {
-			j.checked = time.Now()
+			j.orphansChecked = time.Now()
 		}
 		w.mu.Unlock()
-		if due && w.read(j, true) {
-			w.adopt(ctx, j, missing, statuses)
+		if due && w.load(j, true) {
+			w.reassign(ctx, j, missing, statuses)
 		}
 	}
 }
 
-// missing are the items that nobody who answered holds or has done; finished
+// orphansOf are the items that nobody who answered holds or has done; finished
 // says that all are done.
-func (w *Worker) missing(j *workJob, statuses map[string]*Status) (missing []int, finished bool) {
+func (w *Worker) orphansOf(j *workJob, statuses map[string]*Status) (missing []int, finished bool) {
 	held, done := map[int]bool{}, map[int]bool{}
 	w.mu.Lock()
 	own := j.status()
@@ -130,10 +130,10 @@
 	return missing, len(done) == j.job.Items
 }
 
-// adopt deals out the items without a holder: to all agents that answered and
+// reassign deals out the items without a holder: to all agents that answered and
 // are up, by rendezvous hashing, so that two that find the same items name the
 // same agents.
-func (w *Worker) adopt(ctx context.Context, j *workJob, missing []int, statuses map[string]*Status) {
+func (w *Worker) reassign(ctx context.Context, j *workJob, missing []int, statuses map[string]*Status) {
 	w.mu.Lock()
 	lost := slices.DeleteFunc(missing, func(i int) bool { return j.done[i] })
 	w.mu.Unlock()
@@ -147,14 +147,14 @@
 		}
 	}
 	slices.Sort(engines)
-	saved := w.savedTexts(j, true)
+	saved := w.resumableTexts(j, true)
 	shares := map[string]*Handover{}
 	for _, i := range lost {
 		e := engines[best(j.items[i].ID, engines)]
 		if shares[e] == nil {
 			shares[e] = &Handover{Job: j.job.ID}
 		}
-		shares[e].Items = append(shares[e].Items, saved[i].handed(i))
+		shares[e].Items = append(shares[e].Items, saved[i].handoverItem(i))
 		w.Log.WithFields(logrus.Fields{
 			observe.FieldItem: j.items[i].ID, observe.FieldJob: j.job.ID, "owner": j.owners[i],
 			"answered": len(statuses), "to": e,
--- a/batch/outbox.go
+++ b/batch/outbox.go
@@ -18,12 +18,12 @@
 type outbox struct {
 	w       *Worker
 	j       *workJob
-	pending []finished
+	pending []pendingResult
 	sending bool
 	batches int
 }
 
-type finished struct {
+type pendingResult struct {
 	index  int
 	result Result
 }
@@ -32,7 +32,7 @@
 
 // put queues a result. It is called with w.mu held.
 func (o *outbox) put(index int, r Result) {
-	o.pending = append(o.pending, finished{index, r})
+	o.pending = append(o.pending, pendingResult{index, r})
 	if o.sending {
 		return
 	}
@@ -66,7 +66,7 @@
 }
 
 // next cuts off a batch that fits into one transaction. It is called with w.mu held.
-func (o *outbox) next() ([]finished, string) {
+func (o *outbox) next() ([]pendingResult, string) {
 	n, bytes := 0, 0
 	for n < len(o.pending) {
 		bytes += len(o.pending[n].result.Output)
@@ -81,7 +81,7 @@
 	return batch, fmt.Sprintf("%s-%s-%06d", o.w.Node, o.w.Incarnation, o.batches)
 }
 
-func (o *outbox) appended(batch []finished, err error, took time.Duration) {
+func (o *outbox) appended(batch []pendingResult, err error, took time.Duration) {
 	log := o.w.Log.WithField(observe.FieldJob, o.j.job.ID).WithField("results", len(batch)).
 		WithField("took_ms", took.Milliseconds())
 	o.w.mu.Lock()
--- a/batch/peer.go
+++ b/batch/peer.go
@@ -41,7 +41,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := &Status{
-		Up: registered && w.engine.up && !w.stopping, Free: w.free(), EventInterval: w.engine.pace,
+		Up: registered && w.engine.up && !w.stopping, Free: w.freeSlots(), EventInterval: w.engine.pace,
 		Jobs: make(map[string]JobStatus, len(jobs)),
 	}
 	for _, id := range jobs {
@@ -52,8 +52,8 @@
 	return s
 }
 
-// free is how many more items could run at once. It is called with w.mu held.
-func (w *Worker) free() int {
+// freeSlots is how many more items could run at once. It is called with w.mu held.
+func (w *Worker) freeSlots() int {
 	instance, ok := w.View.Snapshot().AtAddr(w.Engine)
 	if !ok || instance.Draining || !w.engine.up || w.stopping {
 		return 0
@@ -65,7 +65,7 @@
 	var s JobStatus
 	for i, t := range j.tasks {
 		switch {
-		case t.whole:
+		case t.complete:
 			s.AwaitingScore = append(s.AwaitingScore, i)
 		case t.cancel != nil:
 			s.Running = append(s.Running, i)
@@ -87,11 +87,11 @@
 
 // call calls the agent beside an engine.
 func (w *Worker) call(ctx context.Context, engine string, req *PeerRequest) (*PeerReply, error) {
-	return w.callFor(ctx, engine, req, peerTimeout)
+	return w.callWithTimeout(ctx, engine, req, peerTimeout)
 }
 
-// callFor is call with another bound than the usual.
-func (w *Worker) callFor(ctx context.Context, engine string, req *PeerRequest, limit time.Duration) (*PeerReply, error) {
+// callWithTimeout is call with another bound than the usual.
+func (w *Worker) callWithTimeout(ctx context.Context, engine string, req *PeerRequest, limit time.Duration) (*PeerReply, error) {
 	addr, err := w.peerAddr(engine)
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 	req.From = w.Engine
 	reply, err := w.Peers.Call(ctx, addr, req)
 	if err != nil {
-		w.Counters.Retry(observe.RowNone, reasonPeer)
+		w.Counters.Retry(observe.RowNone, reasonPeerSilent)
 	}
 	return reply, err
 }
@@ -110,6 +110,6 @@
 	// peerTimeout bounds a call between agents: a hundred times a round trip
 	// within a region, and short against the second after which an agent that
 	// does not answer loses its items.
-	peerTimeout = 400 * time.Millisecond
-	reasonPeer  = "peer_silent"
+	peerTimeout      = 400 * time.Millisecond
+	reasonPeerSilent = "peer_silent"
 )
--- a/batch/progress.go
+++ b/batch/progress.go
@@ -32,14 +32,14 @@
 	// saveInterval is the least time between two saves of one agent. A crash
 	// costs that much of each running item.
 	saveInterval = 700 * time.Millisecond
-	// saveShare is the share of the store's writes that all agents together
+	// saveWriteShare is the share of the store's writes that all agents together
 	// may use to save text; with many agents each saves less often.
-	saveShare = 0.25
-	// saveAfter is the number of events below which an item is not worth saving.
-	saveAfter = 12
-	// leftoverTime is how long the text of an unfinished item is kept: a later
+	saveWriteShare = 0.25
+	// minSavedEvents is the number of events below which an item is not worth saving.
+	minSavedEvents = 12
+	// leftoverRetention is how long the text of an unfinished item is kept: a later
 	// step asks for it within two or three steps, if at all.
-	leftoverTime = 40 * time.Second
+	leftoverRetention = 40 * time.Second
 )
 
 // segment is a part of an item's text: the events after From.
@@ -51,8 +51,8 @@
 	From     int      `cbor:"3,keyasint"`
 	Events   []string `cbor:"4,keyasint"`
 	Versions []uint64 `cbor:"5,keyasint"`
-	// Whole says that the text ends with Events.
-	Whole bool `cbor:"6,keyasint,omitempty"`
+	// Complete says that the text ends with Events.
+	Complete bool `cbor:"6,keyasint,omitempty"`
 	// RewardFailures is how many failures the item's reward call had been
 	// answered with when the segment was written.
 	RewardFailures int `cbor:"7,keyasint,omitempty"`
@@ -63,26 +63,26 @@
 	Events   []string      `cbor:"1,keyasint"`
 	Versions []uint64      `cbor:"2,keyasint"`
 	Saved    time.Duration `cbor:"3,keyasint"` // the store's clock
-	Whole    bool          `cbor:"4,keyasint,omitempty"`
+	Complete bool          `cbor:"4,keyasint,omitempty"`
 }
 
 // savedText is text that an item can go on from.
 type savedText struct {
 	events   []string
 	versions []uint64
-	whole    bool
+	complete bool
 	// rewardFailures are those of the reward call in the same job.
 	rewardFailures int
 }
 
-// task is a task that goes on from the text.
-func (s savedText) task(index int) *task {
-	return &task{index: index, text: s.events, versions: s.versions, whole: s.whole, rewardFailures: s.rewardFailures}
+// newTask is a newTask that goes on from the text.
+func (s savedText) newTask(index int) *task {
+	return &task{index: index, text: s.events, versions: s.versions, complete: s.complete, rewardFailures: s.rewardFailures}
 }
 
-// handed is an item with the text, as one agent gives it to another.
-func (s savedText) handed(index int) HandoverItem {
-	return HandoverItem{Index: index, Text: s.events, Versions: s.versions, Complete: s.whole, RewardFailures: s.rewardFailures}
+// handoverItem is an item with the text, as one agent gives it to another.
+func (s savedText) handoverItem(index int) HandoverItem {
+	return HandoverItem{Index: index, Text: s.events, Versions: s.versions, Complete: s.complete, RewardFailures: s.rewardFailures}
 }
 
 // saveProgress appends segments. It is tried once: the next save repeats what
@@ -93,7 +93,7 @@
 		return fmt.Errorf("%w: encode progress: %v", store.ErrInvalid, err)
 	}
 	tx := store.Tx{}
-	for i, piece := range cut(data, l.rowLimit()) {
+	for i, piece := range splitBytes(data, l.rowLimit()) {
 		key := store.Key{Table: tableProgress, Part: jobID, Name: fmt.Sprintf("%s/%03d", name, i)}
 		tx.Put = append(tx.Put, store.Row{Key: key, Value: piece})
 	}
@@ -150,7 +150,7 @@
 			continue
 		}
 		byLineage[key] = text
-		if text.better(best[s.Index]) {
+		if text.betterThan(best[s.Index]) {
 			best[s.Index] = text
 		}
 	}
@@ -167,31 +167,31 @@
 func (s savedText) extend(next segment) (savedText, bool) {
 	end := next.From + len(next.Events)
 	longer := end > len(s.events)
-	ends := next.Whole && !s.whole && end == len(s.events)
+	ends := next.Complete && !s.complete && end == len(s.events)
 	if next.From > len(s.events) || (!longer && !ends) {
 		return s, false
 	}
 	s.events = append(slices.Clip(s.events[:next.From]), next.Events...)
-	s.versions, s.whole = next.Versions, next.Whole
+	s.versions, s.complete = next.Versions, next.Complete
 	return s, true
 }
 
-// better reports whether an item should go on from the text instead of another.
-func (s savedText) better(than savedText) bool {
-	if s.whole != than.whole {
-		return s.whole
+// betterThan reports whether an item should go on from the text instead of another.
+func (s savedText) betterThan(than savedText) bool {
+	if s.complete != than.complete {
+		return s.complete
 	}
 	return len(s.events) > len(than.events)
 }
 
-// save keeps the text of running items in the store until ctx ends.
-func (w *Worker) save(ctx context.Context) {
+// saveTexts keeps the text of running items in the store until ctx ends.
+func (w *Worker) saveTexts(ctx context.Context) {
 	for n := 1; pause.For(ctx, w.saveInterval()) == nil; n++ {
 		w.mu.Lock()
-		due := w.unsaved()
+		due := w.unsavedSegments()
 		w.mu.Unlock()
 		for j, segments := range due {
-			w.saveJob(ctx, j, segments, fmt.Sprintf("%s-%s-%06d", w.Node, w.Incarnation, n))
+			w.saveSegments(ctx, j, segments, fmt.Sprintf("%s-%s-%06d", w.Node, w.Incarnation, n))
 		}
 	}
 }
@@ -203,21 +203,21 @@
 	if w.StoreWriteRate == 0 {
 		return saveInterval
 	}
-	fair := time.Duration(float64(agents) / (saveShare * float64(w.StoreWriteRate)) * float64(time.Second))
+	fair := time.Duration(float64(agents) / (saveWriteShare * float64(w.StoreWriteRate)) * float64(time.Second))
 	return max(saveInterval, fair)
 }
 
-// unsaved cuts the new text of running items, and of whole ones that wait for
+// unsavedSegments cuts the new text of running items, and of whole ones that wait for
 // their score, into segments. It is called with w.mu held.
-func (w *Worker) unsaved() map[*workJob][]segment {
+func (w *Worker) unsavedSegments() map[*workJob][]segment {
 	due := map[*workJob][]segment{}
 	for t := range w.running {
-		if len(t.text) >= saveAfter && len(t.text) > t.saved && !t.j.ended {
+		if len(t.text) >= minSavedEvents && len(t.text) > t.saved && !t.j.ended {
 			due[t.j] = append(due[t.j], t.segment())
 		}
 	}
 	for t := range w.scoring {
-		if (!t.savedWhole || t.rewardFailures > t.savedFailures) && !t.j.ended {
+		if (!t.savedComplete || t.rewardFailures > t.savedFailures) && !t.j.ended {
 			due[t.j] = append(due[t.j], t.segment())
 		}
 	}
@@ -228,11 +228,11 @@
 func (t *task) segment() segment {
 	return segment{
 		Index: t.index, Lineage: t.lineage, From: t.saved, Events: slices.Clone(t.text[t.saved:]),
-		Versions: slices.Clone(t.versions), Whole: t.whole, RewardFailures: t.rewardFailures,
+		Versions: slices.Clone(t.versions), Complete: t.complete, RewardFailures: t.rewardFailures,
 	}
 }
 
-func (w *Worker) saveJob(ctx context.Context, j *workJob, segments []segment, name string) {
+func (w *Worker) saveSegments(ctx context.Context, j *workJob, segments []segment, name string) {
 	if err := w.Ledger.saveProgress(ctx, j.job.ID, name, segments); err != nil {
 		w.Log.WithError(err).WithField(observe.FieldJob, j.job.ID).Warn("text not saved")
 		return
@@ -242,7 +242,7 @@
 	for _, s := range segments {
 		if t := j.tasks[s.Index]; t != nil && t.lineage == s.Lineage {
 			t.saved = max(t.saved, s.From+len(s.Events))
-			t.savedWhole = t.savedWhole || s.Whole
+			t.savedComplete = t.savedComplete || s.Complete
 			t.savedFailures = max(t.savedFailures, s.RewardFailures)
 		}
 	}
@@ -256,7 +256,7 @@
 	}
 	tx := store.Tx{}
 	for id, text := range texts {
-		data, err := codec.Marshal(leftover{Events: text.events, Versions: text.versions, Saved: now, Whole: text.whole})
+		data, err := codec.Marshal(leftover{Events: text.events, Versions: text.versions, Saved: now, Complete: text.complete})
 		if err != nil || len(data) > w.Ledger.rowLimit() {
 			continue // begins anew if it is asked for again
 		}
@@ -289,11 +289,11 @@
 			w.Log.WithError(err).WithField(observe.FieldItem, row.Name).Error("unfinished text not readable")
 			continue
 		}
-		if s.Now-l.Saved > leftoverTime && len(expired.Delete) < maxDeletes {
+		if s.Now-l.Saved > leftoverRetention && len(expired.Delete) < maxDeletes {
 			expired.Delete = append(expired.Delete, row.Key)
 			continue
 		}
-		found[row.Name] = savedText{events: l.Events, versions: l.Versions, whole: l.Whole}
+		found[row.Name] = savedText{events: l.Events, versions: l.Versions, complete: l.Complete}
 	}
 	if len(expired.Delete) > 0 {
 		if _, err := w.Ledger.Store.Commit(w.ctx, expired); err != nil {
--- a/batch/push.go
+++ b/batch/push.go
@@ -22,7 +22,7 @@
 	byJob := map[*workJob][]*task{}
 	for _, j := range w.jobs {
 		for _, t := range j.tasks {
-			goes := running && t.cancel != nil && (w.stopping || !t.whole)
+			goes := running && t.cancel != nil && (w.stopping || !t.complete)
 			if goes || slices.Contains(w.waiting, t) {
 				byJob[j] = append(byJob[j], t)
 			}
--- a/batch/quarantine.go
+++ b/batch/quarantine.go
@@ -66,7 +66,7 @@
 	switch {
 	case err == nil, errors.Is(err, ErrFailed), errors.Is(err, ErrImpossible):
 		w.Quarantine.Served(run.Subject)
-	case errors.Is(context.Cause(ctx), errReborn):
+	case errors.Is(context.Cause(ctx), errEngineRestarted):
 		w.Quarantine.Ended(run)
 	case errors.Is(err, ErrBroken) && ctx.Err() == nil && !w.View.Snapshot().Leaves(engine):
 		w.Quarantine.Broken(ctx, run)
--- a/batch/rebalance.go
+++ b/batch/rebalance.go
@@ -34,7 +34,7 @@
 // help looks after the items of other agents, and gives away its own when its
 // engine cannot run them, until ctx ends.
 func (w *Worker) help(ctx context.Context) {
-	h := &helper{Worker: w, lost: newLostRounds(rand.Float64)}
+	h := &helper{Worker: w, lost: newOrphanScans(rand.Float64)}
 	for pause.For(ctx, helpInterval) == nil {
 		jobs := w.openJobs()
 		if len(jobs) == 0 {
@@ -42,14 +42,14 @@
 		}
 		h.giveAway(ctx, jobs)
 		h.takeWork(ctx, jobs)
-		h.findLost(ctx, jobs)
+		h.findOrphans(ctx, jobs)
 	}
 }
 
 // helper is what an agent remembers between its looks at the others.
 type helper struct {
 	*Worker
-	lost *lostRounds
+	lost *orphanScans
 	// pause is the present pause between rounds that ask for work, asked when the
 	// last one was; newest is the newest job at that time.
 	pause  time.Duration
@@ -82,7 +82,7 @@
 func (h *helper) takeWork(ctx context.Context, jobs []*workJob) {
 	jobs = slices.DeleteFunc(slices.Clone(jobs), func(j *workJob) bool { return !h.fresh(j) || !h.partakes(j) })
 	h.mu.Lock()
-	free := h.free()
+	free := h.freeSlots()
 	h.mu.Unlock()
 	if free == 0 || len(jobs) == 0 || h.unable() {
 		return
@@ -114,7 +114,7 @@
 func (w *Worker) broken() map[*workJob][]*task {
 	byJob := map[*workJob][]*task{}
 	for _, t := range w.waiting {
-		if t.breaks >= maxBreaks && !w.isHeld(t) {
+		if t.brokenAnswers >= maxBrokenAnswers && !w.isHeld(t) {
 			byJob[t.j] = append(byJob[t.j], t)
 		}
 	}
@@ -237,7 +237,7 @@
 			continue
 		}
 		ask := &TakeRequest{Job: j.job.ID, Max: min(free-taken, (n+1)/2), Running: running}
-		if !w.read(j, false) {
+		if !w.load(j, false) {
 			continue
 		}
 		reply, err := w.call(ctx, engine, &PeerRequest{Take: ask})
--- a/batch/rebalance_test.go
+++ b/batch/rebalance_test.go
@@ -191,9 +191,9 @@
 		host, _, _ := net.SplitHostPort(before)
 		rig.kill(holder)
 		never := func() float64 { return 0.99 }
-		h := &helper{Worker: rig.peers.workers[host], lost: newLostRounds(never)}
+		h := &helper{Worker: rig.peers.workers[host], lost: newOrphanScans(never)}
 		h.lost.due(time.Now(), agents)
-		h.findLost(t.Context(), h.openJobs())
+		h.findOrphans(t.Context(), h.openJobs())
 		time.Sleep(50 * time.Millisecond)
 		if runs := rig.runsOf("item-000"); len(runs) != 2 {
 			t.Errorf("sent %d times, want again right after the neighbour looked", len(runs))
--- a/batch/results.go
+++ b/batch/results.go
@@ -42,12 +42,12 @@
 		return fmt.Errorf("%w: encode ids: %v", store.ErrInvalid, err)
 	}
 	tx := store.Tx{}
-	for i, piece := range cut(data, l.rowLimit()) {
+	for i, piece := range splitBytes(data, l.rowLimit()) {
 		key := store.Key{Table: resultsTable(jobID), Part: jobID, Name: fmt.Sprintf("%s/%03d", name, i)}
 		tx.If = append(tx.If, store.Condition{Key: key})
 		tx.Put = append(tx.Put, store.Row{Key: key, Value: piece})
 	}
-	for i, piece := range cut(done, l.rowLimit()) {
+	for i, piece := range splitBytes(done, l.rowLimit()) {
 		key := store.Key{Table: tableDone, Part: jobID, Name: fmt.Sprintf("%s/%03d", name, i)}
 		tx.Put = append(tx.Put, store.Row{Key: key, Value: piece})
 	}
--- a/batch/reward.go
+++ b/batch/reward.go
@@ -41,24 +41,24 @@
 }
 
 const (
-	// rewardPause is the pause before a reward call that got no score is sent
+	// rewardRetryPause is the pause before a reward call that got no score is sent
 	// again, a fifth of the 200 ms that one takes. It doubles with each send in
 	// a row that no endpoint answered.
-	rewardPause = 40 * time.Millisecond
+	rewardRetryPause = 40 * time.Millisecond
 	// maxRewardDoublings bounds that pause at 640 ms.
 	maxRewardDoublings = 4
 )
 
-// textWhole lets a task whose text has its last event be scored, or finishes it
+// scoreOrFinish lets a task whose text has its last event be scored, or finishes it
 // if it needs no score. It is called with w.mu held.
-func (w *Worker) textWhole(t *task) {
-	t.whole = true
+func (w *Worker) scoreOrFinish(t *task) {
+	t.complete = true
 	if t.item.Reward == nil {
 		w.finish(t, StateDone, "")
 		return
 	}
 	if t.j.ended {
-		w.forget(t)
+		w.removeTask(t)
 		return
 	}
 	ctx, cancel := context.WithCancelCause(w.ctx)
@@ -66,7 +66,7 @@
 	w.scoring[t] = struct{}{}
 	go func() {
 		score, err := w.score(ctx, t)
-		w.scored(ctx, t, score, err)
+		w.handleScore(ctx, t, score, err)
 	}()
 }
 
@@ -75,7 +75,7 @@
 func (w *Worker) score(ctx context.Context, t *task) (string, error) {
 	for silent := 0; ; {
 		began := time.Now()
-		answer, err := w.Rewards.Score(ctx, RewardRequest{Call: t.item.Reward, QueueTime: t.j.job.turn(), TimeLeft: w.timeLeft(t.j.job)})
+		answer, err := w.Rewards.Score(ctx, RewardRequest{Call: t.item.Reward, QueueTime: t.j.job.queueTime(), TimeLeft: w.timeLeft(t.j.job)})
 		if err == nil {
 			return answer.Score, nil
 		}
@@ -85,28 +85,28 @@
 		silent++
 		if errors.Is(err, ErrFailed) {
 			silent = 0
-			if w.rewardFailed(t, answer.Failures) >= answer.MaxAttempts {
+			if w.addRewardFailures(t, answer.Failures) >= answer.MaxAttempts {
 				return "", err
 			}
 		}
 		w.Counters.Retry(t.j.job.Route, rewardReason(err))
-		w.rewardLog(t).WithError(err).WithField("took_ms", time.Since(began).Milliseconds()).Info("item not scored yet")
-		if err := pause.For(ctx, rewardPause<<min(silent, maxRewardDoublings)); err != nil {
+		w.rewardLogger(t).WithError(err).WithField("took_ms", time.Since(began).Milliseconds()).Info("item not scored yet")
+		if err := pause.For(ctx, rewardRetryPause<<min(silent, maxRewardDoublings)); err != nil {
 			return "", err
 		}
 	}
 }
 
-// rewardFailed counts failures of a reward call and returns how many there were.
-func (w *Worker) rewardFailed(t *task, failures int) int {
+// addRewardFailures counts failures of a reward call and returns how many there were.
+func (w *Worker) addRewardFailures(t *task, failures int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	t.rewardFailures += failures
 	return t.rewardFailures
 }
 
-// scored decides what follows from the end of a task's scoring.
-func (w *Worker) scored(ctx context.Context, t *task, score string, err error) {
+// handleScore decides what follows from the end of a task's scoring.
+func (w *Worker) handleScore(ctx context.Context, t *task, score string, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	defer close(t.stopped)
@@ -114,7 +114,7 @@
 	stopped := context.Cause(ctx)
 	t.cancel(nil)
 	t.cancel = nil
-	log := w.rewardLog(t)
+	log := w.rewardLogger(t)
 	switch {
 	case err == nil:
 		log.Info("item scored")
@@ -126,12 +126,12 @@
 		log.Warn("item given up: its time is up before it has a score")
 		w.finish(t, StateFailed, "")
 	default: // its job ended, another agent has it, or this process ends
-		w.forget(t)
+		w.removeTask(t)
 	}
 }
 
-// rewardLog is the logger of what happens to a task's reward call.
-func (w *Worker) rewardLog(t *task) logrus.FieldLogger {
+// rewardLogger is the logger of what happens to a task's reward call.
+func (w *Worker) rewardLogger(t *task) logrus.FieldLogger {
 	return w.Log.WithFields(logrus.Fields{
 		observe.FieldItem: t.item.ID, observe.FieldJob: t.j.job.ID, observe.FieldReward: t.item.Reward.ID,
 		"reward_failures": t.rewardFailures,
--- a/batch/reward_test.go
+++ b/batch/reward_test.go
@@ -266,16 +266,16 @@
 		whole    bool
 		failures int
 	}{
-		"whole at once":           {[]segment{{Lineage: "a", Events: e(5), Whole: true}}, 5, true, 0},
-		"whole told later":        {[]segment{{Lineage: "a", Events: e(5)}, {Lineage: "a", From: 5, Whole: true}}, 5, true, 0},
-		"end of an unknown part":  {[]segment{{Lineage: "a", Events: e(5)}, {Lineage: "a", From: 9, Whole: true}}, 5, false, 0},
-		"whole beats longer":      {[]segment{{Lineage: "a", Events: e(9)}, {Lineage: "b", Events: e(5), Whole: true}}, 5, true, 0},
-		"failures of all holders": {[]segment{{Lineage: "a", Events: e(5), Whole: true, RewardFailures: 2}, {Lineage: "b", Events: e(4), RewardFailures: 1}}, 5, true, 2},
+		"whole at once":           {[]segment{{Lineage: "a", Events: e(5), Complete: true}}, 5, true, 0},
+		"whole told later":        {[]segment{{Lineage: "a", Events: e(5)}, {Lineage: "a", From: 5, Complete: true}}, 5, true, 0},
+		"end of an unknown part":  {[]segment{{Lineage: "a", Events: e(5)}, {Lineage: "a", From: 9, Complete: true}}, 5, false, 0},
+		"whole beats longer":      {[]segment{{Lineage: "a", Events: e(9)}, {Lineage: "b", Events: e(5), Complete: true}}, 5, true, 0},
+		"failures of all holders": {[]segment{{Lineage: "a", Events: e(5), Complete: true, RewardFailures: 2}, {Lineage: "b", Events: e(4), RewardFailures: 1}}, 5, true, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := joinSegments(c.segments)[0]
-			if len(got.events) != c.events || got.whole != c.whole || got.rewardFailures != c.failures {
-				t.Fatalf("got %d events, whole %v, %d failures", len(got.events), got.whole, got.rewardFailures)
+			if len(got.events) != c.events || got.complete != c.whole || got.rewardFailures != c.failures {
+				t.Fatalf("got %d events, whole %v, %d failures", len(got.events), got.complete, got.rewardFailures)
 			}
 		})
 	}
--- a/batch/run.go
+++ b/batch/run.go
@@ -13,11 +13,11 @@
 
 // Causes for which a run is stopped.
 var (
-	errJobEnded = errors.New("batch: the job has ended")
-	errGiven    = errors.New("batch: given to another agent")
-	errStalled  = errors.New("batch: no event for too long")
-	errReborn   = errors.New("batch: the engine started again")
-	errExpired  = errors.New("batch: the item's time is up")
+	errJobEnded        = errors.New("batch: the job has ended")
+	errHandedOver      = errors.New("batch: given to another agent")
+	errStalled         = errors.New("batch: no event for too long")
+	errEngineRestarted = errors.New("batch: the engine started again")
+	errExpired         = errors.New("batch: the item's time is up")
 )
 
 const (
@@ -25,11 +25,11 @@
 	// 40 ms, on an engine that is slowed down tenfold every 400 ms; the first
 	// one also waits for the prompt to be read.
 	stallTimeout = 1500 * time.Millisecond
-	// busyPause is the pause before an engine that did not take a run is asked again.
-	busyPause = 40 * time.Millisecond
-	// maxBreaks is how many broken answers without any event in between an item
+	// runRetryPause is the pause before an engine that did not take a run is asked again.
+	runRetryPause = 40 * time.Millisecond
+	// maxBrokenAnswers is how many broken answers without any event in between an item
 	// may meet here before another agent is asked to take it. It does not come back.
-	maxBreaks = 2
+	maxBrokenAnswers = 2
 )
 
 // stream reads a run's answer to its end; nil says that the answer is whole.
@@ -57,7 +57,7 @@
 		w.mu.Lock()
 		t.add(event)
 		w.engine.observe(t.j.job.Model, event.Version, now.Sub(last), event.ID > run.LastEventID+1)
-		fits := t.fits()
+		fits := t.textAllowed()
 		w.mu.Unlock()
 		last = now
 		if !fits {
@@ -76,8 +76,8 @@
 	return err
 }
 
-// settle decides what follows from the end of a run.
-func (w *Worker) settle(ctx context.Context, t *task, err error, took time.Duration) {
+// handleRunEnd decides what follows from the end of a run.
+func (w *Worker) handleRunEnd(ctx context.Context, t *task, err error, took time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	defer close(t.stopped)
@@ -91,10 +91,10 @@
 	case err == nil:
 		w.engine.up = true
 		log.Info("item done")
-		w.textWhole(t)
+		w.scoreOrFinish(t)
 		return
-	case errors.Is(stopped, errJobEnded), errors.Is(stopped, errGiven), w.ctx.Err() != nil:
-		w.forget(t)
+	case errors.Is(stopped, errJobEnded), errors.Is(stopped, errHandedOver), w.ctx.Err() != nil:
+		w.removeTask(t)
 		return
 	case errors.Is(stopped, errExpired):
 		log.Warn("item given up: its time is up")
@@ -103,12 +103,12 @@
 	}
 	w.Counters.Retry(t.j.job.Route, retryReason(err))
 	log.WithError(err).Info("item not done")
-	w.again(t, err)
+	w.retryOrFail(t, err)
 }
 
-// again lets a task wait for another run, or fails it for good. It is called
+// retryOrFail lets a task wait for another run, or fails it for good. It is called
 // with w.mu held.
-func (w *Worker) again(t *task, err error) {
+func (w *Worker) retryOrFail(t *task, err error) {
 	t.notBefore = time.Now()
 	switch {
 	case errors.Is(err, ErrImpossible):
@@ -121,20 +121,20 @@
 			return
 		}
 	case errors.Is(err, ErrNotRun):
-		t.notBefore = t.notBefore.Add(busyPause)
+		t.notBefore = t.notBefore.Add(runRetryPause)
 	case errors.Is(err, errVersion):
-		t.restart()
-		t.notBefore = t.notBefore.Add(busyPause)
-	case errors.Is(err, errReborn):
+		t.discardText()
+		t.notBefore = t.notBefore.Add(runRetryPause)
+	case errors.Is(err, errEngineRestarted):
 	default: // broken or stalled
-		t.breaks++
+		t.brokenAnswers++
 		if errors.Is(err, errStalled) {
 			w.engine.stalled()
 		}
-		t.notBefore = t.notBefore.Add(busyPause << min(t.breaks, 4))
+		t.notBefore = t.notBefore.Add(runRetryPause << min(t.brokenAnswers, 4))
 	}
 	if t.j.ended {
-		w.forget(t)
+		w.removeTask(t)
 		return
 	}
 	at, _ := slices.BinarySearchFunc(w.waiting, t, compareTasks)
@@ -155,8 +155,8 @@
 	t.j.outbox.put(t.index, r)
 }
 
-// forget lets go of a task. It is called with w.mu held.
-func (w *Worker) forget(t *task) {
+// removeTask lets go of a task. It is called with w.mu held.
+func (w *Worker) removeTask(t *task) {
 	if t.j.tasks[t.index] == t {
 		delete(t.j.tasks, t.index)
 	}
@@ -165,12 +165,12 @@
 
 // Reasons for which an item is run again.
 const (
-	reasonNotRun  = "not_run"
-	reasonFailed  = "failed"
-	reasonVersion = "version"
-	reasonStalled = "stalled"
-	reasonReborn  = "engine_started_again"
-	reasonBroken  = "broken"
+	reasonNotRun          = "not_run"
+	reasonFailed          = "failed"
+	reasonVersion         = "version"
+	reasonStalled         = "stalled"
+	reasonEngineRestarted = "engine_started_again"
+	reasonBroken          = "broken"
 )
 
 func retryReason(err error) string {
@@ -183,8 +183,8 @@
 		return reasonVersion
 	case errors.Is(err, errStalled):
 		return reasonStalled
-	case errors.Is(err, errReborn):
-		return reasonReborn
+	case errors.Is(err, errEngineRestarted):
+		return reasonEngineRestarted
 	}
 	return reasonBroken
 }
--- a/batch/schedule.go
+++ b/batch/schedule.go
@@ -16,14 +16,14 @@
 		next := w.startWaiting(ctx)
 		select {
 		case <-ctx.Done():
-		case <-w.changed:
+		case <-w.wakeup:
 		case <-time.After(next):
 		}
 	}
 }
 
-// idleCheck is how often the scheduler looks by itself.
-const idleCheck = 200 * time.Millisecond
+// scheduleInterval is how often the scheduler looks by itself.
+const scheduleInterval = 200 * time.Millisecond
 
 // startWaiting starts what can start and says when to look again.
 func (w *Worker) startWaiting(ctx context.Context) time.Duration {
@@ -31,10 +31,10 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !ok || !w.engine.up || w.stopping {
-		return idleCheck
+		return scheduleInterval
 	}
 	now := time.Now()
-	next := idleCheck
+	next := scheduleInterval
 	for i := 0; i < len(w.waiting) && len(w.running) < instance.Slots; {
 		t := w.waiting[i]
 		if wait := t.notBefore.Sub(now); wait > 0 {
@@ -56,8 +56,8 @@
 func (w *Worker) start(ctx context.Context, t *task, instance fleet.Instance) {
 	ctx, t.cancel = context.WithCancelCause(ctx)
 	t.stopped = make(chan struct{})
-	if !t.fits() {
-		t.restart()
+	if !t.textAllowed() {
+		t.discardText()
 	}
 	w.running[t] = struct{}{}
 	t.sentTo = fleet.Incarnation{ID: instance.ID, Born: w.engine.born}
@@ -73,7 +73,7 @@
 		err := w.stream(ctx, t, run)
 		took := time.Since(began)
 		w.noteEnd(ctx, t, instance, err, took)
-		w.settle(ctx, t, err, took)
+		w.handleRunEnd(ctx, t, err, took)
 	}()
 }
 
--- a/batch/task.go
+++ b/batch/task.go
@@ -25,19 +25,19 @@
 	// lineage names the text; saved is how many of its events are in the store.
 	lineage string
 	saved   int
-	// whole says that the text has its last event; such a task waits for its
+	// complete says that the text has its last event; such a task waits for its
 	// score or for its result to be appended, and needs the engine no more.
-	whole bool
+	complete bool
 	// failures counts the engine's failures, breaks its broken answers since
 	// the last event.
-	failures int
-	breaks   int
+	failures      int
+	brokenAnswers int
 	// rewardFailures counts the failures that the reward call was answered
 	// with, by all holders of the item as far as is known.
 	rewardFailures int
-	// savedWhole says that the store knows the text as whole, savedFailures how
+	// savedComplete says that the store knows the text as whole, savedFailures how
 	// many failures of the reward call it knows of.
-	savedWhole    bool
+	savedComplete bool
 	savedFailures int
 	// avoid are engines where it broke off again and again.
 	avoid []string
@@ -52,8 +52,8 @@
 	sentTo fleet.Incarnation
 	// subject names its content, empty until it is asked for.
 	subject quarantine.Subject
-	// leaving says that it is being handed over to another agent.
-	leaving bool
+	// handingOver says that it is being handed over to another agent.
+	handingOver bool
 	// finished says that the outbox has the result.
 	finished bool
 }
@@ -63,7 +63,7 @@
 // before, then the longest, since the longest decides when a job is done.
 func compareTasks(a, b *task) int {
 	return cmp.Or(
-		cmp.Compare(a.j.job.turn(), b.j.job.turn()),
+		cmp.Compare(a.j.job.queueTime(), b.j.job.queueTime()),
 		cmp.Compare(len(b.text), len(a.text)),
 		cmp.Compare(b.item.expected(), a.item.expected()),
 		cmp.Compare(a.item.ID, b.item.ID),
@@ -77,11 +77,11 @@
 	}
 }
 
-// fits reports whether the text may be used under the job's bounds.
-func (t *task) fits() bool { return t.j.job.fits(t.versions) }
+// textAllowed reports whether the text may be used under the job's bounds.
+func (t *task) textAllowed() bool { return t.j.job.allowsVersions(t.versions) }
 
-// fits reports whether text of some versions may be used in the job.
-func (j *Job) fits(versions []uint64) bool {
+// allowsVersions reports whether text of some versions may be used in the job.
+func (j *Job) allowsVersions(versions []uint64) bool {
 	if len(versions) == 0 {
 		return true
 	}
@@ -91,15 +91,15 @@
 	return !j.SingleVersion || len(versions) == 1
 }
 
-// restart drops the text.
-func (t *task) restart() {
-	t.text, t.versions, t.whole = nil, nil, false
+// discardText drops the text.
+func (t *task) discardText() {
+	t.text, t.versions, t.complete = nil, nil, false
 	t.beginLineage()
 }
 
 // beginLineage names the text anew, so that the store knows nothing of it yet.
 func (t *task) beginLineage() {
-	t.lineage, t.saved, t.savedWhole, t.savedFailures = newLineage(), 0, false, 0
+	t.lineage, t.saved, t.savedComplete, t.savedFailures = newLineage(), 0, false, 0
 }
 
 // newLineage names a new text.
@@ -108,7 +108,7 @@
 // add takes an event.
 func (t *task) add(e Event) {
 	t.text = append(t.text, e.Data)
-	t.breaks = 0
+	t.brokenAnswers = 0
 	if !slices.Contains(t.versions, e.Version) {
 		t.versions = append(t.versions, e.Version)
 	}
@@ -117,6 +117,6 @@
 func (t *task) fields() logrus.Fields {
 	return logrus.Fields{
 		observe.FieldItem: t.item.ID, observe.FieldJob: t.j.job.ID, "events": len(t.text),
-		"versions": t.versions, "failures": t.failures, "breaks": t.breaks,
+		"versions": t.versions, "failures": t.failures, "breaks": t.brokenAnswers,
 	}
 }
--- a/batch/worker.go
+++ b/batch/worker.go
@@ -48,8 +48,8 @@
 // each job, and what other agents give or leave. It is safe for concurrent use.
 type Worker struct {
 	WorkerConfig
-	// changed wakes the scheduler.
-	changed chan struct{}
+	// wakeup wakes the scheduler.
+	wakeup chan struct{}
 	// ctx is the one that Run was called with; started is closed once it is set.
 	ctx     context.Context
 	started chan struct{}
@@ -82,14 +82,14 @@
 	finished bool
 	ended    bool
 	outbox   *outbox
-	// checked is when the items without a holder were last looked for.
-	checked time.Time
+	// orphansChecked is when the items without a holder were last looked for.
+	orphansChecked time.Time
 }
 
 // NewWorker returns a worker; Run must run.
 func NewWorker(cfg WorkerConfig) *Worker {
 	return &Worker{
-		WorkerConfig: cfg, changed: make(chan struct{}, 1), started: make(chan struct{}), jobs: map[string]*workJob{},
+		WorkerConfig: cfg, wakeup: make(chan struct{}, 1), started: make(chan struct{}), jobs: map[string]*workJob{},
 		running: map[*task]struct{}{}, scoring: map[*task]struct{}{}, engine: newEngineState(),
 	}
 }
@@ -103,7 +103,7 @@
 	wg.Go(func() { w.schedule(ctx) })
 	wg.Go(func() { w.watchEngine(ctx) })
 	wg.Go(func() { w.help(ctx) })
-	wg.Go(func() { w.save(ctx) })
+	wg.Go(func() { w.saveTexts(ctx) })
 	wg.Go(func() { w.expire(ctx) })
 	wg.Wait()
 }
@@ -111,7 +111,7 @@
 // wake makes the scheduler look again.
 func (w *Worker) wake() {
 	select {
-	case w.changed <- struct{}{}:
+	case w.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -136,7 +136,7 @@
 func (w *Worker) Apply(s store.Snapshot) {
 	for _, row := range s.Rows {
 		if id, end := ParseJobRowName(row.Name); end || row.Deleted {
-			w.drop(id, row.Deleted)
+			w.endJob(id, row.Deleted)
 		}
 	}
 	for _, row := range s.Rows {
@@ -149,9 +149,9 @@
 			continue
 		}
 		w.Demand.Add(job)
-		w.see(job, s.Now)
+		w.addJob(job, s.Now)
 	}
-	w.forgetOld(s.Now)
+	w.removeExpiredJobs(s.Now)
 }
 
 // Load is how many items take a place at the engine or wait for one.
