--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -1,6 +1,6 @@
-// Package rollout runs the samples of one trainer step: it places each sample
-// on an agent, resumes it elsewhere with what was generated when its engine or
-// agent fails, has it scored, and delivers it once to the trainer's
-// connection. It keeps nothing after the step: the trainer's next request
-// names the samples still wanted.
+// Package rollout runs the samples of one trainer step. It places each sample on
+// an agent, resumes it on another agent from the text generated so far when its
+// engine or agent fails, has it scored, and delivers it once to the trainer's
+// connection. It keeps no state after the step: the trainer's next request names
+// the samples that are still missing.
 package rollout
--- a/rollout/move.go
+++ b/rollout/move.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	// moveInterval is how often running samples are looked at.
+	// moveInterval is the time between two checks of the running samples.
 	moveInterval = 200 * time.Millisecond
-	// paceWindow is the least time over which a leg's pace is taken.
-	paceWindow = 800 * time.Millisecond
-	// moveGain is how many times faster the other engine must be.
-	moveGain = 1.5
-	// mostMoves bounds the moves of one sample.
-	mostMoves = 3
-	// MoveBudget bounds the tokens generated twice by moves, as a share of the
-	// step's tokens.
+	// rateWindow is the least time over which the token rate of a run is measured.
+	rateWindow = 800 * time.Millisecond
+	// minMoveSpeedup is how many times faster the target engine must be.
+	minMoveSpeedup = 1.5
+	// maxMoves bounds the moves of one sample.
+	maxMoves = 3
+	// MoveBudget bounds the tokens that moves cause to be generated twice, as a
+	// share of the step's tokens.
 	MoveBudget = 0.05
 )
 
-// runningLeg is a leg's pace at one look.
-type runningLeg struct {
+// measuredRun is a run with the token rate of the latest check.
+type measuredRun struct {
 	task  *task
 	agent string
-	// perSecond is its tokens a second.
+	// perSecond is the run's rate in tokens a second.
 	perSecond float64
 }
 
-// watch looks at the running samples until ctx ends: it moves them, and tells
-// agents of the runs that nobody waits for any more.
+// watch checks the running samples every moveInterval until ctx is done: it moves or
+// parks them, and tells agents to forget abandoned runs.
 func (s *step) watch(ctx context.Context, tasks []*task) {
 	ticker := time.NewTicker(moveInterval)
 	defer ticker.Stop()
@@ -55,7 +55,7 @@
 	}
 }
 
-// balance moves samples when none waits, and parks long ones when some do.
+// balance moves slow samples when no sample waits for an agent, and parks long ones otherwise.
 func (s *step) balance(tasks []*task, now time.Time) {
 	if s.Policy.NoMoves {
 		return
@@ -67,13 +67,14 @@
 	s.parkLong(tasks)
 }
 
-// abandon notes a run that nobody waits for any more.
+// abandon records a run whose result is not needed any more, for takeAbandoned.
 func (s *step) abandon(p peer, key string) {
 	s.abandonedMu.Lock()
 	defer s.abandonedMu.Unlock()
 	s.abandoned[p] = append(s.abandoned[p], key)
 }
 
+// takeAbandoned returns the abandoned runs by agent, and clears the record.
 func (s *step) takeAbandoned() map[peer][]string {
 	s.abandonedMu.Lock()
 	defer s.abandonedMu.Unlock()
@@ -83,35 +84,35 @@
 }
 
 // moveSlow moves samples off engines that are much slower than others. It is
-// called once no sample of the step waits for a slot: a slot is better used by
-// a sample that has not begun. A sample goes on elsewhere after what it has;
-// its first run is cancelled when the second brings its first chunk.
+// called only while no sample of the step waits for a slot: a free slot is better
+// used by a sample that has not started. A moved sample resumes from the text that
+// it has; its old run is cancelled when the new one delivers its first chunk.
 func (s *step) moveSlow(tasks []*task, now time.Time) {
-	legs := paces(tasks, now)
-	s.notePaces(legs)
-	slices.SortFunc(legs, func(a, b runningLeg) int { return cmp.Compare(a.perSecond, b.perSecond) })
-	for _, l := range legs {
-		if !s.moveOne(l) {
+	runs := measureRates(tasks, now)
+	s.recordRates(runs)
+	slices.SortFunc(runs, func(a, b measuredRun) int { return cmp.Compare(a.perSecond, b.perSecond) })
+	for _, r := range runs {
+		if !s.moveOne(r) {
 			return
 		}
 	}
 }
 
-// moveOne moves a sample if some engine with a free slot is much faster; it is
-// false when no other sample can be moved either.
-func (s *step) moveOne(l runningLeg) bool {
+// moveOne moves a sample if an engine with a free slot is much faster. It returns
+// false when the remaining, faster samples cannot be moved either.
+func (s *step) moveOne(r measuredRun) bool {
 	if s.overMoveBudget() {
 		return false
 	}
-	usual := s.usualPace()
-	target := s.placer.reserve(l.task.routeRequest(), func(a *membership.Agent) bool {
-		return a.ID != l.agent && s.expectedPace(a.ID, usual) >= moveGain*l.perSecond
+	median := s.medianRate()
+	target := s.placer.reserve(r.task.routeRequest(), func(a *membership.Agent) bool {
+		return a.ID != r.agent && s.expectedRate(a.ID, median) >= minMoveSpeedup*r.perSecond
 	})
 	if target == nil {
 		return false
 	}
 	select {
-	case l.task.moves <- target:
+	case r.task.moves <- target:
 		s.Counters.Retry(s.row.Name, string(retry.ReasonMove))
 	default:
 		target.end()
@@ -119,67 +120,69 @@
 	return true
 }
 
-// expectedPace is what a sample would get at an agent: what the step's samples
-// got there last, or what is usual where none has run.
-func (s *step) expectedPace(agent string, usual float64) float64 {
-	if p, ok := s.pace[agent]; ok {
-		return p
+// expectedRate returns the tokens a second that a sample can expect at an agent: the
+// last mean of the step's samples there, or median where none has run.
+func (s *step) expectedRate(agent string, median float64) float64 {
+	if rate, ok := s.agentRates[agent]; ok {
+		return rate
 	}
-	return usual
+	return median
 }
 
-// usualPace is the median of the agents' paces.
-func (s *step) usualPace() float64 {
-	if len(s.pace) == 0 {
+// medianRate returns the median of the agents' token rates, 0 when none is known.
+func (s *step) medianRate() float64 {
+	if len(s.agentRates) == 0 {
 		return 0
 	}
-	sorted := slices.Sorted(maps.Values(s.pace))
+	sorted := slices.Sorted(maps.Values(s.agentRates))
 	return sorted[len(sorted)/2]
 }
 
-// paces measures the legs that have run long enough and may be moved.
-func paces(tasks []*task, now time.Time) []runningLeg {
-	var legs []runningLeg
+// measureRates returns the movable runs whose token rate is known.
+func measureRates(tasks []*task, now time.Time) []measuredRun {
+	var runs []measuredRun
 	for _, t := range tasks {
-		l := t.current.Load()
-		if l == nil || t.moved.Load() >= mostMoves {
+		r := t.current.Load()
+		if r == nil || t.moved.Load() >= maxMoves {
 			continue
 		}
-		if perSecond, known := l.pace(now); known {
-			legs = append(legs, runningLeg{task: t, agent: l.agent.ID, perSecond: perSecond})
+		if perSecond, known := r.tokenRate(now); known {
+			runs = append(runs, measuredRun{task: t, agent: r.agent.ID, perSecond: perSecond})
 		}
 	}
-	return legs
+	return runs
 }
 
-// notePaces keeps the mean pace at each agent; an agent without samples keeps
-// the pace it had last.
-func (s *step) notePaces(legs []runningLeg) {
+// recordRates stores the mean token rate at each agent; an agent without samples
+// keeps its last rate.
+func (s *step) recordRates(runs []measuredRun) {
 	sum, n := map[string]float64{}, map[string]int{}
-	for _, l := range legs {
-		sum[l.agent] += l.perSecond
-		n[l.agent]++
+	for _, r := range runs {
+		sum[r.agent] += r.perSecond
+		n[r.agent]++
 	}
 	for id := range sum {
-		s.pace[id] = sum[id] / float64(n[id])
+		s.agentRates[id] = sum[id] / float64(n[id])
 	}
 }
 
-// overMoveBudget says whether moves have used up their share of the step's tokens.
+// overMoveBudget reports whether moves have used up their share of the step's tokens.
 func (s *step) overMoveBudget() bool {
 	return float64(s.movedTokens.Load()) > MoveBudget*float64(s.tokens.Load()+minMoveBudgetBase)
 }
 
-// minMoveBudgetBase lets a step's first moves pass, in tokens.
+// minMoveBudgetBase is added to the step's tokens, so that the first moves of a step
+// are within the budget.
 const minMoveBudgetBase = 1000
 
-// lost counts tokens that a leg generated for nothing.
-func (s *step) lost(tokens int) {
+// addWasted counts tokens that a discarded run generated in vain.
+func (s *step) addWasted(tokens int) {
 	s.movedTokens.Add(int64(tokens))
 	s.Counters.Add(observe.NameWastedTokens, s.row.Name, int64(tokens))
 }
 
-// reserve takes a slot for a sample that is moved, at once or not at all.
+// reserve takes a free slot for a sample to be moved. It does not wait: without a
+// matching agent it returns nil.
 func (p *placer) reserve(req *routing.Request, ok func(*membership.Agent) bool) *placement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,32 +198,32 @@
 	return p.newPlacement(agent)
 }
 
-// empty says whether no sample waits for an agent.
+// empty reports whether no sample waits for an agent.
 func (p *placer) empty() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.queue.Len() == 0
 }
 
-// runMovable runs the sample at an agent, and at others to which the mover
-// moves it meanwhile. last is the agent of the last leg.
+// runMovable runs the sample at an agent, and follows the moves and the parking that
+// step.watch orders meanwhile. last is the agent of the last run.
 func (t *task) runMovable(ctx context.Context, pl *placement) (done *wire.Done, refusal *api.Refusal, last *membership.Agent) {
-	here := t.startLeg(ctx, pl.agent, t.newRun(), t.progress.Clone(), pl.started)
-	t.current.Store(here)
+	current := t.startRun(ctx, pl.agent, t.newRun(), t.progress.Clone(), pl.started)
+	t.current.Store(current)
 	defer t.current.Store(nil)
 	for {
 		select {
-		case <-here.ended:
-			t.progress = here.text()
-			t.dropMove()
-			return here.done, here.refusal, here.agent
+		case <-current.finished:
+			t.progress = current.snapshot()
+			t.releasePendingMove()
+			return current.done, current.refusal, current.agent
 		case <-t.parks:
-			return nil, t.park(ctx, here), here.agent
+			return nil, t.park(ctx, current), current.agent
 		case target := <-t.moves:
-			if next := t.move(ctx, here, target); next != nil {
+			if next := t.move(ctx, current, target); next != nil {
 				defer target.end()
-				here = next
-				t.current.Store(here)
+				current = next
+				t.current.Store(current)
 				t.sendPlacement(ctx)
 				continue
 			}
@@ -229,47 +232,48 @@
 	}
 }
 
-// move starts a second leg and waits until it produces, or until the first has
-// ended. It returns the leg that goes on, or nil for the first.
-func (t *task) move(ctx context.Context, here *leg, target *placement) *leg {
+// move starts a second run at the target and waits for its first chunk, its failure or
+// the end of the current run. It returns the new run when it replaces the current one,
+// else nil.
+func (t *task) move(ctx context.Context, current *agentRun, target *placement) *agentRun {
 	t.moved.Add(1)
-	text := here.text()
-	t.at = peerOf(target.agent)
-	there := t.startLeg(ctx, target.agent, t.runAfter(&text), text.Clone(), target.started)
+	text := current.snapshot()
+	t.lastPeer = peerOf(target.agent)
+	next := t.startRun(ctx, target.agent, t.runAfter(&text), text.Clone(), target.started)
 	select {
-	case <-there.producing:
-	case <-there.ended:
-	case <-here.ended:
-		if here.refusal == nil {
-			t.leave(there, text.Tokens())
-			t.at = peerOf(here.agent)
+	case <-next.producing:
+	case <-next.finished:
+	case <-current.finished:
+		if current.refusal == nil {
+			t.discard(next, text.Tokens())
+			t.lastPeer = peerOf(current.agent)
 			return nil
 		}
-		// The first leg failed: the second is all there is.
+		// The current run failed: only the new one is left.
 		select {
-		case <-there.producing:
-		case <-there.ended:
+		case <-next.producing:
+		case <-next.finished:
 		}
 	}
-	if there.failed() {
-		t.at = peerOf(here.agent)
+	if next.failed() {
+		t.lastPeer = peerOf(current.agent)
 		return nil
 	}
-	t.leave(here, text.Tokens())
-	return there
+	t.discard(current, text.Tokens())
+	return next
 }
 
-// leave ends a leg whose sample goes on in another one, and counts what it
-// generated after the other began.
-func (t *task) leave(l *leg, from int) {
-	l.stop()
-	t.s.abandon(peerOf(l.agent), t.key)
-	text := l.text()
-	t.s.lost(max(0, text.Tokens()-from))
+// discard stops a run whose sample continues in another run. from is the sample's length
+// in tokens when the second of the two was started; tokens beyond it are counted as wasted.
+func (t *task) discard(r *agentRun, from int) {
+	r.stop()
+	t.s.abandon(peerOf(r.agent), t.key)
+	text := r.snapshot()
+	t.s.addWasted(max(0, text.Tokens()-from))
 }
 
-// dropMove gives back a placement that came too late.
-func (t *task) dropMove() {
+// releasePendingMove gives back the placement of a move that came after the run had finished.
+func (t *task) releasePendingMove() {
 	select {
 	case target := <-t.moves:
 		target.end()
--- a/rollout/park.go
+++ b/rollout/park.go
@@ -9,47 +9,49 @@
 )
 
 const (
-	// parkAfter is how many samples must have finished before their lengths
-	// say anything.
-	parkAfter = 32
-	// parkSlack is added to the share that the trainer waits for, so that the
-	// samples it needs are not parked.
+	// minParkLengths is how many lengths of samples must be known before parkLimit
+	// is derived from them.
+	minParkLengths = 32
+	// parkSlack is added to the share of samples that the trainer waits for, so
+	// that samples it needs are not parked.
 	parkSlack = 0.02
-	// parkShareOfAll is the share of samples that is not parked when the
-	// trainer waits for all of them.
+	// parkShareOfAll is the share of samples that are not parked when the trainer
+	// waits for all of them.
 	parkShareOfAll = 0.8
 )
 
-// stepPark is the step of a parked sample's refusal, which stays within the entry.
+// stepPark is the step named in the refusal of a parked sample. The refusal does not
+// leave the entry.
 const stepPark = "entry.park"
 
-// errParked says that a sample made room for samples that have not begun.
+// errParked is the reason of a sample that was stopped to free its slot for samples
+// that have not started.
 var errParked = errors.New("the sample was parked")
 
-// parkLong parks running samples that are longer than most, while others that
-// have less wait. A parked sample keeps its text and goes on once no other that
-// was parked less often waits.
+// parkLong parks running samples that are longer than most while samples of a lower
+// level wait for an agent. A parked sample keeps its text and resumes once no sample
+// waits that was parked less often.
 //
-// Lengths are not known beforehand. When the trainer waits for a share of the
-// step, the samples that run long are those that the step will most likely end
-// without. When it waits for all, they are the stragglers: had they been met
-// only at the end, each would hold up the step alone; parked, they are all
-// known when the last of the others has begun, and run side by side.
+// Lengths are not known in advance. When the trainer waits for a share of the step,
+// long samples are those that the step will most likely end without. When it waits
+// for all, they are the stragglers: discovered only at the end, each would hold up the
+// step alone; parked, they are all known by the time the last of the other samples has
+// started, and run in parallel.
 func (s *step) parkLong(tasks []*task) {
 	limit, known := s.parkLimit()
 	if !known {
 		return
 	}
 	for _, t := range tasks {
-		l := t.current.Load()
-		if l == nil {
+		r := t.current.Load()
+		if r == nil {
 			continue
 		}
 		parked := int(t.parked.Load())
-		if parked >= mostParks {
+		if parked >= maxParks {
 			continue
 		}
-		if l.tokens() <= limit<<parked || !s.placer.waitsBelow(levelParked+level(parked)) {
+		if r.tokenCount() <= limit<<parked || !s.placer.waitsBelow(levelParked+level(parked)) {
 			continue
 		}
 		select {
@@ -59,12 +61,13 @@
 	}
 }
 
-// parkLimit is the length in tokens above which a sample is parked for the
-// first time; each further time it must have doubled.
+// parkLimit returns the length in tokens above which a sample is parked for the first
+// time; the limit doubles for each further time. It is not known until minParkLengths
+// lengths were recorded.
 func (s *step) parkLimit() (int, bool) {
 	s.lengthsMu.Lock()
 	defer s.lengthsMu.Unlock()
-	if len(s.lengths) < parkAfter {
+	if len(s.lengths) < minParkLengths {
 		return 0, false
 	}
 	share := parkShareOfAll
@@ -75,28 +78,29 @@
 	return sorted[min(len(sorted)-1, int(share*float64(len(sorted))))], true
 }
 
-// noteLength keeps the length of a sample that finished or was parked.
-func (s *step) noteLength(tokens int) {
+// recordLength records the length in tokens of a sample that finished or was parked.
+func (s *step) recordLength(tokens int) {
 	s.lengthsMu.Lock()
 	defer s.lengthsMu.Unlock()
 	s.lengths = append(s.lengths, tokens)
 }
 
-// mostParks bounds how often a sample is parked.
-const mostParks = 8
+// maxParks bounds how often one sample is parked.
+const maxParks = 8
 
-// park ends a leg whose sample waits again, with its text.
-func (t *task) park(ctx context.Context, l *leg) *api.Refusal {
-	l.stop()
-	t.progress = l.text()
+// park stops a run and keeps its text; the returned refusal sends the sample back to the
+// placer's queue.
+func (t *task) park(ctx context.Context, r *agentRun) *api.Refusal {
+	r.stop()
+	t.progress = r.snapshot()
 	if t.parked.Add(1) == 1 {
-		t.s.noteLength(t.progress.Tokens())
+		t.s.recordLength(t.progress.Tokens())
 	}
-	t.s.forget(ctx, map[peer][]string{peerOf(l.agent): {t.key}})
+	t.s.forget(ctx, map[peer][]string{peerOf(r.agent): {t.key}})
 	refusal := t.refusal(api.CodePreempted, errParked, api.NotRunFalse)
 	refusal.Step = stepPark
 	return refusal
 }
 
-// waitsForAll says whether the trainer waits for every sample of the step.
+// waitsForAll reports whether the trainer waits for every sample of the step.
 func (s *step) waitsForAll() bool { return s.waitFor == len(s.req.Samples) }
--- a/rollout/peer.go
+++ b/rollout/peer.go
@@ -13,15 +13,15 @@
 	"mulberryscale.example/membership"
 )
 
-// forgetTimeout bounds the telling of agents what they may forget.
+// forgetTimeout bounds the Forget calls to all agents.
 const forgetTimeout = 2 * time.Second
 
-// peer is an agent as a placement hint names it.
+// peer is the id and address of an agent, as encoded in a placement hint.
 type peer struct{ id, addr string }
 
 func peerOf(a *membership.Agent) peer { return peer{a.ID, a.Addr} }
 
-// hint is the opaque form given to trainers.
+// hint returns the placement hint, which is opaque to trainers.
 func (p peer) hint() string { return p.id + "@" + p.addr }
 
 func parseHint(hint string) (peer, error) {
@@ -35,9 +35,9 @@
 	return peer{id, addr}, nil
 }
 
-// forget lets agents drop the samples of keys that nobody waits for, all agents
-// at the same time. It is best effort: what an agent is not told it drops after
-// its linger.
+// forget tells agents to drop runs whose results are not needed, by agent and sample
+// key. It calls all agents concurrently, and is best effort: an agent that is not
+// reached drops the runs after Retention.
 func (r *Runner) forget(ctx context.Context, keys map[peer][]string) {
 	ctx, cancel := context.WithTimeout(ctx, forgetTimeout)
 	defer cancel()
@@ -45,22 +45,23 @@
 	for p, ks := range keys {
 		wg.Go(func() {
 			if err := r.Client.Forget(ctx, p.id, p.addr, ks); err != nil {
-				r.Log.WithError(err).WithField("peer", p.id).Debug("agent not told to forget")
+				r.Log.WithError(err).WithField("peer", p.id).Debug("forget request failed")
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// forgetLater does the same without making the caller wait for agents that may
-// be dead.
+// forgetLater calls forget in its own goroutine, since the caller should not wait for
+// agents that may be dead.
 func (r *Runner) forgetLater(ctx context.Context, keys map[peer][]string) {
 	if len(keys) > 0 {
 		go r.forget(context.WithoutCancel(ctx), keys)
 	}
 }
 
-// Confirm lets agents forget samples that the trainer holds.
+// Confirm tells agents to forget samples that the trainer has received. Ids without a
+// placement hint are skipped; the error is a malformed hint.
 func (r *Runner) Confirm(ctx context.Context, row string, req *api.ConfirmRequest) error {
 	keys := map[peer][]string{}
 	for _, id := range req.IDs {
--- a/rollout/placer.go
+++ b/rollout/placer.go
@@ -12,45 +12,48 @@
 	"mulberryscale.example/routing"
 )
 
-// placeInterval bounds the wait for a changed view.
+// placeInterval bounds the time between two rounds of placing when neither the view nor
+// the queue changes.
 const placeInterval = 100 * time.Millisecond
 
 // waiter is a sample that waits for an agent.
 type waiter struct {
 	req      *routing.Request
 	priority priority
-	order    int // among equals, first come first placed
+	order    int // arrival number, breaks ties of priority
 	reply    chan *placement
 	index    int
 }
 
-// priority orders the samples that wait: by level, then by work, the smaller first.
+// priority orders waiting samples by level, then by work, smaller values first.
 type priority struct {
 	level level
 	work  int // tokens
 }
 
-// level separates samples that have to go before others.
+// level is the major key of priority.
 type level int
 
 const (
-	// levelResumed: it ran before, and its agent or engine failed.
+	// levelResumed: the sample has text from a run that a failure interrupted.
 	levelResumed level = iota
+	// levelFresh: the sample has no text yet.
 	levelFresh
-	// levelParked: it was parked once; each further time is a level more.
+	// levelParked: the sample was parked once; each further time adds a level.
 	levelParked
 )
 
-// placement is an agent that a sample may be sent to.
+// placement is an agent with a slot taken for one sample.
 type placement struct {
 	agent *membership.Agent
-	// started is called when the run has started there; end when it has ended.
+	// started must be called when the run has started there, end when it has returned.
+	// Both may be called more than once.
 	started func()
 	end     func()
 }
 
-// placer gives agents to the samples of one step in the order of their
-// priorities, and holds back what no agent has room for.
+// placer assigns agents to the samples of one step in the order of their
+// priorities, and queues samples while no agent has a slot for them.
 type placer struct {
 	view    *membership.View
 	router  routing.Picker
@@ -60,7 +63,7 @@
 	mu        sync.Mutex
 	queue     waiterQueue
 	order     int
-	unstarted map[string]int // by agent id
+	unstarted map[string]int // runs sent and not started, by agent id
 	wake      chan struct{}
 }
 
@@ -75,7 +78,7 @@
 	}
 }
 
-// place waits for an agent. The error is ctx's.
+// place waits for an agent. The error is that of ctx.
 func (p *placer) place(ctx context.Context, req *routing.Request, pr priority) (*placement, error) {
 	w := &waiter{req: req, priority: pr, reply: make(chan *placement, 1)}
 	p.mu.Lock()
@@ -93,7 +96,8 @@
 	}
 }
 
-// abandon takes a waiter out, or gives back what it was given meanwhile.
+// abandon removes a waiter from the queue, or gives back a placement that it received
+// meanwhile.
 func (p *placer) abandon(w *waiter) {
 	p.mu.Lock()
 	if w.index >= 0 {
@@ -114,7 +118,7 @@
 	}
 }
 
-// run places waiters until ctx ends.
+// run places waiters until ctx is done.
 func (p *placer) run(ctx context.Context) {
 	timer := time.NewTicker(placeInterval)
 	defer timer.Stop()
@@ -131,14 +135,14 @@
 	}
 }
 
-// placeAll places waiters in order until one finds no agent with room. A
-// waiter whose own demands fit no agent does not hold up the others.
+// placeAll places waiters in order of priority. A waiter that fits no agent does not
+// block those behind it, up to maxUnplaced such waiters.
 func (p *placer) placeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	snap := p.view.Snapshot()
 	var unplaced []*waiter
-	for p.queue.Len() > 0 && len(unplaced) < unplacedBound {
+	for p.queue.Len() > 0 && len(unplaced) < maxUnplaced {
 		w := heap.Pop(&p.queue).(*waiter)
 		agent := p.pick(w.req, snap)
 		if agent == nil {
@@ -152,7 +156,7 @@
 	}
 }
 
-// newPlacement counts a run at the agent; p.mu is held.
+// newPlacement counts a run at the agent. The caller holds p.mu.
 func (p *placer) newPlacement(agent *membership.Agent) *placement {
 	agent.Sends.Begin()
 	p.unstarted[agent.ID]++
@@ -165,9 +169,9 @@
 	return &placement{agent: agent, started: started, end: end}
 }
 
-// unplacedBound is how many waiters without an agent are passed over before
-// the rest of the queue is left for the next round.
-const unplacedBound = 16
+// maxUnplaced is how many waiters that fit no agent are skipped before the rest of
+// the queue is left for the next round.
+const maxUnplaced = 16
 
 func (p *placer) pick(req *routing.Request, snap *membership.Snapshot) *membership.Agent {
 	narrowed := *req
@@ -188,14 +192,14 @@
 	p.signal()
 }
 
-// waitsBelow says whether a sample of a lower level waits for an agent.
+// waitsBelow reports whether a sample of a level lower than l waits for an agent.
 func (p *placer) waitsBelow(l level) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.queue.Len() > 0 && p.queue[0].priority.level < l
 }
 
-// waiterQueue is a heap, the first to be placed on top.
+// waiterQueue is a heap with the next waiter to be placed on top.
 type waiterQueue []*waiter
 
 func (q waiterQueue) Len() int { return len(q) }
--- a/rollout/quarantine.go
+++ b/rollout/quarantine.go
@@ -9,27 +9,28 @@
 	"mulberryscale.example/quarantine"
 )
 
-var errHeld = errors.New("endpoints have ended under the sample")
+var errQuarantined = errors.New("endpoints have ended under the sample")
 
-// subject names the sample's content; one that comes again in a later step under its
-// id is the same.
+// subject identifies the sample's content to the quarantine: a sample that returns in a
+// later step with the same id and parameters is the same subject.
 func (t *task) subject() quarantine.Subject {
 	return quarantine.SubjectOf(t.s.row.Name, t.req.ID, t.req.Prompt, fmt.Sprint(t.req.MaxTokens, t.req.Temperature, t.req.Seed))
 }
 
-// held refuses a sample under which endpoints have ended, for good: its step goes on
-// without it, and the samples beside it run on. Its step is over before a trial would be due.
-func (t *task) held() *api.Refusal {
+// checkQuarantine refuses a sample during which endpoints have crashed; nil means that it may
+// run. The refusal is final: the step continues without the sample and its other samples are not
+// affected. There is no trial run, since the step is over before one would be due.
+func (t *task) checkQuarantine() *api.Refusal {
 	verdict, _ := t.s.Quarantine.Judge(t.subject(), quarantine.ItemLimit)
 	if verdict == quarantine.Clear || verdict == quarantine.Suspect {
 		return nil
 	}
 	t.s.Quarantine.Refused()
-	return t.refusal(api.CodeHeld, errHeld, api.NotRunFalse)
+	return t.refusal(api.CodeHeld, errQuarantined, api.NotRunFalse)
 }
 
-// noteEnd tells the quarantine what an attempt did to its endpoint.
-func (t *task) noteEnd(refusal *api.Refusal, took time.Duration) {
+// reportOutcome tells the quarantine whether the endpoint served an attempt or crashed during it.
+func (t *task) reportOutcome(refusal *api.Refusal, took time.Duration) {
 	switch {
 	case refusal == nil:
 		t.s.Quarantine.Served(t.subject())
--- a/rollout/runner.go
+++ b/rollout/runner.go
@@ -21,11 +21,11 @@
 	"mulberryscale.example/table"
 )
 
-// DefaultRetention is how long an agent keeps a run and its result for a trainer
-// whose entry is gone.
+// DefaultRetention is how long an agent keeps a run going, and its result afterwards,
+// for a trainer whose entry has disconnected.
 const DefaultRetention = 2 * time.Minute
 
-// Scorer gives a finished sample its score.
+// Scorer scores finished samples.
 type Scorer interface {
 	// Score scores a sample of a trainer's row; its error is an *api.Refusal.
 	Score(ctx context.Context, row *table.Row, s *api.Sample) (float64, error)
@@ -33,12 +33,12 @@
 
 // Runner runs steps. Its fields are set once, before the first step.
 type Runner struct {
-	// ID is the entry's own id, named in refusals.
+	// ID is the entry's own id, reported in refusals.
 	ID     string
 	Zone   string
 	Client *attempt.Client
 	View   *membership.View
-	// Router picks the agent of a sample.
+	// Router picks the agent for a sample.
 	Router routing.Picker
 	Budget *retry.Budget
 	// Scorer may be nil when no row has one.
@@ -46,11 +46,11 @@
 	Retention time.Duration
 	Counters  *observe.Counters
 	Log       logrus.FieldLogger
-	// Seed seeds the placing of each step.
+	// Seed seeds the random choices of each step's placements.
 	Seed uint64
 	// Policy says how samples are placed and moved.
 	Policy Policy
-	// Quarantine keeps samples that end endpoints away from them.
+	// Quarantine refuses samples that crash endpoints.
 	Quarantine *quarantine.Keeper
 }
 
@@ -59,24 +59,25 @@
 	// Backlog is how many samples of a step may wait at one agent that has no
 	// free slot; 0 means DefaultBacklog.
 	Backlog int
-	// NoMoves keeps samples on their engines, however slow.
+	// NoMoves keeps samples on their engines, however slow; it disables parking too.
 	NoMoves bool
 }
 
-// DefaultBacklog keeps each row's next sample at hand in the agents' fair queues.
+// DefaultBacklog is large enough that each row's next sample is already in the agents'
+// fair queues when a slot becomes free.
 const DefaultBacklog = 2
 
-// ResultHandler takes in what a step brings; it is called by one goroutine. An error
-// means that the trainer's connection is gone.
+// ResultHandler receives the samples and placements of a step. It is called by one
+// goroutine. An error means that the trainer's connection is lost.
 type ResultHandler interface {
 	Sample(s *api.Sample) error
 	Placement(p api.Placement) error
 }
 
-// errStepEnded is the cause with which samples still running are left.
+// errStepEnded is the cancellation cause of samples that still run when the step is complete.
 var errStepEnded = errors.New("the step has ended")
 
-// step is one running step.
+// step is the state of one running step.
 type step struct {
 	*Runner
 	row        *table.Row
@@ -86,22 +87,22 @@
 	waitFor int
 	placer  *placer
 	events  chan event
-	// pace is the last known pace at each agent, in tokens a second for one
-	// sample; only the step's watch uses it.
-	pace map[string]float64
-	// lengths are the lengths of samples that finished or were parked.
+	// agentRates is the last known token rate of one sample at each agent, in tokens
+	// a second, by agent id; only step.watch uses it.
+	agentRates map[string]float64
+	// lengths are the lengths in tokens of samples that finished or were parked.
 	lengthsMu sync.Mutex
 	lengths   []int
-	// tokens counts what the step's finished samples hold, movedTokens what
-	// was generated for nothing.
+	// tokens counts the tokens of the step's finished samples, movedTokens the
+	// tokens that discarded runs generated in vain.
 	tokens      atomic.Int64
 	movedTokens atomic.Int64
-	// abandoned are runs that nobody waits for any more, by agent.
+	// abandoned are the keys of runs whose results are not needed any more, by agent.
 	abandonedMu sync.Mutex
 	abandoned   map[peer][]string
 }
 
-// event is what a sample's task tells the step; one field is set.
+// event is sent by a sample's task to its step; exactly one field is set.
 type event struct {
 	sample    *api.Sample
 	placement *api.Placement
@@ -113,15 +114,15 @@
 	reason *api.Refusal
 }
 
-// Run runs a step until its trainer has as many samples as it waits for, every
-// sample is settled, or ctx ends. The error is the sink's or ctx's.
-func (r *Runner) Run(ctx context.Context, row *table.Row, req *api.StepRequest, minVersion uint64, sink ResultHandler) (*api.StepEnd, error) {
+// Run runs a step until the trainer has received as many samples as it waits for, every
+// sample is delivered or refused, or ctx is done. The error is that of handler or ctx.
+func (r *Runner) Run(ctx context.Context, row *table.Row, req *api.StepRequest, minVersion uint64, handler ResultHandler) (*api.StepEnd, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	s := &step{
 		Runner: r, row: row, req: req, minVersion: minVersion,
 		placer: newPlacer(r, rand.New(rand.NewPCG(r.Seed, req.Session))),
 		events: make(chan event), abandoned: map[peer][]string{},
-		waitFor: WaitFor(row, req), pace: map[string]float64{},
+		waitFor: WaitFor(row, req), agentRates: map[string]float64{},
 	}
 	var wg sync.WaitGroup
 	wg.Go(func() { s.placer.run(ctx) })
@@ -131,18 +132,19 @@
 		wg.Go(func() { tasks[i].run(ctx) })
 	}
 	wg.Go(func() { s.watch(ctx, tasks) })
-	end, err := s.collect(ctx, sink)
+	end, err := s.collect(ctx, handler)
 	cancel(errStepEnded)
 	wg.Wait()
 	if err != nil {
 		return nil, err
 	}
-	s.settle(ctx, tasks, end)
+	s.reportLeftovers(ctx, tasks, end)
 	return end, nil
 }
 
-// collect passes on what the tasks bring until enough is delivered.
-func (s *step) collect(ctx context.Context, sink ResultHandler) (*api.StepEnd, error) {
+// collect passes the events of the tasks to handler until enough samples are delivered or
+// all are settled.
+func (s *step) collect(ctx context.Context, handler ResultHandler) (*api.StepEnd, error) {
 	end := &api.StepEnd{}
 	for settled := 0; settled < len(s.req.Samples) && end.Delivered < s.waitFor; {
 		select {
@@ -152,7 +154,7 @@
 			if ev.placement == nil {
 				settled++
 			}
-			if err := take(ev, sink, end); err != nil {
+			if err := deliver(ev, handler, end); err != nil {
 				return nil, err
 			}
 		}
@@ -160,21 +162,21 @@
 	return end, nil
 }
 
-func take(ev event, sink ResultHandler, end *api.StepEnd) error {
+func deliver(ev event, handler ResultHandler, end *api.StepEnd) error {
 	switch {
 	case ev.sample != nil:
 		end.Delivered++
-		return sink.Sample(ev.sample)
+		return handler.Sample(ev.sample)
 	case ev.placement != nil:
-		return sink.Placement(*ev.placement)
+		return handler.Placement(*ev.placement)
 	}
 	end.Undelivered = append(end.Undelivered, api.Undelivered{ID: ev.refused.id, Reason: ev.refused.reason})
 	return nil
 }
 
-// settle names the samples that the step ends without, and cancels them unless
-// the row carries them over.
-func (s *step) settle(ctx context.Context, tasks []*task, end *api.StepEnd) {
+// reportLeftovers lists the samples that are not settled at the end of the step, and
+// cancels them unless the row carries them over.
+func (s *step) reportLeftovers(ctx context.Context, tasks []*task, end *api.StepEnd) {
 	carry := s.row.Leftover != table.LeftoverCancel
 	forget := s.takeAbandoned()
 	for _, t := range tasks {
@@ -182,15 +184,16 @@
 			continue
 		}
 		end.Undelivered = append(end.Undelivered, api.Undelivered{ID: t.req.ID, CarriedOver: carry})
-		if !carry && t.at != (peer{}) {
-			forget[t.at] = append(forget[t.at], t.key)
+		if !carry && t.lastPeer != (peer{}) {
+			forget[t.lastPeer] = append(forget[t.lastPeer], t.key)
 		}
 	}
 	s.forgetLater(ctx, forget)
 }
 
-// WaitFor is how many more samples the trainer of a step waits for: what the
-// request names, else the row's share rounded up, less what it holds already.
+// WaitFor returns how many more samples the trainer of a step waits for: the number in
+// the request, else the row's share of the samples rounded up, less the samples that the
+// trainer already holds.
 func WaitFor(row *table.Row, req *api.StepRequest) int {
 	n := len(req.Samples)
 	total := n + req.Held
--- a/rollout/step_test.go
+++ b/rollout/step_test.go
@@ -28,19 +28,19 @@
 `
 )
 
-// rig is a deployment of one entry and some engines, with a trainer.
+// rig is a deployment of one entry and some engines, with a trainer client.
 type rig struct {
-	t        *testing.T
-	d        *deployment.Deployment
-	fabric   *deployment.Memory
-	client   *trainer.Client
-	received map[string][]api.Sample
-	asked    map[string]api.SampleRequest
+	t         *testing.T
+	d         *deployment.Deployment
+	fabric    *deployment.Memory
+	client    *trainer.Client
+	received  map[string][]api.Sample // by sample id
+	requested map[string]api.SampleRequest
 }
 
-// startRig must be called in a bubble of testing/synctest.
+// startRig starts a rig; it must be called in a bubble of testing/synctest.
 func startRig(t *testing.T, engines int, waitShare float64, leftover string, policy rollout.Policy) *rig {
-	r := &rig{t: t, fabric: deployment.NewMemory(), received: map[string][]api.Sample{}, asked: map[string]api.SampleRequest{}}
+	r := &rig{t: t, fabric: deployment.NewMemory(), received: map[string][]api.Sample{}, requested: map[string]api.SampleRequest{}}
 	opts := deployment.Options{
 		Fabric: r.fabric, Table: fmt.Sprintf(testTable, waitShare, leftover), Log: observe.Discard(), Seed: 1,
 		Entries: []deployment.EntrySpec{{ID: "entry-1", Zone: "patan"}},
@@ -71,7 +71,7 @@
 	r.fabric.Close()
 }
 
-// step runs a step of samples with these lengths.
+// step runs a step of samples with these lengths in tokens.
 func (r *rig) step(name string, lengths []int) *trainer.Result {
 	var samples []api.SampleRequest
 	for i, n := range lengths {
@@ -79,7 +79,7 @@
 			ID: fmt.Sprintf("%s-%d", name, i), Group: "g", Prompt: engine.PromptOfLength(n, fmt.Sprint(name, i)), MaxTokens: 4096,
 		}
 		samples = append(samples, s)
-		r.asked[s.ID] = s
+		r.requested[s.ID] = s
 	}
 	result, err := r.client.RunStep(r.t.Context(), trainer.Step{Name: name, Version: 1, Samples: samples}, func(s api.Sample) error {
 		r.received[s.ID] = append(r.received[s.ID], s)
@@ -91,7 +91,7 @@
 	return result
 }
 
-// check compares what was received with what the engines recorded.
+// check checks that each received sample came once and matches what the engines recorded.
 func (r *rig) check() {
 	r.t.Helper()
 	var cores []*engine.Engine
@@ -101,10 +101,10 @@
 	records := oracle.Collect(cores...)
 	for id, got := range r.received {
 		if len(got) != 1 {
-			r.t.Errorf("sample %s came %d times", id, len(got))
+			r.t.Errorf("sample %s was delivered %d times", id, len(got))
 		}
-		asked := r.asked[id]
-		if err := records.CheckSample(&asked, &got[0]); err != nil {
+		requested := r.requested[id]
+		if err := records.CheckSample(&requested, &got[0]); err != nil {
 			r.t.Errorf("sample %s: %v", id, err)
 		}
 	}
@@ -122,15 +122,18 @@
 	return all
 }
 
-func TestSamplesLeaveASlowEngine(t *testing.T) {
+// TestSamplesMoveOffSlowEngine slows one of three engines down in mid-step: its samples move
+// to the others, unless the policy has NoMoves, and the tokens generated twice stay within
+// rollout.MoveBudget.
+func TestSamplesMoveOffSlowEngine(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		moves rollout.Policy
-		want  bool
+		name   string
+		policy rollout.Policy
+		want   bool
 	}{{"moved", rollout.Policy{}, true}, {"kept", rollout.Policy{NoMoves: true}, false}} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := startRig(t, 3, 1, "carry", test.moves)
+				r := startRig(t, 3, 1, "carry", test.policy)
 				defer r.close()
 				slow := r.d.Agents[0].Core
 				time.AfterFunc(time.Second, func() { slow.SlowBy(50) })
@@ -148,16 +151,18 @@
 	}
 }
 
-func TestLongSamplesMakeRoom(t *testing.T) {
+// TestLongSamplesAreParked checks that long samples are parked while others wait, and that all
+// samples are still delivered.
+func TestLongSamplesAreParked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startRig(t, 2, 1, "carry", rollout.Policy{})
 		defer r.close()
-		// The long ones begin when enough others have finished to know that they are long.
+		// The long samples start when enough others have finished for a park limit to be known.
 		all := slices.Concat(lengths(60, 40), lengths(8, 1500), lengths(100, 40))
 		result := r.step("1", all)
 		r.check()
 		if len(r.received) != len(all) || result.Delivered != len(all) {
-			t.Errorf("%d samples received, %d delivered, %d asked for", len(r.received), result.Delivered, len(all))
+			t.Errorf("%d samples received, %d delivered, %d requested", len(r.received), result.Delivered, len(all))
 		}
 		if r.retries(retry.ReasonPark) == 0 {
 			t.Error("no long sample was parked")
@@ -165,8 +170,9 @@
 	})
 }
 
-// TestCarriedSamplesComeInTheNextStep ends a step without its longest samples.
-func TestCarriedSamplesComeInTheNextStep(t *testing.T) {
+// TestCarriedSamplesAreDeliveredInNextStep: a step that waits for three quarters of its samples
+// carries the longest over. They keep running and are delivered by the next step without a new run.
+func TestCarriedSamplesAreDeliveredInNextStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startRig(t, 2, 0.75, "carry", rollout.Policy{})
 		defer r.close()
@@ -174,7 +180,7 @@
 		if len(first.CarriedOver) != 4 || first.Delivered != 12 {
 			t.Fatalf("%d carried over and %d delivered, want 4 and 12", len(first.CarriedOver), first.Delivered)
 		}
-		time.Sleep(20 * time.Second) // the carried samples go on meanwhile
+		time.Sleep(20 * time.Second) // the carried samples keep running
 		second := r.step("2", lengths(4, 20))
 		time.Sleep(time.Second)
 		r.check()
@@ -189,12 +195,12 @@
 	})
 }
 
-// runs counts the runs of a sample on all engines.
+// runs returns how often a sample was run, on all engines together.
 func (r *rig) runs(id string) int {
 	n := 0
 	for _, a := range r.d.Agents {
 		for _, rec := range a.Core.Records() {
-			if rec.Prompt == r.asked[id].Prompt {
+			if rec.Prompt == r.requested[id].Prompt {
 				n++
 			}
 		}
@@ -202,8 +208,9 @@
 	return n
 }
 
-// TestCancelledSamplesEnd ends a step without its longest samples for good.
-func TestCancelledSamplesEnd(t *testing.T) {
+// TestLeftoverSamplesAreCancelled: on a row that cancels leftovers, the runs of samples that the
+// step did not wait for are stopped on the engines.
+func TestLeftoverSamplesAreCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startRig(t, 2, 0.75, "cancel", rollout.Policy{})
 		defer r.close()
@@ -215,7 +222,7 @@
 		for _, a := range r.d.Agents {
 			status, err := a.Core.Status(context.Background())
 			if err != nil || status.Running != 0 {
-				t.Errorf("%d runs go on for nobody (%v)", status.Running, err)
+				t.Errorf("%d runs still active after the step (%v)", status.Running, err)
 			}
 		}
 	})
--- a/rollout/task.go
+++ b/rollout/task.go
@@ -17,34 +17,36 @@
 	"mulberryscale.example/wire"
 )
 
-// Delays between the attempts of one sample, and the time that an agent may
-// take to show the text of a run that it is asked for again.
 const (
-	firstDelay    = 20 * time.Millisecond
-	mostDelay     = time.Second
+	// initialDelay and maxDelay bound the backoff between the attempts of a sample.
+	initialDelay = 20 * time.Millisecond
+	maxDelay     = time.Second
+	// attachTimeout is how long an agent may take to send the text of a run that a
+	// task attaches to.
 	attachTimeout = 500 * time.Millisecond
-	// chunkInterval spaces the chunks of a sample: a trainer waits for whole
-	// samples, and what is lost with an agent is generated again.
+	// chunkInterval is the time between two chunks of a sample. It may be long: a
+	// trainer waits for whole samples, and text lost with an agent is generated again.
 	chunkInterval = 50 * time.Millisecond
 )
 
-// StepSample is the step named in refusals of samples.
+// StepSample is the processing step that refusals of samples name.
 const StepSample = "entry.sample"
 
-// task brings one sample to its end.
+// task runs one sample until it is delivered or refused.
 type task struct {
 	s        *step
 	req      *api.SampleRequest
 	key      string
 	progress generation.Progress
-	at       peer // where it was last sent
+	lastPeer peer // agent that the sample was last sent to
 	avoid    map[string]bool
-	settled  bool // delivered or refused; written before the event is sent
-	// current is the leg that runs, for the mover; moves takes its placements.
-	current atomic.Pointer[leg]
+	settled  bool // delivered or refused; false until the step has taken the event
+	// current is the active run, nil for none; step.watch sends the placements that it
+	// should move to on moves.
+	current atomic.Pointer[agentRun]
 	moved   atomic.Int32
 	moves   chan *placement
-	// parks tells the sample to make room; parked counts how often it did.
+	// parks signals that the sample should free its slot; parked counts how often it did.
 	parks  chan struct{}
 	parked atomic.Int32
 }
@@ -56,32 +58,32 @@
 	}
 }
 
-// Key is a sample's identity at agents.
+// Key returns the key that identifies a sample at agents.
 func Key(row, sampleID string) string { return row + "/" + sampleID }
 
-// run tries until the sample is done, refused for good, or ctx ends.
+// run retries until the sample is delivered, refused for good, or ctx is done.
 func (t *task) run(ctx context.Context) {
-	done, reason := t.finish(ctx)
+	done, reason := t.generate(ctx)
 	if ctx.Err() != nil {
 		return
 	}
 	ev := event{refused: &refusedSample{id: t.req.ID, reason: reason}}
 	if reason == nil {
-		sample, scored := t.scored(ctx, done)
+		sample, refusal := t.score(ctx, done)
 		ev = event{sample: sample}
-		if scored != nil {
-			ev = event{refused: &refusedSample{id: t.req.ID, reason: scored}}
+		if refusal != nil {
+			ev = event{refused: &refusedSample{id: t.req.ID, reason: refusal}}
 		}
 	}
 	t.send(ctx, ev)
 }
 
-// sendPlacement tells the trainer where the sample runs now.
+// sendPlacement reports to the trainer which agent the sample runs on.
 func (t *task) sendPlacement(ctx context.Context) {
-	t.send(ctx, event{placement: &api.Placement{ID: t.req.ID, Hint: t.at.hint()}})
+	t.send(ctx, event{placement: &api.Placement{ID: t.req.ID, Hint: t.lastPeer.hint()}})
 }
 
-// send gives an event to the step. A settling event that the step did not take
+// send passes an event to the step. A result or refusal that the step did not take
 // leaves the sample unsettled.
 func (t *task) send(ctx context.Context, ev event) {
 	select {
@@ -91,35 +93,36 @@
 	}
 }
 
-// finish returns the sample's result, or the refusal that ends it.
-func (t *task) finish(ctx context.Context) (*wire.Done, *api.Refusal) {
+// generate attempts the sample until it has a fresh result, and returns the result or the
+// final refusal.
+func (t *task) generate(ctx context.Context) (*wire.Done, *api.Refusal) {
 	if hint, ok := t.s.req.Hints[t.req.ID]; ok {
-		if done := t.attachTo(ctx, hint); done != nil {
+		if done := t.attachToHint(ctx, hint); done != nil {
 			return done, nil
 		}
 	}
-	delays := retry.NewBackoff(firstDelay, mostDelay)
+	delays := retry.NewBackoff(initialDelay, maxDelay)
 	for {
-		if refusal := t.held(); refusal != nil {
+		if refusal := t.checkQuarantine(); refusal != nil {
 			return nil, refusal
 		}
 		before, began := t.progress.Tokens(), time.Now()
 		done, refusal := t.attempt(ctx)
-		t.noteEnd(refusal, time.Since(began))
+		t.reportOutcome(refusal, time.Since(began))
 		if refusal == nil && generation.Fresh(done.Spans, t.s.minVersion) {
-			t.s.noteLength(generation.CountTokens(done.Spans))
+			t.s.recordLength(generation.CountTokens(done.Spans))
 			t.s.tokens.Add(int64(generation.CountTokens(done.Spans)))
 			return done, nil
 		}
 		if refusal == nil {
-			refusal = t.stale()
+			refusal = t.discardStale()
 		}
 		if ctx.Err() != nil || !retry.Repeatable(refusal, true) {
 			return nil, refusal
 		}
-		t.count(refusal)
+		t.countRetry(refusal)
 		if refusal.Code == api.CodePreempted {
-			continue // nothing is wrong, and the placer waits for a free slot
+			continue // no failure, so no backoff: the placer waits for a free slot
 		}
 		if t.progress.Tokens() > before {
 			delays.Reset()
@@ -128,10 +131,11 @@
 	}
 }
 
-// wait waits before the next attempt: longer when attempts that ran have used up the budget.
+// wait sleeps for delay before the next attempt, or for maxDelay when the attempt may have
+// run and the retry budget is exhausted.
 func (t *task) wait(ctx context.Context, delay time.Duration, refusal *api.Refusal) {
 	if refusal.NotRun != api.NotRunTrue && !t.s.Budget.Take() {
-		delay = mostDelay
+		delay = maxDelay
 	}
 	select {
 	case <-ctx.Done():
@@ -139,7 +143,7 @@
 	}
 }
 
-// attempt places the sample and runs it, once.
+// attempt places the sample and runs it once.
 func (t *task) attempt(ctx context.Context) (*wire.Done, *api.Refusal) {
 	if !t.progress.FreshFor(t.s.minVersion) {
 		t.progress = generation.Progress{}
@@ -151,7 +155,7 @@
 		return nil, t.refusal(api.CodeCancelled, err, api.NotRunUnknown)
 	}
 	defer pl.end()
-	t.at = peerOf(pl.agent)
+	t.lastPeer = peerOf(pl.agent)
 	t.sendPlacement(ctx)
 	done, refusal, last := t.runMovable(ctx, pl)
 	if refusal == nil {
@@ -166,7 +170,7 @@
 	return done, refusal
 }
 
-// routeRequest says which agents can take the sample; any goroutine may call it.
+// routeRequest describes the agents that can take the sample; any goroutine may call it.
 func (t *task) routeRequest() *routing.Request {
 	return &routing.Request{
 		Model: t.s.row.Model, Zone: t.s.Zone, MinVersion: t.s.minVersion,
@@ -174,20 +178,21 @@
 	}
 }
 
-// reattach asks an agent whose stream broke for the run, which goes on there
-// when only the connection was lost.
-func (t *task) reattach(ctx context.Context, a *membership.Agent, broke *api.Refusal) (*wire.Done, *api.Refusal) {
+// reattach reconnects to a run whose stream broke: the run continues at the agent when only
+// the connection was lost. On failure it returns brokenStream, the original refusal.
+func (t *task) reattach(ctx context.Context, a *membership.Agent, brokenStream *api.Refusal) (*wire.Done, *api.Refusal) {
 	a.Sends.Begin()
 	defer a.Sends.End()
 	done, refusal := t.attach(ctx, a)
 	if refusal != nil {
-		return nil, broke
+		return nil, brokenStream
 	}
 	return done, nil
 }
 
-// attachTo asks the agent that an earlier session placed the sample at.
-func (t *task) attachTo(ctx context.Context, hint string) *wire.Done {
+// attachToHint attaches to the run at the agent on which an earlier session placed the
+// sample; nil when the agent has no fresh result.
+func (t *task) attachToHint(ctx context.Context, hint string) *wire.Done {
 	p, err := parseHint(hint)
 	if err != nil {
 		t.s.Log.WithError(err).WithField("sample", t.req.ID).Warn("placement hint ignored")
@@ -199,7 +204,7 @@
 	}
 	a.Sends.Begin()
 	defer a.Sends.End()
-	t.at = p
+	t.lastPeer = p
 	done, refusal := t.attach(ctx, a)
 	if refusal != nil || !generation.Fresh(done.Spans, t.s.minVersion) {
 		return nil
@@ -207,30 +212,30 @@
 	return done
 }
 
-// attach waits for a run that an agent may have. An agent that does not show
-// the run's text so far within attachTimeout is left, and told to forget it.
+// attach waits for the result of a run that an agent may have. If the agent does not send
+// the text so far within attachTimeout, the run is abandoned.
 func (t *task) attach(ctx context.Context, a *membership.Agent) (*wire.Done, *api.Refusal) {
 	t.s.Counters.Retry(t.s.row.Name, string(retry.ReasonAttach))
 	run := t.newRun()
 	run.AttachOnly = true
-	l := t.startLeg(ctx, a, run, t.progress.Clone(), func() {})
+	r := t.startRun(ctx, a, run, t.progress.Clone(), func() {})
 	timer := time.NewTimer(attachTimeout)
 	defer timer.Stop()
 	select {
-	case <-l.producing:
-		<-l.ended
-	case <-l.ended:
+	case <-r.producing:
+		<-r.finished
+	case <-r.finished:
 	case <-timer.C:
-		l.stop()
+		r.stop()
 		t.s.abandon(peerOf(a), t.key)
 	}
-	t.progress = l.text()
-	return l.done, l.refusal
+	t.progress = r.snapshot()
+	return r.done, r.refusal
 }
 
 func (t *task) newRun() *wire.Run { return t.runAfter(&t.progress) }
 
-// runAfter is a run that goes on after a text.
+// runAfter returns a run that resumes after a text.
 func (t *task) runAfter(text *generation.Progress) *wire.Run {
 	return &wire.Run{
 		RunID: uuid.NewString(), Key: t.key, Row: t.s.row.Name, Class: wire.ClassTraining,
@@ -244,10 +249,10 @@
 	}
 }
 
-// priority orders the samples that wait for an agent: those that an agent or
-// engine lost in mid-run first, then those that have not begun, then those that
-// were parked. When the trainer waits for all samples, the longest go first
-// within a level; else the shortest do.
+// priority orders the samples that wait for an agent: first those interrupted by a failure
+// of an agent or engine, then those that have not started, then those that were parked.
+// When the trainer waits for all samples, the longest go first within a level; else, and
+// among parked samples, the shortest do.
 func (t *task) priority() priority {
 	pr := priority{level: levelFresh, work: t.remaining()}
 	switch {
@@ -262,7 +267,7 @@
 	return pr
 }
 
-// remaining is the expected remaining work in tokens.
+// remaining returns the expected remaining work in tokens, at least 1.
 func (t *task) remaining() int {
 	expected := t.req.ExpectedTokens
 	if expected == 0 {
@@ -271,8 +276,8 @@
 	return max(1, expected-t.progress.Tokens())
 }
 
-// stale drops a result whose weights were too old.
-func (t *task) stale() *api.Refusal {
+// discardStale drops a result of weights that are too old, and returns the refusal for it.
+func (t *task) discardStale() *api.Refusal {
 	t.progress = generation.Progress{}
 	return t.refusal(api.CodeStale, errStale, api.NotRunFalse)
 }
@@ -290,8 +295,8 @@
 	api.CodeStale:          retry.ReasonStale,
 }
 
-// count counts a retry by its reason.
-func (t *task) count(refusal *api.Refusal) {
+// countRetry counts and logs a retry by its reason.
+func (t *task) countRetry(refusal *api.Refusal) {
 	reason, ok := reasonByCode[refusal.Code]
 	switch {
 	case refusal.Step == stepPark:
@@ -300,11 +305,11 @@
 		reason = retry.ReasonRefused
 	}
 	t.s.Counters.Retry(t.s.row.Name, string(reason))
-	t.s.Log.WithError(refusal).WithField("sample", t.req.ID).Debug("sample is tried again")
+	t.s.Log.WithError(refusal).WithField("sample", t.req.ID).Debug("retrying sample")
 }
 
-// scored makes the sample and has it scored where its row says so.
-func (t *task) scored(ctx context.Context, done *wire.Done) (*api.Sample, *api.Refusal) {
+// score builds the sample from its result, and has it scored when its row names a scorer.
+func (t *task) score(ctx context.Context, done *wire.Done) (*api.Sample, *api.Refusal) {
 	sample := &api.Sample{
 		ID: t.req.ID, Group: t.req.Group, Text: done.Text,
 		Tokens: generation.CountTokens(done.Spans), FinishReason: done.FinishReason,
