--- a/service/agent/agent.go
+++ b/service/agent/agent.go
@@ -18,7 +18,7 @@
 	"mulberryscale.example/wire"
 )
 
-// sweepInterval is how often ended results are looked through.
+// sweepInterval is the time between two sweeps of the result store for expired results.
 const sweepInterval = time.Second
 
 // Agent serves one endpoint. It is safe for concurrent use.
@@ -28,15 +28,15 @@
 	log         *logrus.Entry
 	results     *results.Store
 
-	changed *signal // the report changed
-	urgent  *signal // the report changed in a way that routing must know at once
-	settled *signal // a job or an answer ended
+	changed  *signal // the report changed; watchers are sent the new one
+	urgent   *signal // the report changed in a way that routing must learn without delay
+	finished *signal // a job or a reply finished
 
 	pollNow        chan struct{}
 	drainRequested chan struct{}
 	drainOnce      sync.Once
-	spread         *tablesync.Spread // nil without a dialer
-	spreading      spreading
+	tableSpread    *tablesync.Spread // nil without a Dialer
+	distribution   distribution
 	tasks          sync.WaitGroup
 
 	mu        sync.Mutex
@@ -44,14 +44,15 @@
 	jobs      map[*results.Run]*job
 	engine    engineState
 	draining  bool
-	answering int // runs that are being answered
+	answering int // requests for runs whose replies are being sent
 	reports   uint64
-	fence     uint64 // fencing number of this incarnation, 0 until there is one
+	fence     uint64 // fencing number for this agent's orders, 0 until it is drawn
 	rand      *rand.Rand
-	base      context.Context // ends with Run; jobs run under it
+	base      context.Context // canceled when Run returns; parent of the jobs' contexts
 }
 
-// New checks the configuration and makes an agent; Run starts it.
+// New returns an agent for the configuration, or an error if that is invalid. Run
+// starts the agent.
 func New(cfg Config) (*Agent, error) {
 	if err := cfg.check(); err != nil {
 		return nil, trace.Wrap(err, "agent: settings")
@@ -71,7 +72,7 @@
 		results:        results.New(results.Options{Peer: cfg.ID, MaxBytes: cfg.MaxResultBytes, MaxKeys: cfg.MaxKeys}),
 		changed:        newSignal(),
 		urgent:         newSignal(),
-		settled:        newSignal(),
+		finished:       newSignal(),
 		pollNow:        make(chan struct{}, 1),
 		drainRequested: make(chan struct{}),
 		queue: admission.New(admission.Options{
@@ -83,9 +84,9 @@
 		rand: rand.New(rand.NewPCG(seed, 0)),
 	}
 	if cfg.Dialer != nil {
-		a.spread = a.newSpread()
+		a.tableSpread = a.newTableSpread()
 	}
-	a.spreading = a.newSpreading()
+	a.distribution = a.newDistribution()
 	a.engine.models = make(map[string]*modelState)
 	if cfg.Service != nil {
 		a.engine.healthy = true
@@ -98,25 +99,25 @@
 	return a, nil
 }
 
-// ID is the agent's instance id.
+// ID returns the agent's instance id.
 func (a *Agent) ID() string { return a.cfg.ID }
 
-// Incarnation is the random number of this start, or a later one that was
-// taken when the memory of keys had filled.
-func (a *Agent) Incarnation() string { return a.incarnation.now() }
+// Incarnation returns the agent's current incarnation id, which is random. It
+// changes with each start of the process and when the memory of keys has filled.
+func (a *Agent) Incarnation() string { return a.incarnation.get() }
 
-// Addr is where the agent listens, "ip:port".
+// Addr returns the agent's listen address, "ip:port".
 func (a *Agent) Addr() string { return a.cfg.Listener.Addr() }
 
-// Run serves until ctx ends; it cuts off what still runs then, so a planned
-// stop calls Drain first. The error is the listener's.
+// Run serves requests until ctx is done, then cancels the jobs that still run; call
+// Drain first for a graceful stop. The error is the listener's.
 func (a *Agent) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	a.mu.Lock()
 	a.base = ctx
 	a.mu.Unlock()
 	a.background(ctx)
-	a.log.WithField(observe.FieldPeer, a.Addr()).Info("agent serves")
+	a.log.WithField(observe.FieldPeer, a.Addr()).Info("agent is serving")
 	err := a.cfg.Listener.Serve(ctx, a.handle)
 	stop()
 	a.tasks.Wait()
@@ -128,11 +129,11 @@
 
 func (a *Agent) background(ctx context.Context) {
 	a.tasks.Go(func() { a.sweep(ctx) })
-	a.tasks.Go(func() { a.followTable(ctx) })
-	if a.spread != nil {
-		a.tasks.Go(func() { a.spread.Run(ctx) })
+	a.tasks.Go(func() { a.watchTable(ctx) })
+	if a.tableSpread != nil {
+		a.tasks.Go(func() { a.tableSpread.Run(ctx) })
 	}
-	a.spreading.run(ctx, a)
+	a.distribution.run(ctx, a)
 	if a.cfg.Engine == nil {
 		return
 	}
@@ -142,7 +143,7 @@
 	}
 	a.tasks.Go(func() { a.acquireFence(ctx) })
 	if a.cfg.Targets != nil {
-		a.tasks.Go(func() { a.followTargets(ctx) })
+		a.tasks.Go(func() { a.pollTargets(ctx) })
 	}
 }
 
@@ -156,7 +157,7 @@
 		case now := <-ticker.C:
 			a.results.Sweep(now)
 			if a.results.Crowded() {
-				a.renew()
+				a.renewIncarnation()
 			}
 		}
 	}
@@ -171,19 +172,20 @@
 	}
 }
 
-// refuse makes a refusal of this agent.
+// refuse returns a refusal that names this agent as the peer.
 func (a *Agent) refuse(code api.Code, notRun api.NotRun, step, message string) *api.Refusal {
 	return &api.Refusal{Code: code, Message: message, NotRun: notRun, Step: step, Peer: a.cfg.ID}
 }
 
-// refuseRetry is refuse for what another attempt can mend.
+// refuseRetry is like refuse, for errors that a retry may resolve; it sets RetryAfter.
 func (a *Agent) refuseRetry(code api.Code, notRun api.NotRun, step, message string) *api.Refusal {
 	r := a.refuse(code, notRun, step, message)
 	r.RetryAfter = DefaultRetryAfter
 	return r
 }
 
-// jitter spreads a duration over half to one and a half of itself. The caller holds a.mu.
+// jitter returns a random duration between half of d and one and a half times d. The
+// caller holds a.mu.
 func (a *Agent) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(a.rand.Int64N(int64(d)+1))
 }
--- a/service/agent/config.go
+++ b/service/agent/config.go
@@ -35,84 +35,90 @@
 	DefaultRetryAfter         = time.Second
 )
 
-// Config is what an agent is made of. Zero values of durations and limits mean
-// their defaults.
+// Config configures an agent. Durations and limits that are zero take their
+// defaults.
 type Config struct {
-	// ID is the agent's instance id, as in its certificate, and Zone its availability zone.
+	// ID is the agent's instance id, which its certificate names too. Zone is its
+	// availability zone.
 	ID   string
 	Zone string
-	// Incarnation is drawn at random when empty.
+	// Incarnation is the first incarnation id; a random one is used when it is empty.
 	Incarnation string
-	// Listener serves our processes; Dialer pulls the table from them, and may be nil.
+	// Listener accepts streams from the service's other processes. Dialer connects to
+	// them, to pull the table; it may be nil.
 	Listener transport.Listener
 	Dialer   transport.Dialer
 	// Exactly one of Engine and Service is set.
 	Engine  endpoint.Engine
 	Service endpoint.Service
-	// Services are the rows of the plain services that Service serves.
+	// Services lists the rows that Service serves.
 	Services []string
-	// Models are loaded as soon as a version is published, besides those
-	// that the engine has already.
+	// Models lists models to load as soon as a version of them is published, in
+	// addition to those that the engine already has.
 	Models []string
 	Holder *tablesync.Holder
-	// Targets tells the newest published weights and Fencer gives fencing
-	// numbers for orders. Without both, the agent orders no weights.
+	// Targets returns the newest published versions, and Fencer issues the fencing
+	// numbers of orders. Unless both are set, the agent orders no weights.
 	Targets Targets
 	Fencer  Fencer
-	// Instances names the other agents, to whom news of weights is passed on,
-	// and Weights is where parts come from that no peer has. With both, an
-	// order goes out when all parts of its version were fetched and checked.
+	// Instances lists the other agents, which are notified of new versions. Weights is
+	// the store from which parts are read that no peer has. With both, a version is
+	// only ordered after all its parts have been fetched and checked.
 	Instances platform.InstanceList
 	Weights   platform.WeightStore
 	Logger    *logrus.Logger
 	Counters  *observe.Counters
-	// Seed makes the jitter repeatable; 0 draws one.
+	// Seed seeds the jitter, to make it repeatable; 0 means a random seed.
 	Seed uint64
 
-	// InteractiveReserve is how many slots stay free of training while
-	// interactive rows are active, on top of what preemption gives them.
+	// InteractiveReserve is the number of slots that training may not use while
+	// interactive rows are active, in addition to preemption.
 	InteractiveReserve int
-	// NoPreemption lets interactive requests wait for the end of a sample.
+	// NoPreemption disables preemption: an interactive request then waits until a
+	// running sample finishes.
 	NoPreemption bool
-	// MaxQueue bounds the waiting requests of all rows.
+	// MaxQueue is the largest number of queued requests of all rows together.
 	MaxQueue int
-	// ServiceConcurrency is how many calls of a plain service run at once.
+	// ServiceConcurrency is the number of calls that a plain service runs concurrently.
 	ServiceConcurrency int
-	// MaxRequestBytes bounds a request's prompt or body, MaxAnswerBytes an answer.
+	// MaxRequestBytes limits the size of a request: its keys with its prompt and prefix,
+	// or with its path, header and body. MaxAnswerBytes limits the size of an answer.
 	MaxRequestBytes int
 	MaxAnswerBytes  int
-	// MaxResultBytes bounds the kept results.
+	// MaxResultBytes limits the total size of retained results.
 	MaxResultBytes int
-	// MaxKeys bounds the keys that are remembered for an incarnation; see results.Options.
+	// MaxKeys limits the number of keys remembered in one incarnation; see results.Options.
 	MaxKeys int
-	// Budget is the deadline of a request that names none.
+	// Budget is the time limit of a request when neither it nor its row has one.
 	Budget time.Duration
 
-	// HandOverTimeout is how long a drain waits for results that nobody has fetched yet.
+	// HandOverTimeout is how long a drain waits until clients have fetched the finished
+	// results.
 	HandOverTimeout time.Duration
-	// PollInterval is how often the engine is asked for its status, and
-	// PollTimeout how long it may take to answer.
+	// PollInterval is the time between two status requests to the engine, and
+	// PollTimeout the time limit of each.
 	PollInterval time.Duration
 	PollTimeout  time.Duration
-	// StallTimeout is how long an engine may fail to answer before its
-	// running streams are given up.
+	// StallTimeout is how long the engine's status requests may keep failing before
+	// its running streams are canceled.
 	StallTimeout time.Duration
-	// TargetInterval is how often Targets is asked at most, with jitter, and
-	// StoreReads how often a second all agents that are known ask together.
+	// TargetInterval is the shortest time between two polls of Targets, before jitter.
+	// StoreReads is the number of polls a second of all known agents together.
 	TargetInterval time.Duration
 	StoreReads     float64
-	// FetchTimeout bounds one try to fetch all parts of a version.
+	// FetchTimeout is the time limit of one attempt to fetch all parts of a version.
 	FetchTimeout time.Duration
-	// SwapWindow is the time over which a rolling swap goes from engine to engine.
+	// SwapWindow is the time over which a rolling swap spreads the engines' orders.
 	SwapWindow time.Duration
-	// FenceFreshness is how old the last check of the own fencing number may be
-	// when an order goes to an engine that does not check it.
+	// FenceFreshness is the maximum age of this agent's last check of its fencing number
+	// when an order goes to an engine that does not check the number itself.
 	FenceFreshness time.Duration
-	// LoadTimeout is how long an order may take.
+	// LoadTimeout is the time limit of an order, and of a load that the engine reports.
 	LoadTimeout time.Duration
-	// SettleTime is how long after an order the status may still show the old weights.
+	// SettleTime is how long after an order the engine's status may still show the old
+	// weights.
 	SettleTime time.Duration
-	// MinBackoff and MaxBackoff bound the time between failed orders.
+	// MinBackoff and MaxBackoff bound the backoff after a failed order.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
 }
--- a/service/agent/confirm.go
+++ b/service/agent/confirm.go
@@ -7,14 +7,15 @@
 	"mulberryscale.example/observe"
 )
 
-// fenceReader is a Fencer that also tells the newest number drawn.
+// fenceReader is implemented by a Fencer that can also read the newest number
+// drawn, without drawing one.
 type fenceReader interface {
 	Newest(ctx context.Context) (uint64, error)
 }
 
-// fenceConfirmed says whether an order may rely on this agent's fencing number:
-// the engine checks the number itself, or a short time ago no newer one had
-// been drawn. The caller holds a.mu.
+// fenceConfirmed reports whether an order may be sent with this agent's fencing
+// number: either the engine checks the number itself, or a check within
+// FenceFreshness found no newer one. The caller holds a.mu.
 func (a *Agent) fenceConfirmed(now time.Time) bool {
 	if _, ok := a.cfg.Fencer.(fenceReader); !ok || a.engine.checksFence {
 		return true
@@ -22,8 +23,8 @@
 	return now.Sub(a.engine.fenceCheckedAt) <= a.cfg.FenceFreshness
 }
 
-// startFenceCheck asks in the background whether a newer number was drawn, and
-// lets the models be considered again. The caller holds a.mu.
+// startFenceCheck checks in the background whether a newer fencing number was
+// drawn, and if not reconciles all models. The caller holds a.mu.
 func (a *Agent) startFenceCheck(now time.Time) {
 	if a.engine.fenceChecking || now.Before(a.engine.fenceCheckAfter) || a.base == nil || a.base.Err() != nil {
 		return
@@ -51,19 +52,20 @@
 	}
 	a.engine.fenceCheckedAt = began
 	for name := range a.engine.models {
-		a.consider(time.Now(), name)
+		a.reconcile(time.Now(), name)
 	}
 }
 
-// supersede ends this agent's orders. The caller holds a.mu.
+// supersede stops this agent from giving orders: a newer agent of the engine has
+// drawn a larger fencing number. The caller holds a.mu.
 func (a *Agent) supersede() {
 	a.engine.superseded = true
 	a.log.Error("a newer agent gives this engine its orders; this one gives no more")
 }
 
-// stillConfirmed looks once more right before an order is sent, since the
-// process may have been frozen meanwhile. An order that is not sent leaves the
-// model as its next status shows it.
+// stillConfirmed repeats the check of fenceConfirmed right before an order is
+// sent, since the process may have been frozen in between. If it fails, the order
+// is dropped and the model's state follows the next status.
 func (a *Agent) stillConfirmed(m *modelState) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,7 +75,7 @@
 	}
 	a.cfg.Counters.Add(observe.NameOrdersFailed, "", 1)
 	m.ordering = false
-	if a.spreading.relay != nil {
+	if a.distribution.relay != nil {
 		m.fetched = m.ordered
 	}
 	m.ordered = 0
--- a/service/agent/distribution.go
+++ b/service/agent/distribution.go
@@ -13,74 +13,78 @@
 	"mulberryscale.example/wire"
 )
 
-// stepSpread is the step of refusals of weight parts.
+// stepSpread is the processing step that refusals of weight parts name.
 const stepSpread = "agent.weights"
 
-// spreading is what an agent passes on of new weights; its fields are nil for
-// an agent that does not know the instance list, and relay also without a store.
-type spreading struct {
+// distribution holds an agent's side of the distribution of weights among peers. Its
+// fields are nil for an agent without an instance list or a dialer; relay is also nil
+// without a weight store or an engine.
+type distribution struct {
 	peers *weights.PeerList
 	news  *weights.News
 	relay *weights.Relay
 }
 
-func (a *Agent) newSpreading() spreading {
+func (a *Agent) newDistribution() distribution {
 	if a.cfg.Instances == nil || a.cfg.Dialer == nil {
-		return spreading{}
+		return distribution{}
 	}
-	s := spreading{peers: weights.NewPeerList(a.cfg.Instances, a.cfg.ID, a.log, a.cfg.Seed)}
-	s.news = weights.NewNews(weights.NewsConfig{
+	d := distribution{peers: weights.NewPeerList(a.cfg.Instances, a.cfg.ID, a.log, a.cfg.Seed)}
+	d.news = weights.NewNews(weights.NewsConfig{
 		Header: a.header,
 		Dialer: a.cfg.Dialer,
-		Peers:  s.peers.All,
-		Below:  func(model string, version uint64) []platform.Instance { return a.place(model, version).Children },
-		Heard:  a.learn,
+		Peers:  d.peers.All,
+		Below:  func(model string, version uint64) []platform.Instance { return a.treePlace(model, version).Children },
+		Heard:  a.updateTarget,
 		Seed:   a.cfg.Seed,
 		Log:    a.log,
 	})
 	if a.cfg.Weights == nil || a.cfg.Engine == nil {
-		return s
+		return d
 	}
-	s.relay = weights.NewRelay(weights.RelayConfig{
+	d.relay = weights.NewRelay(weights.RelayConfig{
 		Self:   a.instance(),
 		Header: a.header,
 		Dialer: a.cfg.Dialer,
 		Store:  a.cfg.Weights,
-		Peers:  s.peers,
+		Peers:  d.peers,
 		Wanted: a.standing,
 		Seed:   a.cfg.Seed,
 		Log:    a.log,
 	})
-	return s
+	return d
 }
 
-func (s *spreading) run(ctx context.Context, a *Agent) {
-	if s.peers == nil {
+func (d *distribution) run(ctx context.Context, a *Agent) {
+	if d.peers == nil {
 		return
 	}
-	a.tasks.Go(func() { s.peers.Run(ctx) })
-	a.tasks.Go(func() { s.news.Run(ctx) })
+	a.tasks.Go(func() { d.peers.Run(ctx) })
+	a.tasks.Go(func() { d.news.Run(ctx) })
 }
 
 func (a *Agent) instance() platform.Instance {
 	return platform.Instance{ID: a.cfg.ID, Role: platform.RoleAgent, Zone: a.cfg.Zone, Addr: a.Addr(), State: platform.InstanceLive}
 }
 
-// LearnTarget tells the agent of a published version. Older ones are passed over.
+// LearnTarget notifies the agent that a version was published. It ignores versions
+// that are not newer than the model's target.
 func (a *Agent) LearnTarget(model string, version uint64) {
-	if a.spreading.news != nil {
-		a.spreading.news.Learn(model, version)
+	if a.distribution.news != nil {
+		a.distribution.news.Learn(model, version)
 	}
-	// Learn calls learn too, but perhaps in another goroutine that is not done yet.
-	a.learn(model, version)
+	// Learn calls updateTarget too, but for a version that it knows already that call
+	// may still be going on in another goroutine.
+	a.updateTarget(model, version)
 }
 
-// learn makes a published version the model's target, if it is served here.
-func (a *Agent) learn(model string, version uint64) {
-	if !a.isNews(model, version) {
+// updateTarget makes a published version the model's target if the model is served
+// here and the version is newer than its target.
+func (a *Agent) updateTarget(model string, version uint64) {
+	if !a.isNewTarget(model, version) {
 		return
 	}
-	turn := a.turnOf(model, version) // takes milliseconds with thousands of peers
+	delay := a.swapDelay(model, version) // before locking: takes milliseconds with thousands of peers
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	m, ok := a.engine.models[model]
@@ -89,40 +93,41 @@
 	}
 	m.target = version
 	m.learnedAt = time.Now()
-	m.turn = turn
+	m.swapDelay = delay
 	m.fetchAfter = time.Time{}
-	a.consider(m.learnedAt, model)
+	a.reconcile(m.learnedAt, model)
 }
 
-func (a *Agent) isNews(model string, version uint64) bool {
+func (a *Agent) isNewTarget(model string, version uint64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	m, ok := a.engine.models[model]
 	return ok && version > m.target
 }
 
-// turnOf is the agent's turn in a rolling swap; without peers it is at once.
-func (a *Agent) turnOf(model string, version uint64) time.Duration {
-	if a.spreading.peers == nil {
+// swapDelay returns how long after learning of a version this agent waits in a
+// rolling swap. It is 0 without peers.
+func (a *Agent) swapDelay(model string, version uint64) time.Duration {
+	if a.distribution.peers == nil {
 		return 0
 	}
-	place := a.place(model, version)
+	place := a.treePlace(model, version)
 	return weights.Turn(place.Rank, place.Agents, a.cfg.SwapWindow)
 }
 
-// place is where this agent stands in the tree of a version.
-func (a *Agent) place(model string, version uint64) weights.Place {
-	listed := a.spreading.peers.Serving(time.Now(), model)
+// treePlace returns this agent's place in the distribution tree of a version.
+func (a *Agent) treePlace(model string, version uint64) weights.Place {
+	listed := a.distribution.peers.Serving(time.Now(), model)
 	return weights.TreePlace(a.instance(), model, version, listed, weights.DefaultFanout)
 }
 
-// recall gives a model that the engine has begun to show what was heard of it
-// before. The caller holds a.mu.
-func (a *Agent) recall(now time.Time, m *modelState) {
-	if a.spreading.news == nil {
+// restoreTarget sets the target of a model that has just appeared in the engine's
+// status to the newest version heard of before. The caller holds a.mu.
+func (a *Agent) restoreTarget(now time.Time, m *modelState) {
+	if a.distribution.news == nil {
 		return
 	}
-	for _, p := range a.spreading.news.Known() {
+	for _, p := range a.distribution.news.Known() {
 		if p.Model == m.model && p.Version > m.target {
 			m.target = p.Version
 			m.learnedAt = now
@@ -130,8 +135,8 @@
 	}
 }
 
-// standing says how this agent stands to a version that a peer asks for, and
-// learns of it.
+// standing returns whether this agent serves, is fetching or no longer has a version
+// that a peer asks for. The version was published, so it may become the target.
 func (a *Agent) standing(model string, version uint64) weights.Standing {
 	a.LearnTarget(model, version)
 	a.mu.Lock()
@@ -146,11 +151,11 @@
 	return weights.Passed
 }
 
-// orderable is the version that can be ordered now, 0 for none: the wanted one,
-// or the one whose parts are all here.
+// orderable returns the version that can be ordered now, 0 for none: without a relay
+// the wanted version, otherwise the one whose parts have all been fetched.
 func (a *Agent) orderable(m *modelState) uint64 {
 	wanted := max(m.target, m.version)
-	if a.spreading.relay == nil {
+	if a.distribution.relay == nil {
 		return wanted
 	}
 	if m.fetched < m.version {
@@ -159,15 +164,17 @@
 	return m.fetched
 }
 
-// fetchIfNeeded begins to fetch the wanted version, or gives up the fetch of an
-// older one for it. An order uses the fetched parts up. The caller holds a.mu.
+// fetchIfNeeded starts to fetch the wanted version if it is neither loaded, fetched
+// nor being fetched, and cancels the fetch of an older one. A version that is loaded
+// but has to be loaded again is fetched again, since an order consumes the fetched
+// parts. The caller holds a.mu.
 func (a *Agent) fetchIfNeeded(now time.Time, m *modelState) {
 	wanted := max(m.target, m.version)
-	lost := m.machine.State() == phaseQuarantined || m.version == 0
-	if a.spreading.relay == nil || a.base == nil || a.base.Err() != nil || wanted == 0 {
+	reload := m.machine.State() == phaseQuarantined || m.version == 0
+	if a.distribution.relay == nil || a.base == nil || a.base.Err() != nil || wanted == 0 {
 		return
 	}
-	if (wanted == m.version && !lost) || m.fetched == wanted || m.fetching == wanted || m.ordering || now.Before(m.fetchAfter) {
+	if (wanted == m.version && !reload) || m.fetched == wanted || m.fetching == wanted || m.ordering || now.Before(m.fetchAfter) {
 		return
 	}
 	if m.stopFetch != nil {
@@ -181,12 +188,12 @@
 func (a *Agent) fetch(ctx context.Context, cancel context.CancelFunc, m *modelState, version uint64) {
 	defer cancel()
 	began := time.Now()
-	err := a.spreading.relay.Fetch(ctx, m.model, version)
+	err := a.distribution.relay.Fetch(ctx, m.model, version)
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if m.fetching != version {
-		return // a newer one took its place
+		return // superseded by the fetch of a newer version
 	}
 	m.fetching, m.stopFetch = 0, nil
 	if err != nil {
@@ -198,12 +205,12 @@
 	}
 	a.logModel(m).WithField("fetched", version).WithField("took", now.Sub(began).String()).Info("weights fetched and checked")
 	m.fetched = version
-	a.consider(now, m.model)
+	a.reconcile(now, m.model)
 }
 
-// answerPart answers a peer's question for weights.
+// answerPart serves a peer's request for a manifest or a part of weights.
 func (a *Agent) answerPart(ctx context.Context, s transport.Stream, req *wire.Request) {
-	relay := a.spreading.relay
+	relay := a.distribution.relay
 	if relay == nil {
 		a.reply(s, refused(a.refuse(api.CodeBadRequest, api.NotRunTrue, stepSpread, "weights are not served here")))
 		return
--- a/service/agent/distribution_test.go
+++ b/service/agent/distribution_test.go
@@ -164,7 +164,7 @@
 // relays sums up what the nodes fetched and served.
 func (f *fleet) relays() (peer, store int64) {
 	for _, n := range f.nodes {
-		s := n.agent.spreading.relay.Stats()
+		s := n.agent.distribution.relay.Stats()
 		peer += s.PeerParts
 		store += s.StoreParts
 	}
--- a/service/agent/distributionfaults_test.go
+++ b/service/agent/distributionfaults_test.go
@@ -12,14 +12,14 @@
 func (f *fleet) byRank(version uint64) []*node {
 	ranked := make([]*node, len(f.nodes))
 	for _, n := range f.nodes {
-		ranked[n.agent.place(model, version).Rank] = n
+		ranked[n.agent.treePlace(model, version).Rank] = n
 	}
 	return ranked
 }
 
 // untilHalf waits until a node has fetched half of the parts from the store.
 func (f *fleet) untilHalf(n *node, parts int64) {
-	for n.agent.spreading.relay.Stats().StoreParts < parts/2 {
+	for n.agent.distribution.relay.Stats().StoreParts < parts/2 {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -87,7 +87,7 @@
 					t.Fatalf("%d parts came from the store, want at most %d", store, c.storeParts)
 				}
 				for _, n := range left {
-					if s := n.agent.spreading.relay.Stats(); s.PeakBytes > spread.DefaultWindow*partBytes {
+					if s := n.agent.distribution.relay.Stats(); s.PeakBytes > spread.DefaultWindow*partBytes {
 						t.Fatalf("%s held %d bytes", n.id, s.PeakBytes)
 					}
 				}
--- a/service/agent/doc.go
+++ b/service/agent/doc.go
@@ -1,8 +1,9 @@
-// Package agent is the small process beside each endpoint and the only way to
-// it. An agent holds the endpoint's queue (package admission) and the results
-// of its runs (package results), orders new weights on a model engine, and
-// reports its state to the entry instances that watch it.
+// Package agent implements the agent: a small process that runs beside each
+// endpoint and through which all requests reach it. An agent keeps the
+// endpoint's queue (package admission) and the results of its runs (package
+// results), orders a model engine to load new weights, and reports its state to
+// the entry instances that watch it.
 //
-// An agent keeps nothing: what it knows ends with its incarnation, and callers
-// that rely on its memory name the incarnation they mean.
+// An agent has no persistent state. Its memory of keys and results is lost on a
+// restart, so requests that rely on that memory name an incarnation of the agent.
 package agent
--- a/service/agent/drain.go
+++ b/service/agent/drain.go
@@ -10,13 +10,13 @@
 	"mulberryscale.example/wire"
 )
 
-// Drain stops the agent gracefully: watchers learn of it at once, new runs and
-// waiting samples are refused as not run, so that they are placed elsewhere.
-// Running ones and waiting interactive ones, which may have nowhere to go when
-// everything stops at once, end and are answered; they can be attached to until
-// then. Results that nobody has fetched are kept for
-// HandOverTimeout. It returns when nothing runs any more; the caller then ends Run's
-// context. The error is the context's.
+// Drain prepares a graceful stop. It notifies the watchers at once and refuses new
+// runs and queued training samples as not run, so that they are placed elsewhere.
+// Running requests, and queued interactive ones, which may have no other endpoint
+// when all agents stop at once, are completed and answered, and readers may attach
+// to them until then. Finished results are kept until they have been fetched, for at
+// most HandOverTimeout. Drain returns when no job and no reply is left; the caller
+// then cancels Run's context. The error is ctx's.
 func (a *Agent) Drain(ctx context.Context) error {
 	a.beginDrain("")
 	if err := a.awaitIdle(ctx); err != nil {
@@ -26,19 +26,19 @@
 	return a.awaitIdle(ctx)
 }
 
-// handOver waits until all results have been fetched, for at most HandOverTimeout.
+// handOver waits until all results have been delivered, for at most HandOverTimeout.
 func (a *Agent) handOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, a.cfg.HandOverTimeout)
 	defer cancel()
 	for {
-		settled := a.settled.Wait()
+		settled := a.finished.Wait()
 		if a.results.Undelivered() == 0 {
 			return
 		}
 		select {
 		case <-settled:
 		case <-ctx.Done():
-			a.log.WithField("results", a.results.Undelivered()).Warn("agent stops with results that nobody fetched")
+			a.log.WithField("results", a.results.Undelivered()).Warn("agent stops with undelivered results")
 			return
 		}
 	}
@@ -46,7 +46,7 @@
 
 func (a *Agent) awaitIdle(ctx context.Context) error {
 	for {
-		settled := a.settled.Wait()
+		settled := a.finished.Wait()
 		if a.idle() {
 			return nil
 		}
@@ -58,14 +58,14 @@
 	}
 }
 
-// RequestDrain stops taking new work and closes DrainRequested, on which the
-// daemon calls Drain and ends.
+// RequestDrain makes the agent refuse new work and closes the channel of
+// DrainRequested, upon which the daemon calls Drain and exits.
 func (a *Agent) RequestDrain(reason string) {
 	a.beginDrain(reason)
 	a.drainOnce.Do(func() { close(a.drainRequested) })
 }
 
-// DrainRequested is closed when a peer has asked the agent to drain.
+// DrainRequested returns a channel that is closed once a peer has requested a drain.
 func (a *Agent) DrainRequested() <-chan struct{} { return a.drainRequested }
 
 func (a *Agent) beginDrain(reason string) {
@@ -77,12 +77,12 @@
 	if already {
 		return
 	}
-	a.log.WithField("reason", reason).Info("agent drains")
+	a.log.WithField("reason", reason).Info("agent starts to drain")
 	a.urgent.Fire()
 	a.refuseQueued(refusal, isTraining)
 }
 
-// isTraining matches the waiting samples of trainers.
+// isTraining reports whether a queued item is a training sample.
 func isTraining(it *admission.Item) bool { return it.Class == wire.ClassTraining }
 
 func (a *Agent) drainingRefusal() *api.Refusal {
--- a/service/agent/endpointrun.go
+++ b/service/agent/endpointrun.go
@@ -16,8 +16,9 @@
 // finishLength is the finish reason of a text that reached max_tokens.
 const finishLength = "length"
 
-// generate runs a generation and returns the tokens that the engine made. A
-// prefix that has max_tokens already, since only its end was lost, is the answer.
+// generate runs a generation on the engine and returns the number of tokens that the
+// engine generated. If the prefix already has max_tokens tokens, because an earlier
+// attempt lost only the end of its stream, the prefix is the whole answer.
 func (a *Agent) generate(j *job) (tokens int) {
 	g := j.req.Generate
 	if countTokens(g.PrefixSpans) >= g.MaxTokens {
@@ -39,14 +40,15 @@
 		return 0
 	}
 	defer stream.Close()
-	// A stream that does not heed its context still ends by Close.
+	// Close also ends a stream that ignores the cancellation of its context.
 	stop := context.AfterFunc(j.ctx, func() { stream.Close() })
 	defer stop()
-	return a.follow(j, stream)
+	return a.copyStream(j, stream)
 }
 
-// follow copies the stream's chunks into the run until either ends.
-func (a *Agent) follow(j *job, stream endpoint.Stream) (tokens int) {
+// copyStream appends the stream's chunks to the run until the stream finishes or fails.
+// It returns the number of tokens received.
+func (a *Agent) copyStream(j *job, stream endpoint.Stream) (tokens int) {
 	bytes := 0
 	for {
 		chunk, err := stream.Next()
@@ -59,7 +61,7 @@
 		}
 		tokens += chunk.Tokens
 		bytes += len(chunk.Text)
-		if refusal := a.badChunk(j, chunk, bytes); refusal != nil {
+		if refusal := a.checkChunk(j, chunk, bytes); refusal != nil {
 			j.run.Fail(time.Now(), refusal)
 			return tokens
 		}
@@ -71,8 +73,9 @@
 	}
 }
 
-// badChunk refuses a chunk that may not go into the answer.
-func (a *Agent) badChunk(j *job, chunk endpoint.Chunk, bytes int) *api.Refusal {
+// checkChunk returns a refusal if the chunk must not be part of the answer: its weights
+// are too old, or the answer, of so many bytes with it, is too large.
+func (a *Agent) checkChunk(j *job, chunk endpoint.Chunk, bytes int) *api.Refusal {
 	if chunk.Tokens > 0 && chunk.Version < j.req.MinVersion {
 		return a.refuseRetry(api.CodeStale, api.NotRunFalse, stepRun, "the engine went on with weights older than the staleness bound")
 	}
@@ -82,7 +85,7 @@
 	return nil
 }
 
-// call makes a plain service's call, once.
+// call sends the job's call to the plain service; it never retries.
 func (a *Agent) call(j *job) {
 	c := j.req.Call
 	resp, err := a.cfg.Service.Call(j.ctx, endpoint.ServiceRequest{
@@ -102,7 +105,7 @@
 	j.run.FinishAnswer(time.Now(), &wire.Answer{Status: resp.Status, Header: resp.Header, Body: resp.Body})
 }
 
-// fail ends a job with the reason that its context or its endpoint gives.
+// fail fails the job's run with a refusal for err or for the cause of its context.
 func (a *Agent) fail(j *job, err error, notRun api.NotRun) {
 	if notStarted(err) {
 		notRun = api.NotRunTrue
@@ -110,29 +113,29 @@
 	if j.ctx.Err() == nil {
 		a.wakePoll() // the engine may have failed as a whole
 	}
-	refusal := a.failure(j, err, notRun)
+	refusal := a.failureRefusal(j, err, notRun)
 	refusal.EndpointEnded = notRun != api.NotRunTrue && j.ctx.Err() == nil && a.endpointEnded(j.ctx)
 	a.logRun(j).WithField(observe.FieldStep, refusal.Step).WithError(err).Info("run failed")
 	j.run.Fail(time.Now(), refusal)
 }
 
-// endpointEnded reports whether the endpoint, which has just broken a run off, has
-// ended.
+// endpointEnded reports whether the endpoint, on which a run has just failed, no
+// longer accepts connections. It is false for an endpoint that cannot be probed.
 func (a *Agent) endpointEnded(ctx context.Context) bool {
-	var beside any = a.cfg.Service
+	var client any = a.cfg.Service
 	if a.cfg.Engine != nil {
-		beside = a.cfg.Engine
+		client = a.cfg.Engine
 	}
-	prober, ok := beside.(endpoint.Prober)
+	prober, ok := client.(endpoint.Prober)
 	return ok && prober.Ended(ctx)
 }
 
-func (a *Agent) failure(j *job, err error, notRun api.NotRun) *api.Refusal {
+func (a *Agent) failureRefusal(j *job, err error, notRun api.NotRun) *api.Refusal {
 	cause := context.Cause(j.ctx)
 	switch {
 	case errors.Is(cause, errDeadline):
 		return a.refuse(api.CodeDeadline, notRun, stepRun, "the deadline passed during the run")
-	case errors.Is(cause, errUnwanted):
+	case errors.Is(cause, errAbandoned):
 		return a.refuse(api.CodeCancelled, notRun, stepRun, cause.Error())
 	case errors.Is(cause, errPreempted):
 		return a.refuseRetry(api.CodePreempted, notRun, stepRun, cause.Error())
--- a/service/agent/fencer.go
+++ b/service/agent/fencer.go
@@ -13,31 +13,31 @@
 	"mulberryscale.example/retry"
 )
 
-// Fencer gives fencing numbers; each call returns a larger one than all before
-// it, at any agent of the same engine.
+// Fencer issues fencing numbers. Next returns a larger number than all earlier calls
+// by any agent of the same engine.
 type Fencer interface {
 	Next(ctx context.Context) (uint64, error)
 }
 
-// fencePrefix begins the keys of the fencing numbers in the table service.
+// fencePrefix is the key prefix of fencing numbers in the table service.
 const fencePrefix = "fence/"
 
 // TableFencer draws fencing numbers from one record of the table service by
-// conditional writes. An agent draws one number for each incarnation, so the
-// writes grow with restarts and not with orders.
+// conditional writes. An agent draws one number each time it starts, so the number
+// of writes grows with restarts and not with orders.
 type TableFencer struct {
 	table platform.TableService
 	key   string
 	mu    sync.Mutex
 }
 
-// NewTableFencer makes a Fencer for the engine with that instance id.
+// NewTableFencer returns a Fencer for the engine with the given instance id.
 func NewTableFencer(table platform.TableService, engine string) *TableFencer {
 	return &TableFencer{table: table, key: fencePrefix + engine}
 }
 
-// Next draws the next number. When a write's reply is lost, the number may be
-// used up without being returned; the next call draws a larger one.
+// Next draws the next number. If the reply to its write is lost, it returns an error
+// although the number may have been drawn; the next call then draws a larger one.
 func (f *TableFencer) Next(ctx context.Context) (uint64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,7 +49,7 @@
 	if err == nil {
 		last, err = strconv.ParseUint(string(record.Value), 10, 64)
 		if err != nil {
-			return 0, trace.Wrap(err, "fence: %s holds no number", f.key)
+			return 0, trace.Wrap(err, "fence: invalid number in record %s", f.key)
 		}
 	} else {
 		record.ETag = ""
@@ -62,17 +62,18 @@
 	return next, nil
 }
 
-// Newest reads the newest number drawn by any agent of the engine.
+// Newest returns the newest number drawn by any agent of the engine.
 func (f *TableFencer) Newest(ctx context.Context) (uint64, error) {
 	record, err := f.table.Get(ctx, f.key)
 	if err != nil {
 		return 0, trace.Wrap(err, "fence: read %s", f.key)
 	}
 	newest, err := strconv.ParseUint(string(record.Value), 10, 64)
-	return newest, trace.Wrap(err, "fence: %s holds no number", f.key)
+	return newest, trace.Wrap(err, "fence: invalid number in record %s", f.key)
 }
 
-// acquireFence draws the incarnation's fencing number, trying until it has one.
+// acquireFence draws this agent's fencing number. It retries with backoff until it
+// succeeds or ctx is done.
 func (a *Agent) acquireFence(ctx context.Context) {
 	backoff := a.cfg.MinBackoff
 	for {
@@ -83,7 +84,7 @@
 			a.fence = fence
 			a.engine.fenceCheckedAt = began
 			for name := range a.engine.models {
-				a.consider(time.Now(), name)
+				a.reconcile(time.Now(), name)
 			}
 			a.mu.Unlock()
 			return
--- a/service/agent/gauge.go
+++ b/service/agent/gauge.go
@@ -6,16 +6,16 @@
 	"mulberryscale.example/wire"
 )
 
-// gauge is what operators see of an agent at /debug/vars.
+// gauge is an agent's state as published at /debug/vars.
 type gauge struct {
 	Report       *wire.Report          `json:"report"`
 	Phases       map[string]modelPhase `json:"phases"` // by model
 	TableVersion uint64                `json:"table_version"`
-	// ResultBytes is the memory of kept results.
+	// ResultBytes is the total size of retained results.
 	ResultBytes int `json:"result_bytes"`
-	// Superseded is true when a newer agent gives the engine its orders.
+	// Superseded is true if a newer agent gives the engine its orders.
 	Superseded bool `json:"superseded"`
-	// Weights counts what was fetched and served of new weights, nil without a relay.
+	// Weights counts the fetched and served parts of weights; nil without a relay.
 	Weights *weights.RelayStats `json:"weights,omitempty"`
 }
 
@@ -30,8 +30,8 @@
 		TableVersion: a.cfg.Holder.Version(),
 		ResultBytes:  a.results.Bytes(),
 	}
-	if a.spreading.relay != nil {
-		stats := a.spreading.relay.Stats()
+	if a.distribution.relay != nil {
+		stats := a.distribution.relay.Stats()
 		g.Weights = &stats
 	}
 	a.mu.Lock()
--- a/service/agent/incarnation.go
+++ b/service/agent/incarnation.go
@@ -6,42 +6,43 @@
 	"github.com/google/uuid"
 )
 
-// incarnation is the random number that requests name when they rely on the
-// agent's memory of keys. When that memory has filled, the agent takes another
-// number; requests that name the one before are still served, since its keys
-// are remembered too, and those that name an older one are refused.
+// incarnation is the random id that requests name if they rely on the agent's memory
+// of keys. When that memory has filled, the agent takes a new id. Requests that name
+// the previous id are still served, since the keys of both are remembered; those that
+// name an older one are refused.
 type incarnation struct {
-	// hold is read-locked while a request is checked and takes effect, so that
-	// the number does not change in between.
-	hold    sync.RWMutex
-	mu      sync.Mutex
-	current string
-	earlier string
+	// renewMu is read-locked while a request is checked and takes effect, so that the
+	// id does not change in between.
+	renewMu  sync.RWMutex
+	mu       sync.Mutex
+	current  string
+	previous string
 }
 
-func (i *incarnation) now() string {
+func (i *incarnation) get() string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.current
 }
 
-// is says whether a request that names that incarnation may rely on the
-// agent's memory; a request that names none does not.
-func (i *incarnation) is(named string) bool {
+// accepts reports whether a request that names the given incarnation can be served. A
+// request that names none does not rely on the agent's memory and is always accepted.
+func (i *incarnation) accepts(named string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return named == "" || named == i.current || named == i.earlier
+	return named == "" || named == i.current || named == i.previous
 }
 
-// renew takes another incarnation, before its memory of keys is full.
-func (a *Agent) renew() {
-	a.incarnation.hold.Lock()
-	defer a.incarnation.hold.Unlock()
+// renewIncarnation takes a new incarnation id, before the memory of keys is full, and
+// drops the keys of the one before the previous.
+func (a *Agent) renewIncarnation() {
+	a.incarnation.renewMu.Lock()
+	defer a.incarnation.renewMu.Unlock()
 	a.incarnation.mu.Lock()
-	a.incarnation.earlier = a.incarnation.current
+	a.incarnation.previous = a.incarnation.current
 	a.incarnation.current = uuid.NewString()
 	a.incarnation.mu.Unlock()
 	a.results.Turn()
-	a.log.Info("agent takes another incarnation, since its memory of keys has filled")
+	a.log.Info("memory of keys is nearly full; agent takes a new incarnation")
 	a.changed.Fire()
 }
--- a/service/agent/job.go
+++ b/service/agent/job.go
@@ -15,7 +15,7 @@
 	"mulberryscale.example/wire"
 )
 
-// job is one run on its way through the queue and the endpoint.
+// job is a run in the queue or on the endpoint.
 type job struct {
 	run    *results.Run
 	req    *wire.Run
@@ -23,44 +23,44 @@
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	timer  *time.Timer // fires at the deadline
-	queued time.Time   // when it arrived
-	// The rest is guarded by the agent's lock.
+	queued time.Time   // when it entered the queue
+	// The fields below are guarded by Agent.mu.
 	deadline time.Time
-	// started is when it got a slot, zero before; preempted says that it was
-	// told to give it up.
+	// started is when the job got a slot, zero before that. preempted is true once
+	// the job was canceled to free its slot for an interactive request.
 	started   time.Time
 	preempted bool
 }
 
-// Causes for which a job's context ends.
+// Causes of the cancellation of a job's context.
 var (
-	errDeadline = errors.New("the deadline passed")
-	errUnwanted = errors.New("nobody waits for the run any more")
-	errStalled  = errors.New("the engine stopped answering")
+	errDeadline  = errors.New("the deadline passed")
+	errAbandoned = errors.New("nobody waits for the run any more")
+	errStalled   = errors.New("the engine stopped answering")
 )
 
-// enqueue puts a new run into the queue.
+// enqueue queues a new run, or returns the refusal if the queue does not admit it.
 func (a *Agent) enqueue(now time.Time, run *results.Run, req *wire.Run) *api.Refusal {
 	a.mu.Lock()
 	if a.base == nil {
 		a.mu.Unlock()
 		return a.refuseRetry(api.CodeDraining, api.NotRunTrue, stepAdmit, "the agent does not run")
 	}
-	if a.draining { // it may have begun since the run was let in
+	if a.draining { // the drain may have begun after the check in admissionRefusal
 		defer a.mu.Unlock()
 		return a.drainingRefusal()
 	}
 	j := a.newJob(now, run, req)
 	if refusal := a.queue.Push(now, j.item); refusal != nil {
 		a.mu.Unlock()
-		j.cancel(errUnwanted)
+		j.cancel(errAbandoned)
 		return refusal
 	}
 	a.jobs[run] = j
 	j.timer = time.AfterFunc(j.deadline.Sub(now), func() { a.expire(j) })
 	a.mu.Unlock()
 	a.changed.Fire()
-	run.OnEnd(func() { a.abandon(j, errUnwanted) })
+	run.OnEnd(func() { a.abandon(j, errAbandoned) })
 	return nil
 }
 
@@ -85,7 +85,7 @@
 	return j
 }
 
-// budget is the time that the request has: its own, its row's, or the default.
+// budget returns the request's time limit: its own, else its row's, else the default.
 func (a *Agent) budget(req *wire.Run) time.Duration {
 	if req.Budget > 0 {
 		return req.Budget
@@ -106,7 +106,8 @@
 	return 1
 }
 
-// dispatch starts as many waiting runs as the endpoint has slots for.
+// dispatch starts queued runs while the endpoint has free slots, and preempts samples
+// if interactive requests are still queued then.
 func (a *Agent) dispatch() {
 	for {
 		a.mu.Lock()
@@ -114,14 +115,14 @@
 		if item != nil {
 			j := item.Value.(*job)
 			j.started = time.Now()
-			a.engine.count(item.Model, 1)
+			a.engine.addRunning(item.Model, 1)
 			a.tasks.Go(func() { a.execute(j) })
 		} else {
 			a.preempt()
 		}
 		a.mu.Unlock()
 		for _, it := range expired {
-			a.expired(it.Value.(*job))
+			a.refuseExpired(it.Value.(*job))
 		}
 		if item == nil {
 			return
@@ -129,10 +130,10 @@
 	}
 }
 
-// execute runs a job that has a slot, and gives the slot back.
+// execute runs a job that has a slot on the endpoint, and releases the slot.
 func (a *Agent) execute(j *job) {
 	tokens := 0
-	if refusal := a.stale(j); refusal != nil {
+	if refusal := a.staleRefusal(j); refusal != nil {
 		j.run.Refuse(time.Now(), refusal)
 	} else if j.run.Start() {
 		a.logRun(j).Debug("run starts")
@@ -152,8 +153,9 @@
 	return 1
 }
 
-// stale refuses a generation whose engine has too old weights, before it starts.
-func (a *Agent) stale(j *job) *api.Refusal {
+// staleRefusal returns a refusal if the engine's weights are too old for the job's
+// generation, which has not started.
+func (a *Agent) staleRefusal(j *job) *api.Refusal {
 	if j.req.Generate == nil || j.req.MinVersion == 0 {
 		return nil
 	}
@@ -166,17 +168,17 @@
 	return a.refuseRetry(api.CodeStale, api.NotRunTrue, stepQueue, "the engine's weights are older than the staleness bound")
 }
 
-// release frees the job's slot and starts what waits.
+// release frees the job's slot and starts queued runs.
 func (a *Agent) release(j *job, tokens int) {
 	a.mu.Lock()
 	a.queue.Done(time.Now(), j.item, tokens)
-	a.engine.count(j.item.Model, -1)
+	a.engine.addRunning(j.item.Model, -1)
 	a.forgetJob(j)
-	a.consider(time.Now(), j.item.Model)
+	a.reconcile(time.Now(), j.item.Model)
 	a.mu.Unlock()
-	j.cancel(errUnwanted)
+	j.cancel(errAbandoned)
 	a.changed.Fire()
-	a.settled.Fire()
+	a.finished.Fire()
 	a.dispatch()
 }
 
@@ -187,7 +189,7 @@
 	}
 }
 
-// dequeue takes a waiting job out; false says that it waits no more.
+// dequeue removes a job from the queue. It returns false if the job is not queued.
 func (a *Agent) dequeue(j *job) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -198,43 +200,44 @@
 	return true
 }
 
-// abandon takes a job out of the queue or cancels it on the endpoint.
+// abandon removes a job from the queue, or cancels it if it runs on the endpoint.
 func (a *Agent) abandon(j *job, cause error) {
 	a.dequeue(j)
 	j.cancel(cause)
 	a.changed.Fire()
-	a.settled.Fire()
+	a.finished.Fire()
 }
 
-// expire ends a job at its deadline.
+// expire refuses a queued job, or cancels a running one, when its deadline has passed.
 func (a *Agent) expire(j *job) {
 	a.mu.Lock()
 	left := time.Until(j.deadline)
-	if left > 0 { // it was extended
+	if left > 0 { // the deadline was extended
 		j.timer.Reset(left)
 		a.mu.Unlock()
 		return
 	}
 	a.mu.Unlock()
 	if a.dequeue(j) {
-		a.expired(j)
+		a.refuseExpired(j)
 		return
 	}
 	j.cancel(errDeadline)
 }
 
-// expired refuses a job whose deadline passed in the queue.
-func (a *Agent) expired(j *job) {
+// refuseExpired refuses a job that was in the queue when its deadline passed.
+func (a *Agent) refuseExpired(j *job) {
 	a.mu.Lock()
 	a.forgetJob(j)
 	a.mu.Unlock()
 	j.run.Refuse(time.Now(), a.refuse(api.CodeDeadline, api.NotRunTrue, stepQueue, "the deadline passed in the queue"))
 	j.cancel(errDeadline)
 	a.changed.Fire()
-	a.settled.Fire()
+	a.finished.Fire()
 }
 
-// extend gives a run that was attached to the longer of the two deadlines.
+// extend moves a run's deadline to budget after now, for a request that has attached
+// to the run. It never shortens the time limit; without a budget it does nothing.
 func (a *Agent) extend(now time.Time, run *results.Run, budget time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -248,11 +251,11 @@
 	}
 }
 
-// everyItem matches all items of a queue.
+// everyItem matches all queued items.
 func everyItem(*admission.Item) bool { return true }
 
-// refuseQueued takes the waiting runs that match out with one reason, so that
-// they are placed elsewhere. Match is called under the agent's lock.
+// refuseQueued removes the queued runs that match from the queue and refuses them, so
+// that they are placed elsewhere. match is called with a.mu held.
 func (a *Agent) refuseQueued(refusal *api.Refusal, match func(*admission.Item) bool) {
 	a.mu.Lock()
 	items := a.queue.Clear(match)
@@ -263,15 +266,15 @@
 	for _, it := range items {
 		j := it.Value.(*job)
 		j.run.Refuse(time.Now(), refusal)
-		j.cancel(errUnwanted)
+		j.cancel(errAbandoned)
 	}
 	if len(items) > 0 {
 		a.changed.Fire()
-		a.settled.Fire()
+		a.finished.Fire()
 	}
 }
 
-// notStarted says whether the error proves that the endpoint did not run the request.
+// notStarted reports whether the error proves that the endpoint did not run the request.
 func notStarted(err error) bool {
 	var e *endpoint.NotStartedError
 	return errors.As(err, &e)
--- a/service/agent/poll.go
+++ b/service/agent/poll.go
@@ -12,7 +12,7 @@
 	"mulberryscale.example/observe"
 )
 
-// poll asks the engine for its status until ctx ends.
+// poll requests the engine's status at intervals and on wakePoll, until ctx is done.
 func (a *Agent) poll(ctx context.Context) {
 	ticker := time.NewTicker(a.cfg.PollInterval)
 	defer ticker.Stop()
@@ -27,7 +27,7 @@
 	}
 }
 
-// wakePoll makes the next status due now.
+// wakePoll makes poll request the next status at once.
 func (a *Agent) wakePoll() {
 	select {
 	case a.pollNow <- struct{}{}:
@@ -49,8 +49,8 @@
 	a.dispatch()
 }
 
-// quarantined says whether nobody knows what weights the engine has of a
-// model. The caller holds a.mu.
+// quarantined reports whether a model is quarantined, which means that it is unknown
+// which weights of it the engine has. The caller holds a.mu.
 func (a *Agent) quarantined(model string) bool {
 	m, ok := a.engine.models[model]
 	return ok && m.machine.State() == phaseQuarantined
@@ -60,8 +60,8 @@
 	return a.refuseRetry(api.CodeNoEndpoint, api.NotRunTrue, step, "the engine's weights are not known")
 }
 
-// statusFailed takes the engine out: what waits is refused so that it is
-// placed elsewhere, and after StallTimeout the running streams are given up.
+// statusFailed marks the engine as unhealthy and refuses all queued runs, so that they
+// are placed elsewhere. After StallTimeout it also cancels the running streams.
 func (a *Agent) statusFailed(now time.Time, err error) {
 	a.mu.Lock()
 	wasHealthy := a.engine.healthy
@@ -78,7 +78,7 @@
 	}
 	a.mu.Unlock()
 	if wasHealthy {
-		a.log.WithError(err).Warn("engine does not answer")
+		a.log.WithError(err).Warn("engine does not answer status requests")
 		a.urgent.Fire()
 	}
 	for _, j := range running {
@@ -87,7 +87,8 @@
 	a.refuseQueued(a.refuseRetry(api.CodeNoEndpoint, api.NotRunTrue, stepQueue, "the endpoint does not answer"), everyItem)
 }
 
-// applyStatus takes in what the engine said to a question of askedAt.
+// applyStatus updates the engine's state from the reply to a status request that was
+// sent at askedAt.
 func (a *Agent) applyStatus(askedAt time.Time, status endpoint.Status) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -111,9 +112,9 @@
 	}
 	for name, m := range a.engine.models {
 		if !listed[name] {
-			a.modelMissing(now, m)
+			a.handleMissingModel(now, m)
 		}
-		a.consider(now, name)
+		a.reconcile(now, name)
 	}
 }
 
@@ -123,29 +124,30 @@
 		m = a.newModel(ms.Model)
 		m.phaseSince = now
 		a.engine.models[ms.Model] = m
-		a.recall(now, m)
+		a.restoreTarget(now, m)
 		a.changed.Fire()
 	}
-	m.seen = seenStatus{askedAt: askedAt, version: ms.Version}
+	m.observed = observedStatus{askedAt: askedAt, version: ms.Version}
 	if ms.State == endpoint.LoadBroken {
-		a.modelBroken(now, m)
+		a.handleBrokenModel(now, m)
 		return
 	}
-	if ms.State == endpoint.LoadReady && a.wentBack(m) {
-		a.takeBack(now, m)
+	if ms.State == endpoint.LoadReady && a.regressed(m) {
+		a.handleRegression(now, m)
 	}
 	a.fire(now, m, modelTriggerOf(ms.State))
 	if ms.State == endpoint.LoadReady {
-		a.shown(now, m, ms.Version)
+		a.handleReadyVersion(now, m, ms.Version)
 	}
 }
 
-// shown notes a version that the status shows as ready.
-func (a *Agent) shown(now time.Time, m *modelState, version uint64) {
+// handleReadyVersion records the version that a status shows as ready. If the model is
+// in service, it also records whether the last order resulted in its version.
+func (a *Agent) handleReadyVersion(now time.Time, m *modelState, version uint64) {
 	if version != m.version {
 		m.version = version
-		m.floor = max(m.floor, version)
-		a.logModel(m).Info("engine shows a version")
+		m.newestReported = max(m.newestReported, version)
+		a.logModel(m).Info("engine reports a new version")
 		a.changed.Fire()
 		a.urgent.Fire()
 	}
@@ -153,49 +155,49 @@
 		return
 	}
 	if version < m.ordered {
-		a.postpone(now, m)
+		a.backOff(now, m)
 	} else {
 		m.failures = 0
 	}
 	m.ordered = 0
 }
 
-// takeBack takes a model out whose weights are older than before: an order
-// that was held up reached an engine that does not check fencing numbers.
-func (a *Agent) takeBack(now time.Time, m *modelState) {
+// handleRegression quarantines a model whose weights are older than before: a delayed
+// order of a superseded agent reached an engine that does not check fencing numbers.
+func (a *Agent) handleRegression(now time.Time, m *modelState) {
 	switch m.machine.State() {
 	case phaseUnknown, phaseQuarantined:
 		return
-	case phaseSwapping: // the status may lag behind the last order
-		if m.ordering || m.seen.askedAt.Sub(m.returnedAt) < a.cfg.SettleTime {
+	case phaseSwapping: // the status may predate the last order's effect
+		if m.ordering || m.observed.askedAt.Sub(m.returnedAt) < a.cfg.SettleTime {
 			return
 		}
 	}
-	a.logModel(m).WithField("shown", m.seen.version).Warn("engine went back to older weights")
-	m.target = max(m.target, m.floor)
-	a.modelBroken(now, m)
+	a.logModel(m).WithField("shown", m.observed.version).Warn("engine reports older weights than before")
+	m.target = max(m.target, m.newestReported)
+	a.handleBrokenModel(now, m)
 }
 
-// modelMissing deals with a model that the status does not list.
-func (a *Agent) modelMissing(now time.Time, m *modelState) {
+// handleMissingModel handles a model that the status does not list.
+func (a *Agent) handleMissingModel(now time.Time, m *modelState) {
 	if m.version == 0 && m.machine.State() == phaseUnknown {
 		return // not loaded yet
 	}
-	m.target = max(m.target, m.version) // an engine that restarted gets its weights back
-	m.version, m.floor, m.fetched = 0, 0, 0
+	m.target = max(m.target, m.version) // a restarted engine is to load the same weights again
+	m.version, m.newestReported, m.fetched = 0, 0, 0
 	phase := m.machine.State()
-	shown := phase == phaseReady || phase == phaseDraining
-	if shown || (!m.ordering && now.Sub(m.returnedAt) >= a.cfg.SettleTime) {
-		a.modelBroken(now, m)
+	wasServing := phase == phaseReady || phase == phaseDraining
+	if wasServing || (!m.ordering && now.Sub(m.returnedAt) >= a.cfg.SettleTime) {
+		a.handleBrokenModel(now, m)
 	}
 }
 
-// modelBroken takes a model out whose weights are of no one version. When an
-// order led to that, the next one waits.
-func (a *Agent) modelBroken(now time.Time, m *modelState) {
+// handleBrokenModel quarantines a model whose weights are missing, incomplete or older
+// than before. If that is the result of an order, the next order backs off.
+func (a *Agent) handleBrokenModel(now time.Time, m *modelState) {
 	if m.ordered > 0 && !m.ordering {
 		m.ordered = 0
-		a.postpone(now, m)
+		a.backOff(now, m)
 	}
 	a.fire(now, m, triggerBroken)
 }
--- a/service/agent/preempt.go
+++ b/service/agent/preempt.go
@@ -8,13 +8,14 @@
 	"mulberryscale.example/wire"
 )
 
-// errPreempted is the cause with which a sample makes room for an interactive request.
+// errPreempted is the cause of the cancellation of a preempted sample.
 var errPreempted = errors.New("the sample made room for an interactive request")
 
-// preempt ends as many running samples as waiting interactive requests need,
-// the youngest first: an engine knows no priorities, so that a request would
-// wait for the end of a stream otherwise. The entry goes on with the sample's
-// text elsewhere, or here when there is room. a.mu is held.
+// preempt cancels as many running samples as queued interactive requests need slots,
+// the most recently started first. Engines have no priorities, so without preemption
+// a request would wait until a stream finishes. The entry resumes the sample after the
+// text it has received, on another endpoint, or on this one when a slot is free. The
+// caller holds a.mu.
 func (a *Agent) preempt() {
 	if a.cfg.NoPreemption {
 		return
@@ -32,8 +33,8 @@
 	}
 }
 
-// preemptible lists the samples that run and may be ended, and counts those
-// that are ending.
+// preemptible returns the running samples that may be preempted, and the number of
+// samples that were preempted and still have their slots.
 func (a *Agent) preemptible() (running []*job, preempting int) {
 	for _, j := range a.jobs {
 		switch {
--- a/service/agent/report.go
+++ b/service/agent/report.go
@@ -10,13 +10,13 @@
 	"mulberryscale.example/wire"
 )
 
-// Bounds of what a watcher may ask for.
+// Bounds of the intervals that a watcher may request.
 const (
 	minWatchInterval = 10 * time.Millisecond
 	maxWatchInterval = 10 * time.Second
 )
 
-// Report is the agent's state now, with the next sequence number.
+// Report returns the agent's current state, with the next sequence number.
 func (a *Agent) Report() *wire.Report {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -46,9 +46,9 @@
 	return r
 }
 
-// answerWatch sends reports until the stream ends: one at once, one at each
-// change but no more than one per MinInterval, one per MaxInterval anyway.
-// What routing must know at once does not wait for MinInterval.
+// answerWatch sends reports until the stream ends: the first at once, then one after
+// each change, at most one per MinInterval, and at least one per MaxInterval as a
+// heartbeat. An urgent change does not wait for MinInterval.
 func (a *Agent) answerWatch(ctx context.Context, s transport.Stream, w *wire.Watch) {
 	shortest := min(max(w.MinInterval, minWatchInterval), maxWatchInterval)
 	longest := min(max(w.MaxInterval, shortest), maxWatchInterval)
@@ -66,10 +66,10 @@
 	}
 }
 
-// waitReport waits until the next report is due; false says that ctx ended.
+// waitReport waits until the next report is due. It returns false if ctx is done.
 func waitReport(ctx context.Context, shortest, longest time.Duration, changed, urgent <-chan struct{}) bool {
-	early := time.NewTimer(shortest)
-	defer early.Stop()
+	minimum := time.NewTimer(shortest)
+	defer minimum.Stop()
 	heartbeat := time.NewTimer(longest)
 	defer heartbeat.Stop()
 	select {
@@ -77,7 +77,7 @@
 		return false
 	case <-urgent:
 		return true
-	case <-early.C:
+	case <-minimum.C:
 	}
 	select {
 	case <-ctx.Done():
--- a/service/agent/run.go
+++ b/service/agent/run.go
@@ -10,7 +10,8 @@
 	"mulberryscale.example/wire"
 )
 
-// answerRun admits a run, or attaches to one, and sends its chunks and its end.
+// answerRun admits a run or attaches to an existing one, and sends its chunks and its
+// final reply.
 func (a *Agent) answerRun(ctx context.Context, s transport.Stream, req *wire.Run) {
 	a.countAnswering(1)
 	defer a.countAnswering(-1)
@@ -27,15 +28,15 @@
 	a.mu.Lock()
 	a.answering += n
 	a.mu.Unlock()
-	a.settled.Fire()
+	a.finished.Fire()
 }
 
-// mostChunkInterval bounds what a request may ask for.
-const mostChunkInterval = time.Second
+// maxChunkInterval is the largest chunk interval that a request may have.
+const maxChunkInterval = time.Second
 
-// stream passes a run on until its end.
+// stream sends a run's chunks, at most one per ChunkInterval, and its final reply.
 func (a *Agent) stream(ctx context.Context, s transport.Stream, req *wire.Run, reader *results.Reader) {
-	interval := min(req.ChunkInterval, mostChunkInterval)
+	interval := min(req.ChunkInterval, maxChunkInterval)
 	row := req.Row
 	for {
 		event, err := reader.Next(ctx)
@@ -60,8 +61,8 @@
 	}
 }
 
-// finalReply sends the last reply of a run with the agent's report on it, and
-// says whether it went out.
+// finalReply sends the last reply of a run, with the agent's report in it, and
+// returns whether it was sent.
 func (a *Agent) finalReply(s transport.Stream, row string, r *wire.Reply) bool {
 	if r.Refusal != nil {
 		a.cfg.Counters.Refusal(row, r.Refusal.Code)
@@ -70,7 +71,8 @@
 	return a.reply(s, r) == nil && s.CloseSend() == nil
 }
 
-// admit checks a request and begins its run or attaches to it.
+// admit checks a request, then starts its run through the queue or attaches to the run
+// that its key has already. The caller closes the reader.
 func (a *Agent) admit(now time.Time, req *wire.Run) (*results.Reader, *api.Refusal) {
 	reader, refusal := a.beginRun(now, req)
 	if refusal != nil {
@@ -89,32 +91,33 @@
 	return reader, nil
 }
 
-// beginRun checks a request and begins or attaches to its run, all within one incarnation.
+// beginRun checks a request and begins its run or attaches to it. The incarnation does
+// not change in between.
 func (a *Agent) beginRun(now time.Time, req *wire.Run) (*results.Reader, *api.Refusal) {
-	a.incarnation.hold.RLock()
-	defer a.incarnation.hold.RUnlock()
+	a.incarnation.renewMu.RLock()
+	defer a.incarnation.renewMu.RUnlock()
 	if refusal := a.checkRun(req); refusal != nil {
 		return nil, refusal
 	}
-	return a.results.Begin(now, req, a.closed(req))
+	return a.results.Begin(now, req, a.admissionRefusal(req))
 }
 
-// checkRun refuses what is wrong with the request itself.
+// checkRun returns a refusal if the request itself is invalid.
 func (a *Agent) checkRun(req *wire.Run) *api.Refusal {
-	if !a.incarnation.is(req.Incarnation) {
-		return a.wrongIncarnation()
+	if !a.incarnation.accepts(req.Incarnation) {
+		return a.wrongIncarnationRefusal()
 	}
 	if req.AttachOnly {
 		return nil
 	}
 	if req.RunID == "" || req.Row == "" {
-		return a.badRun("a run needs its id and its row")
+		return a.badRequest("a run needs its id and its row")
 	}
 	if req.Budget < 0 {
 		return a.refuse(api.CodeDeadline, api.NotRunTrue, stepAdmit, "the deadline has passed")
 	}
 	if (req.Generate == nil) == (req.Call == nil) {
-		return a.badRun("a run is either a generation or a call")
+		return a.badRequest("a run is either a generation or a call")
 	}
 	if runBytes(req) > a.cfg.MaxRequestBytes {
 		return a.refuse(api.CodeTooLarge, api.NotRunTrue, stepAdmit, "the request is over its bound of bytes")
@@ -125,11 +128,11 @@
 	return a.checkCall(req)
 }
 
-func (a *Agent) wrongIncarnation() *api.Refusal {
+func (a *Agent) wrongIncarnationRefusal() *api.Refusal {
 	return a.refuse(api.CodeWrongIncarnation, api.NotRunUnknown, stepAdmit, "the agent has restarted since")
 }
 
-func (a *Agent) badRun(message string) *api.Refusal {
+func (a *Agent) badRequest(message string) *api.Refusal {
 	return a.refuse(api.CodeBadRequest, api.NotRunTrue, stepAdmit, message)
 }
 
@@ -137,11 +140,11 @@
 	g := req.Generate
 	switch {
 	case a.cfg.Engine == nil:
-		return a.badRun("no model engine is here")
+		return a.badRequest("no model engine is here")
 	case g.Model == "":
-		return a.badRun("a generation needs its model")
+		return a.badRequest("a generation needs its model")
 	case g.MaxTokens < 1:
-		return a.badRun("a generation needs max_tokens of at least 1")
+		return a.badRequest("a generation needs max_tokens of at least 1")
 	case len(g.PrefixSpans) > 0 && api.OldestVersion(g.PrefixSpans) < req.MinVersion:
 		return a.refuse(api.CodeStale, api.NotRunTrue, stepAdmit, "the prefix is older than the staleness bound")
 	}
@@ -150,7 +153,7 @@
 
 func (a *Agent) checkCall(req *wire.Run) *api.Refusal {
 	if a.cfg.Service == nil {
-		return a.badRun("no plain service is here")
+		return a.badRequest("no plain service is here")
 	}
 	for _, row := range a.cfg.Services {
 		if row == req.Row {
@@ -160,8 +163,8 @@
 	return a.refuse(api.CodeNoEndpoint, api.NotRunTrue, stepAdmit, "the row is not served here")
 }
 
-// closed is the refusal for new runs, nil while they are taken.
-func (a *Agent) closed(req *wire.Run) *api.Refusal {
+// admissionRefusal returns the refusal for a new run, or nil if the agent accepts it.
+func (a *Agent) admissionRefusal(req *wire.Run) *api.Refusal {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.draining {
@@ -171,19 +174,19 @@
 		return a.refuseRetry(api.CodeNoEndpoint, api.NotRunTrue, stepAdmit, "the endpoint does not answer")
 	}
 	if req.Generate != nil {
-		return a.closedModel(req)
+		return a.modelRefusal(req)
 	}
 	return nil
 }
 
-func (a *Agent) closedModel(req *wire.Run) *api.Refusal {
+func (a *Agent) modelRefusal(req *wire.Run) *api.Refusal {
 	m, ok := a.engine.models[req.Generate.Model]
 	if !ok {
 		return a.refuseRetry(api.CodeNoEndpoint, api.NotRunTrue, stepAdmit, "the engine does not serve the model")
 	}
-	if req.MinVersion > m.needed {
-		m.needed = req.MinVersion
-		a.consider(time.Now(), m.model) // a rolling swap may be due earlier
+	if req.MinVersion > m.minRequired {
+		m.minRequired = req.MinVersion
+		a.reconcile(time.Now(), m.model) // a rolling swap may be due earlier for this request
 	}
 	if a.quarantined(req.Generate.Model) {
 		return a.quarantineRefusal(stepAdmit)
@@ -202,7 +205,7 @@
 	return n
 }
 
-// runBytes is the memory that a waiting request holds.
+// runBytes returns the size in bytes that a queued request takes in memory.
 func runBytes(req *wire.Run) int {
 	n := len(req.Key) + len(req.RunID)
 	if g := req.Generate; g != nil {
--- a/service/agent/serve.go
+++ b/service/agent/serve.go
@@ -11,7 +11,7 @@
 	"mulberryscale.example/wire"
 )
 
-// Processing steps that refusals name.
+// Processing steps, as named in refusals.
 const (
 	stepRequest = "agent.request"
 	stepAdmit   = "agent.admit"
@@ -20,10 +20,10 @@
 	stepDrain   = "agent.drain"
 )
 
-// requestTimeout is how long a peer may take to send its request.
+// requestTimeout is the time limit for a peer to send its request.
 const requestTimeout = 10 * time.Second
 
-// handle serves one stream.
+// handle serves one stream, which carries one request.
 func (a *Agent) handle(ctx context.Context, s transport.Stream) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -34,14 +34,14 @@
 	err := s.Recv(&req)
 	timer.Stop()
 	if err != nil {
-		a.log.WithField(observe.FieldPeer, s.Peer()).WithError(err).Debug("no request on the stream")
+		a.log.WithField(observe.FieldPeer, s.Peer()).WithError(err).Debug("no request received on the stream")
 		return
 	}
-	a.heard(req.Header)
+	a.observeHeader(req.Header)
 	a.answer(ctx, s, &req)
 }
 
-// answer sends all of the request's answer.
+// answer sends all replies to a request.
 func (a *Agent) answer(ctx context.Context, s transport.Stream, req *wire.Request) {
 	switch {
 	case req.Run != nil:
@@ -55,7 +55,7 @@
 	}
 }
 
-// answerOnce makes the answer of the requests that have a single reply.
+// answerOnce returns the reply to a request that has a single one.
 func (a *Agent) answerOnce(req *wire.Request) *wire.Reply {
 	now := time.Now()
 	switch {
@@ -63,7 +63,7 @@
 		return a.answerFence(now, req.Fence)
 	case req.Forget != nil:
 		a.results.Forget(now, req.Forget.Keys)
-		a.settled.Fire()
+		a.finished.Fire()
 		return &wire.Reply{OK: true}
 	case req.PullTable != nil:
 		return a.answerPull(req.PullTable)
@@ -84,10 +84,10 @@
 	if f.Key == "" {
 		return refused(a.refuse(api.CodeBadRequest, api.NotRunTrue, stepRequest, "a fence needs a key"))
 	}
-	a.incarnation.hold.RLock()
-	defer a.incarnation.hold.RUnlock()
-	if !a.incarnation.is(f.Incarnation) {
-		return refused(a.wrongIncarnation())
+	a.incarnation.renewMu.RLock()
+	defer a.incarnation.renewMu.RUnlock()
+	if !a.incarnation.accepts(f.Incarnation) {
+		return refused(a.wrongIncarnationRefusal())
 	}
 	state, refusal := a.results.Fence(now, f.Key)
 	if refusal != nil {
@@ -96,7 +96,7 @@
 	return &wire.Reply{Fenced: &wire.Fenced{State: state, Incarnation: cmp.Or(f.Incarnation, a.Incarnation())}}
 }
 
-// reply sends one message with the agent's header, and counts refusals.
+// reply sends one message with the agent's header.
 func (a *Agent) reply(s transport.Stream, r *wire.Reply) error {
 	r.Header = a.header()
 	if err := s.Send(r); err != nil {
--- a/service/agent/signal.go
+++ b/service/agent/signal.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// signal tells any number of waiters that something changed.
+// signal notifies any number of waiters of a change.
 type signal struct {
 	mu sync.Mutex
 	ch chan struct{}
@@ -10,8 +10,8 @@
 
 func newSignal() *signal { return &signal{ch: make(chan struct{})} }
 
-// Wait returns a channel that is closed at the next Fire. Take it before
-// looking at what it tells of, so as to miss nothing.
+// Wait returns a channel that is closed by the next Fire. To miss no change, call Wait
+// before reading the state that the signal is about.
 func (s *signal) Wait() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/service/agent/tables.go
+++ b/service/agent/tables.go
@@ -9,9 +9,9 @@
 	"mulberryscale.example/wire"
 )
 
-// newSpread passes table versions on; an agent knows no entries by itself, so
-// it pulls from those that it hears of.
-func (a *Agent) newSpread() *tablesync.Spread {
+// newTableSpread returns the exchange of table versions with peers. An agent has no list
+// of entries; it pulls newer tables from peers whose headers name a newer version.
+func (a *Agent) newTableSpread() *tablesync.Spread {
 	return tablesync.NewSpread(tablesync.SpreadConfig{
 		Self:    a.header,
 		Dialer:  a.cfg.Dialer,
@@ -21,15 +21,16 @@
 	})
 }
 
-// heard takes note of a peer's header: a newer table is pulled from it.
-func (a *Agent) heard(h wire.Header) {
-	if a.spread != nil {
-		a.spread.Observe(h)
+// observeHeader processes a peer's header: if the peer has a newer table, the table is
+// pulled from it.
+func (a *Agent) observeHeader(h wire.Header) {
+	if a.tableSpread != nil {
+		a.tableSpread.Observe(h)
 	}
 }
 
-// followTable wakes the watchers when another table is in force.
-func (a *Agent) followTable(ctx context.Context) {
+// watchTable sends the watchers a new report whenever a new table is in force.
+func (a *Agent) watchTable(ctx context.Context) {
 	for {
 		changed := a.cfg.Holder.Changed()
 		select {
@@ -52,7 +53,8 @@
 	return &reply
 }
 
-// answerGossip learns published weights and tells what this agent knows.
+// answerGossip records the published versions that a peer knows, and replies with this
+// agent's gossip.
 func (a *Agent) answerGossip(g *wire.Gossip) *wire.Reply {
 	for _, p := range g.Weights {
 		a.LearnTarget(p.Model, p.Version)
@@ -60,7 +62,7 @@
 	return &wire.Reply{Gossip: a.ownGossip()}
 }
 
-// ownGossip is what this agent knows.
+// ownGossip returns this agent's membership entry and the published versions it knows.
 func (a *Agent) ownGossip() *wire.Gossip {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,8 +75,8 @@
 		TableVersion: a.cfg.Holder.Version(),
 		Leaving:      a.draining,
 	}}}
-	if a.spreading.news != nil {
-		own.Weights = a.spreading.news.Known()
+	if a.distribution.news != nil {
+		own.Weights = a.distribution.news.Known()
 		return own
 	}
 	for _, m := range a.engine.models {
--- a/service/agent/weights.go
+++ b/service/agent/weights.go
@@ -12,28 +12,28 @@
 	"mulberryscale.example/weights"
 )
 
-// Targets tells the newest published version of a model; platform.WeightStore
-// is one. It returns platform.ErrNotFound for a model without versions.
+// Targets returns the newest published version of a model; platform.WeightStore
+// implements it. Latest returns platform.ErrNotFound for a model without versions.
 type Targets interface {
 	Latest(ctx context.Context, model string) (uint64, error)
 }
 
-// targetTimeout bounds one question to Targets or Fencer.
+// targetTimeout is the time limit of one request to Targets or Fencer.
 const targetTimeout = 5 * time.Second
 
-// followTargets asks for the newest versions, at intervals with jitter, so
-// that agents that started together do not ask together.
-func (a *Agent) followTargets(ctx context.Context) {
+// pollTargets polls Targets for the newest versions, at intervals with jitter, so that
+// agents that started together do not poll at the same time.
+func (a *Agent) pollTargets(ctx context.Context) {
 	for {
-		wait := a.askTargets(ctx)
+		wait := a.pollTargetsOnce(ctx)
 		if !retry.Pause(ctx, wait) {
 			return
 		}
 	}
 }
 
-// askTargets asks for each model and returns when to ask again.
-func (a *Agent) askTargets(ctx context.Context) time.Duration {
+// pollTargetsOnce polls Targets for each model and returns the time until the next poll.
+func (a *Agent) pollTargetsOnce(ctx context.Context) time.Duration {
 	a.mu.Lock()
 	wait := a.jitter(a.targetInterval())
 	models := make([]string, 0, len(a.engine.models))
@@ -42,10 +42,10 @@
 	}
 	a.mu.Unlock()
 	if len(models) == 0 {
-		return min(wait, a.cfg.PollInterval) // the first status is still out
+		return min(wait, a.cfg.PollInterval) // the engine's first status has not come yet
 	}
 	for _, model := range models {
-		version, err := a.askTarget(ctx, model)
+		version, err := a.latestTarget(ctx, model)
 		var limited *platform.RateLimitedError
 		switch {
 		case err == nil:
@@ -59,23 +59,25 @@
 	return wait
 }
 
-// targetInterval is how often this agent asks, so that all agents together ask
-// at a bounded rate; the others hear of what one of them finds.
+// targetInterval returns the time between two polls of this agent. It grows with the
+// number of agents, so that all of them together poll at a bounded rate; an agent that
+// finds a new version notifies the others.
 func (a *Agent) targetInterval() time.Duration {
-	if a.spreading.peers == nil {
+	if a.distribution.peers == nil {
 		return a.cfg.TargetInterval
 	}
-	return weights.PollInterval(a.spreading.peers.Len()+1, a.cfg.StoreReads, a.cfg.TargetInterval)
+	return weights.PollInterval(a.distribution.peers.Len()+1, a.cfg.StoreReads, a.cfg.TargetInterval)
 }
 
-func (a *Agent) askTarget(ctx context.Context, model string) (uint64, error) {
+func (a *Agent) latestTarget(ctx context.Context, model string) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, targetTimeout)
 	defer cancel()
 	return a.cfg.Targets.Latest(ctx, model)
 }
 
-// consider gives the model's next order if one is due. The caller holds a.mu.
-func (a *Agent) consider(now time.Time, model string) {
+// reconcile fetches the model's wanted version if needed, and sends the model's next
+// order if one is due. The caller holds a.mu.
+func (a *Agent) reconcile(now time.Time, model string) {
 	m, ok := a.engine.models[model]
 	if !ok {
 		return
@@ -107,21 +109,22 @@
 	}
 }
 
-// swapDue says whether a newer version can be ordered and the swap policy lets
-// it be ordered now.
+// swapDue reports whether a newer version can be ordered and the swap policy allows
+// it now.
 func (a *Agent) swapDue(now time.Time, m *modelState) bool {
 	return weights.SwapDue(now, weights.Swap{
 		Policy:    a.swapPolicy(m.model),
 		Version:   m.version,
 		Wanted:    a.orderable(m),
-		Needed:    m.needed,
+		Needed:    m.minRequired,
 		LearnedAt: m.learnedAt,
-		Turn:      m.turn,
+		Turn:      m.swapDelay,
 	})
 }
 
-// mayOrder says whether orders may be given now. Where the engine does not
-// check fencing numbers it begins a check of this agent's own, if one is due.
+// mayOrder reports whether an order may be sent now. If that only lacks a confirmed
+// fencing number, because the engine does not check the numbers itself, mayOrder starts
+// a check of this agent's number.
 func (a *Agent) mayOrder(now time.Time, m *modelState) bool {
 	if a.fence == 0 || a.engine.superseded || !a.engine.healthy || m.ordering || now.Before(m.retryAt) {
 		return false
@@ -133,16 +136,17 @@
 	return false
 }
 
-// checkStuck quarantines a model that has been loading for too long.
+// checkStuck quarantines a model that has been loading for LoadTimeout.
 func (a *Agent) checkStuck(now time.Time, m *modelState) {
 	if !m.ordering && now.Sub(m.phaseSince) >= a.cfg.LoadTimeout {
-		a.postpone(now, m)
+		a.backOff(now, m)
 		a.fire(now, m, triggerOrderFailed)
 	}
 }
 
-// postpone backs off before the next order of the model.
-func (a *Agent) postpone(now time.Time, m *modelState) {
+// backOff delays the model's next order, exponentially with the number of consecutive
+// failures, between MinBackoff and MaxBackoff with jitter.
+func (a *Agent) backOff(now time.Time, m *modelState) {
 	backoff := a.cfg.MaxBackoff
 	if shift := uint(m.failures); shift < 16 {
 		backoff = min(a.cfg.MinBackoff<<shift, a.cfg.MaxBackoff)
@@ -151,14 +155,14 @@
 	m.retryAt = now.Add(a.jitter(backoff))
 }
 
-// startOrder sends the order in the background. The caller holds a.mu.
+// startOrder sends an order in the background. The caller holds a.mu.
 func (a *Agent) startOrder(now time.Time, m *modelState) {
 	if a.base == nil || a.base.Err() != nil {
 		return
 	}
 	m.ordering = true
 	m.ordered = a.orderable(m)
-	m.fetched = 0 // the order uses them up
+	m.fetched = 0 // the order consumes the fetched parts
 	m.returnedAt = now
 	order := endpoint.Order{Fence: a.fence, Model: m.model, Version: m.ordered}
 	a.cfg.Counters.Add(observe.NameOrders, "", 1)
@@ -181,17 +185,17 @@
 	if err != nil {
 		a.orderFailed(now, m, err)
 	}
-	a.wakePoll() // only the status says what the order led to
+	a.wakePoll() // only a status shows the order's result
 }
 
-// orderFailed quarantines the model until a status shows what it has. A lost
-// reply looks the same as a refused order.
+// orderFailed quarantines the model until a status shows which weights it has, since a
+// lost reply cannot be told from a refused order.
 func (a *Agent) orderFailed(now time.Time, m *modelState, err error) {
 	a.cfg.Counters.Add(observe.NameOrdersFailed, "", 1)
 	a.logModel(m).WithError(err).Warn("order failed or its reply was lost")
 	if errors.Is(err, platform.ErrStaleFence) {
 		a.supersede()
 	}
-	a.postpone(now, m)
+	a.backOff(now, m)
 	a.fire(now, m, triggerOrderFailed)
 }
