--- a/batch/collector.go
+++ b/batch/collector.go
@@ -80,7 +80,7 @@
 
 // Run removes one job at a time until ctx ends.
 func (c *Collector) Run(ctx context.Context) {
-	for pause.For(ctx, time.Duration(float64(collectEvery)*(0.5+rand.Float64()))) == nil {
+	for pause.Sleep(ctx, time.Duration(float64(collectEvery)*(0.5+rand.Float64()))) == nil {
 		job := c.expired()
 		if job == nil {
 			continue
--- a/batch/crash_test.go
+++ b/batch/crash_test.go
@@ -53,7 +53,7 @@
 }
 
 // keeper is an agent's part of the quarantine.
-func (r *workerRig) keeper(rows store.Store) *quarantine.Keeper {
+func (r *workerRig) keeper(rows store.Store) *quarantine.Tracker {
 	k := quarantine.New()
 	k.Rows, k.Clock, k.Prober, k.Log, k.Counters = rows, r.store.Now, r.engines, observe.Discard(), observe.NewCounters()
 	return k
--- a/batch/drain.go
+++ b/batch/drain.go
@@ -15,14 +15,14 @@
 	w.mu.Unlock()
 	runCtx, cancel := context.WithTimeout(ctx, runOn)
 	defer cancel()
-	for w.heldNow() > 0 && pause.For(runCtx, drainPoll) == nil {
+	for w.heldNow() > 0 && pause.Sleep(runCtx, drainPoll) == nil {
 		w.giveWaiting(ctx)
 	}
-	for w.heldNow() > 0 && pause.For(ctx, drainPoll) == nil {
+	for w.heldNow() > 0 && pause.Sleep(ctx, drainPoll) == nil {
 		statuses := w.askRoom(ctx)
 		w.giveAll(ctx, statuses, true)
 	}
-	for w.unappended() && pause.For(ctx, drainPoll) == nil {
+	for w.unappended() && pause.Sleep(ctx, drainPoll) == nil {
 	}
 }
 
--- a/batch/expiry.go
+++ b/batch/expiry.go
@@ -28,7 +28,7 @@
 // are held are given up by their holders, all others by the agents of the job in
 // the order in which its id ranks them, so that a dead one stops nothing.
 func (w *Worker) expire(ctx context.Context) {
-	for pause.For(ctx, expiryCheck) == nil {
+	for pause.Sleep(ctx, expiryCheck) == nil {
 		for _, j := range w.overdue() {
 			w.giveUpHeld(j)
 			w.giveUpLost(j)
--- a/batch/fakerewards_test.go
+++ b/batch/fakerewards_test.go
@@ -40,7 +40,7 @@
 	}
 	took := f.took
 	f.mu.Unlock()
-	if pause.For(ctx, took) != nil {
+	if pause.Sleep(ctx, took) != nil {
 		f.mu.Lock()
 		f.ended++
 		f.mu.Unlock()
--- a/batch/held.go
+++ b/batch/held.go
@@ -11,9 +11,9 @@
 
 // subjectOf names an item's content; an item that comes again in a later job under
 // its id is the same. It is called with w.mu held.
-func (w *Worker) subjectOf(t *task) quarantine.Subject {
+func (w *Worker) subjectOf(t *task) quarantine.Fingerprint {
 	if t.subject == "" {
-		t.subject = quarantine.SubjectOf(t.j.job.Organisation, t.j.job.Host, t.item.Path, t.item.ID, string(t.item.Body))
+		t.subject = quarantine.FingerprintOf(t.j.job.Organisation, t.j.job.Host, t.item.Path, t.item.ID, string(t.item.Body))
 	}
 	return t.subject
 }
@@ -25,8 +25,8 @@
 	if w.Quarantine == nil || w.Quarantine.Empty() {
 		return false
 	}
-	verdict, _ := w.Quarantine.Judge(w.subjectOf(t), quarantine.ItemLimit)
-	return verdict == quarantine.Held || verdict == quarantine.Due
+	verdict, _ := w.Quarantine.State(w.subjectOf(t), quarantine.ItemLimit)
+	return verdict == quarantine.Quarantined || verdict == quarantine.TrialDue
 }
 
 // runsApart reports whether two engines have ended under an item, so that the next
@@ -37,8 +37,8 @@
 	if w.Quarantine == nil || w.Quarantine.Empty() {
 		return false
 	}
-	verdict, _ := w.Quarantine.Judge(w.subjectOf(t), quarantine.ItemLimit-1)
-	return verdict == quarantine.Held || verdict == quarantine.Due
+	verdict, _ := w.Quarantine.State(w.subjectOf(t), quarantine.ItemLimit-1)
+	return verdict == quarantine.Quarantined || verdict == quarantine.TrialDue
 }
 
 // awaitsTurn reports whether an item that runs apart waits for another such one to
@@ -61,14 +61,14 @@
 		return
 	}
 	w.mu.Lock()
-	run := quarantine.Run{Subject: w.subjectOf(t), Endpoint: t.sentTo, Addr: engine.Addr, Took: took}
+	run := quarantine.BrokenRun{Fingerprint: w.subjectOf(t), Endpoint: t.sentTo, Addr: engine.Addr, Took: took}
 	w.mu.Unlock()
 	switch {
 	case err == nil, errors.Is(err, ErrFailed), errors.Is(err, ErrImpossible):
-		w.Quarantine.Served(run.Subject)
+		w.Quarantine.ReportServed(run.Fingerprint)
 	case errors.Is(context.Cause(ctx), errReborn):
-		w.Quarantine.Ended(run)
+		w.Quarantine.ReportCrash(run)
 	case errors.Is(err, ErrBroken) && ctx.Err() == nil && !w.View.Snapshot().Leaves(engine):
-		w.Quarantine.Broken(ctx, run)
+		w.Quarantine.ReportBroken(ctx, run)
 	}
 }
--- a/batch/held_test.go
+++ b/batch/held_test.go
@@ -20,8 +20,8 @@
 		ends := func(engine int, tasks ...*task) {
 			time.Sleep(time.Second)
 			for _, task := range tasks {
-				w.Quarantine.Ended(quarantine.Run{
-					Subject: w.subjectOf(task), Endpoint: fleet.Incarnation{ID: fmt.Sprint("i-", engine)}, Took: 10 * time.Millisecond,
+				w.Quarantine.ReportCrash(quarantine.BrokenRun{
+					Fingerprint: w.subjectOf(task), Endpoint: fleet.Incarnation{ID: fmt.Sprint("i-", engine)}, Took: 10 * time.Millisecond,
 				})
 			}
 		}
@@ -42,7 +42,7 @@
 		if w.awaitsTurn(none) || w.awaitsTurn(once) {
 			t.Error("an item waits under which at most one engine has ended")
 		}
-		w.Quarantine.Served(w.subjectOf(one))
+		w.Quarantine.ReportServed(w.subjectOf(one))
 		if w.awaitsTurn(two) {
 			t.Error("waits for one that an answer has cleared")
 		}
--- a/batch/help.go
+++ b/batch/help.go
@@ -35,7 +35,7 @@
 // engine cannot run them, until ctx ends.
 func (w *Worker) help(ctx context.Context) {
 	h := &helper{Worker: w, lost: newLostRounds(rand.Float64)}
-	for pause.For(ctx, helpInterval) == nil {
+	for pause.Sleep(ctx, helpInterval) == nil {
 		jobs := w.openJobs()
 		if len(jobs) == 0 {
 			continue
--- a/batch/ledger.go
+++ b/batch/ledger.go
@@ -91,7 +91,7 @@
 		case errors.Is(err, store.ErrUnknown):
 			open = true
 		}
-		if pause.For(ctx, writePause) != nil {
+		if pause.Sleep(ctx, writePause) != nil {
 			if open {
 				return fmt.Errorf("%w: %v", store.ErrUnknown, err)
 			}
@@ -109,7 +109,7 @@
 				break
 			}
 			// An object alone accepts nothing, so its outcome need not be known.
-			if errors.Is(err, store.ErrInvalid) || pause.For(ctx, writePause) != nil {
+			if errors.Is(err, store.ErrInvalid) || pause.Sleep(ctx, writePause) != nil {
 				return 0, fmt.Errorf("%w: %v", store.ErrRefused, err)
 			}
 		}
--- a/batch/openjobs.go
+++ b/batch/openjobs.go
@@ -51,7 +51,7 @@
 // begin reads a job's items and takes this worker's part of them.
 func (w *Worker) begin(j *workJob, old bool) {
 	for !w.read(j, old) {
-		if pause.For(w.ctx, writePause) != nil {
+		if pause.Sleep(w.ctx, writePause) != nil {
 			return
 		}
 	}
--- a/batch/outbox.go
+++ b/batch/outbox.go
@@ -59,7 +59,7 @@
 		}
 		err := o.w.Ledger.Append(o.w.ctx, o.j.job.ID, name, results)
 		o.appended(batch, err, time.Since(began))
-		if pause.For(o.w.ctx, max(0, appendInterval-time.Since(began))) != nil {
+		if pause.Sleep(o.w.ctx, max(0, appendInterval-time.Since(began))) != nil {
 			return
 		}
 	}
--- a/batch/progress.go
+++ b/batch/progress.go
@@ -186,7 +186,7 @@
 
 // save keeps the text of running items in the store until ctx ends.
 func (w *Worker) save(ctx context.Context) {
-	for n := 1; pause.For(ctx, w.saveInterval()) == nil; n++ {
+	for n := 1; pause.Sleep(ctx, w.saveInterval()) == nil; n++ {
 		w.mu.Lock()
 		due := w.unsaved()
 		w.mu.Unlock()
--- a/batch/reader.go
+++ b/batch/reader.go
@@ -63,7 +63,7 @@
 
 // Run forgets jobs that nobody reads any more until ctx ends.
 func (r *Reader) Run(ctx context.Context) {
-	for pause.For(ctx, forgetEvery) == nil {
+	for pause.Sleep(ctx, forgetEvery) == nil {
 		r.mu.Lock()
 		for id, j := range r.jobs {
 			if time.Since(j.used) > forgetAfter {
@@ -127,7 +127,7 @@
 		}
 		q.waited = true
 		if err != nil {
-			_ = pause.For(ctx, writePause) // the loop looks at ctx
+			_ = pause.Sleep(ctx, writePause) // the loop looks at ctx
 		}
 		u := r.bringUp(id, j, min(left, updateWait))
 		err = u.await(ctx, wait-time.Since(q.asked))
@@ -231,7 +231,7 @@
 			return page, nil
 		}
 		if err := r.bringUp(id, j, min(left, updateWait)).await(ctx, left); err != nil {
-			_ = pause.For(ctx, min(left, writePause)) // what is kept is shown all the same
+			_ = pause.Sleep(ctx, min(left, writePause)) // what is kept is shown all the same
 		}
 		if ctx.Err() != nil {
 			return Page{}, context.Cause(ctx)
--- a/batch/reward.go
+++ b/batch/reward.go
@@ -91,7 +91,7 @@
 		}
 		w.Counters.Retry(t.j.job.Route, rewardReason(err))
 		w.rewardLog(t).WithError(err).WithField("took_ms", time.Since(began).Milliseconds()).Info("item not scored yet")
-		if err := pause.For(ctx, rewardPause<<min(silent, maxRewardDoublings)); err != nil {
+		if err := pause.Sleep(ctx, rewardPause<<min(silent, maxRewardDoublings)); err != nil {
 			return "", err
 		}
 	}
--- a/batch/run.go
+++ b/batch/run.go
@@ -140,7 +140,7 @@
 	at, _ := slices.BinarySearchFunc(w.waiting, t, compareTasks)
 	w.waiting = slices.Insert(w.waiting, at, t)
 	if w.isHeld(t) {
-		w.Quarantine.Refused()
+		w.Quarantine.CountRefused()
 		w.Log.WithFields(t.fields()).WithField(observe.FieldContent, t.subject).Warn("item held: engines have ended under it")
 	}
 }
--- a/batch/task.go
+++ b/batch/task.go
@@ -51,7 +51,7 @@
 	// sentTo is the incarnation of the engine that it was last sent to.
 	sentTo fleet.Incarnation
 	// subject names its content, empty until it is asked for.
-	subject quarantine.Subject
+	subject quarantine.Fingerprint
 	// leaving says that it is being handed over to another agent.
 	leaving bool
 	// finished says that the outbox has the result.
--- a/batch/worker.go
+++ b/batch/worker.go
@@ -37,7 +37,7 @@
 	Rewards Rewarder
 	Peers   PeerCaller
 	// Quarantine keeps items that end engines away from them; nil keeps none.
-	Quarantine *quarantine.Keeper
+	Quarantine *quarantine.Tracker
 	// Now is the store's clock; false before it is known.
 	Now      func() (time.Duration, bool)
 	Log      logrus.FieldLogger
--- a/batch/worker_test.go
+++ b/batch/worker_test.go
@@ -235,7 +235,7 @@
 		w := rig.peers.workers["10.0.0.1"]
 		rig.peers.mu.Unlock()
 		go func() {
-			for pause.For(t.Context(), time.Millisecond) == nil {
+			for pause.Sleep(t.Context(), time.Millisecond) == nil {
 				w.mu.Lock()
 				up := w.engine.up
 				w.mu.Unlock()
--- a/cmd/mulberryctl/quarantine.go
+++ b/cmd/mulberryctl/quarantine.go
@@ -40,7 +40,7 @@
 		return err
 	}
 	if content := cmd.String(flagRelease); content != "" {
-		found, err := quarantine.Release(ctx, client, quarantine.Subject(content))
+		found, err := quarantine.Release(ctx, client, quarantine.Fingerprint(content))
 		if err != nil {
 			return trace.Wrap(err, "release %s", content)
 		}
@@ -56,12 +56,12 @@
 	out := daemon.Table{Header: []string{"CONTENT", "ENDED", "TRIALS", "SINCE", "STATE", "WAIT"}}
 	for _, c := range contents {
 		lines = append(lines, contentLine{
-			Content: string(c.Subject), Endpoints: c.Endpoints, Trials: c.Trials, SinceSeconds: c.Since.Seconds(),
-			State: c.Verdict.String(), WaitSeconds: c.Wait.Seconds(),
+			Content: string(c.Fingerprint), Endpoints: c.Endpoints, Trials: c.Trials, SinceSeconds: c.Since.Seconds(),
+			State: c.State.String(), WaitSeconds: c.Wait.Seconds(),
 		})
 		out.Rows = append(out.Rows, []string{
-			string(c.Subject), strings.Join(c.Endpoints, ","), fmt.Sprint(c.Trials), c.Since.Round(time.Second).String(),
-			c.Verdict.String(), c.Wait.Round(time.Second).String(),
+			string(c.Fingerprint), strings.Join(c.Endpoints, ","), fmt.Sprint(c.Trials), c.Since.Round(time.Second).String(),
+			c.State.String(), c.Wait.Round(time.Second).String(),
 		})
 	}
 	return write(cmd, out, lines)
--- a/duty/performer.go
+++ b/duty/performer.go
@@ -138,7 +138,7 @@
 		at = p.again
 	}
 	p.again = time.Time{}
-	_ = pause.For(ctx, at.Sub(now)) // the end of ctx is looked at next
+	_ = pause.Sleep(ctx, at.Sub(now)) // the end of ctx is looked at next
 	return triggerDue
 }
 
@@ -222,7 +222,7 @@
 	if err := p.Work.Send(ctx, p.held.Fence, p.held.Acting, p.held.Work); err != nil {
 		p.log().WithError(err).Warn("duty's work not accepted yet")
 		p.Counters.Retry(p.Seat.Subject, reasonNotAccepted)
-		_ = pause.For(ctx, sendPause) // the end of ctx is looked at next
+		_ = pause.Sleep(ctx, sendPause) // the end of ctx is looked at next
 		return triggerUnsettled
 	}
 	return triggerAccepted
--- a/duty/world_test.go
+++ b/duty/world_test.go
@@ -225,7 +225,7 @@
 		if left <= 0 {
 			return
 		}
-		_ = pause.For(ctx, left)
+		_ = pause.Sleep(ctx, left)
 	}
 }
 
@@ -249,7 +249,7 @@
 	if err == nil {
 		r.freeze(r.world.trap())
 	}
-	_ = pause.For(ctx, 8*time.Millisecond)
+	_ = pause.Sleep(ctx, 8*time.Millisecond)
 	r.thaw(ctx)
 	return s, err
 }
@@ -261,7 +261,7 @@
 		return store.Snapshot{}, store.ErrRefused
 	}
 	s, err := r.world.store.List(ctx, g)
-	_ = pause.For(ctx, 4*time.Millisecond)
+	_ = pause.Sleep(ctx, 4*time.Millisecond)
 	r.thaw(ctx)
 	return s, err
 }
@@ -321,7 +321,7 @@
 		return errors.New("the term is over")
 	}
 	if w.isCut() {
-		_ = pause.For(ctx, 700*time.Millisecond)
+		_ = pause.Sleep(ctx, 700*time.Millisecond)
 		return errors.New("no path")
 	}
 	piece := binary.BigEndian.Uint64(work)
@@ -335,13 +335,13 @@
 	result := w.world.platform.call(w.name, token, piece, string(work))
 	switch result {
 	case answered:
-		_ = pause.For(ctx, 4*time.Millisecond)
+		_ = pause.Sleep(ctx, 4*time.Millisecond)
 		w.thaw(ctx)
 		return nil
 	case tooMany:
 		return errors.New("too many calls")
 	}
-	_ = pause.For(ctx, 700*time.Millisecond)
+	_ = pause.Sleep(ctx, 700*time.Millisecond)
 	w.thaw(ctx)
 	return errors.New("no answer")
 }
--- a/forward/call.go
+++ b/forward/call.go
@@ -20,7 +20,7 @@
 type call struct {
 	*Forwarder
 	request *Request
-	subject quarantine.Subject
+	subject quarantine.Fingerprint
 	// trial says that the content is held and this call tries it out.
 	trial   bool
 	tried   map[fleet.Incarnation]bool
@@ -142,10 +142,10 @@
 	snap := c.View.Snapshot()
 	query := picker.Query{
 		Candidates: snap.OfService(route.Backend(c.request.ID)), Tried: c.tried, Zone: c.Zone, Request: c.request.ID, Now: time.Now(),
-		Apart: risky && c.waited < maxTurnWait,
+		AvoidRisky: risky && c.waited < maxTurnWait,
 	}
 	to, ok := c.picker.Take(query, risky)
-	if !ok && query.Apart {
+	if !ok && query.AvoidRisky {
 		c.awaitTurn(query)
 	}
 	return to, ok
@@ -184,17 +184,17 @@
 // the counts of that moment are due. A stream is not counted before its answer,
 // whose first event is when it began.
 func (c *call) countRun(sent time.Time) (settle func(*Answer, error)) {
-	if c.Began == nil {
+	if c.OnRunStarted == nil {
 		return func(*Answer, error) {}
 	}
 	if c.request.Route.Kind == fleet.KindStream {
 		return func(answer *Answer, err error) {
 			if ran(answer, err) {
-				c.Began(c.request.Organisation, startOf(answer, sent))
+				c.OnRunStarted(c.request.Organisation, startOf(answer, sent))
 			}
 		}
 	}
-	withdraw := c.Began(c.request.Organisation, sent)
+	withdraw := c.OnRunStarted(c.request.Organisation, sent)
 	return func(answer *Answer, err error) {
 		if !ran(answer, err) {
 			withdraw()
@@ -247,7 +247,7 @@
 	}
 	c.mayHaveRun = true
 	if a.answer.Stream == nil {
-		c.Quarantine.Served(c.subject)
+		c.Quarantine.ReportServed(c.subject)
 	}
 	if a.answer.Status == http.StatusInternalServerError {
 		c.failures++
@@ -287,5 +287,5 @@
 	if errors.Is(context.Cause(ctx), errTimeout) {
 		return c.refusal(ReasonTimeout, nil)
 	}
-	return c.refusal(ReasonGone, nil)
+	return c.refusal(ReasonClientGone, nil)
 }
--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -24,7 +24,7 @@
 		time.Sleep(200 * time.Millisecond) // until its caller asks again
 		for i := range 6 {
 			err := r.ask(i%3, fmt.Sprint("r", i+1), crashTarget)
-			if !errors.As(err, &refusal) || !refusal.NotRun || refusal.Reason != ReasonHeld || refusal.RetryAfter <= 0 {
+			if !errors.As(err, &refusal) || !refusal.NotRun || refusal.Reason != ReasonQuarantined || refusal.RetryAfter <= 0 {
 				t.Fatalf("attempt %d: %#v", i+2, err)
 			}
 		}
@@ -67,7 +67,7 @@
 		r.after = 2 * minHedge
 		q := request(fleet.KindSafe)
 		q.Target = crashTarget
-		r.entries[0].Quarantine.Ended(quarantine.Run{Subject: q.subject(), Endpoint: fleet.Incarnation{ID: "former"}})
+		r.entries[0].Quarantine.ReportCrash(quarantine.BrokenRun{Fingerprint: q.subject(), Endpoint: fleet.Incarnation{ID: "former"}})
 		q.Route.Objective = 50 * time.Millisecond // a second send is due before the endpoint ends
 		if _, err := r.entries[0].Do(t.Context(), q); err == nil {
 			t.Fatal("served")
@@ -138,7 +138,7 @@
 			r.view.UpdateInstances(nil, []string{id})
 		}
 		time.Sleep(10 * time.Second)
-		if verdict, _ := r.entries[0].Quarantine.Judge(q.subject(), quarantine.RequestLimit); verdict != quarantine.Clear {
+		if verdict, _ := r.entries[0].Quarantine.State(q.subject(), quarantine.RequestLimit); verdict != quarantine.Clear {
 			t.Errorf("verdict %v", verdict)
 		}
 	})
@@ -149,13 +149,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newCrashRig(t, 2, 3, true)
 		q := request(fleet.KindSafe)
-		r.entries[0].Quarantine.Ended(quarantine.Run{Subject: q.subject(), Endpoint: fleet.Incarnation{ID: "former"}})
+		r.entries[0].Quarantine.ReportCrash(quarantine.BrokenRun{Fingerprint: q.subject(), Endpoint: fleet.Incarnation{ID: "former"}})
 		if _, err := r.entries[1].Do(t.Context(), q); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
 		for i, f := range r.entries {
-			if verdict, _ := f.Quarantine.Judge(q.subject(), quarantine.RequestLimit); verdict != quarantine.Clear {
+			if verdict, _ := f.Quarantine.State(q.subject(), quarantine.RequestLimit); verdict != quarantine.Clear {
 				t.Errorf("entry %d: verdict %v", i, verdict)
 			}
 		}
--- a/forward/crashrig_test.go
+++ b/forward/crashrig_test.go
@@ -72,7 +72,7 @@
 			k.Rows, k.Clock, k.Prober, k.Log, k.Counters = rows.Client(), rows.Now, r, observe.Discard(), f.Counters
 			f.Quarantine = k
 			go k.Run(t.Context())
-			go f.WatchEnds(t.Context())
+			go f.WatchCrashes(t.Context())
 		}
 		r.entries = append(r.entries, f)
 	}
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -31,16 +31,16 @@
 	Body   []byte
 	// Deadline is when the client stops waiting; zero is never.
 	Deadline time.Time
-	// LastEvent is the last event of a stream that the client has.
-	LastEvent string
+	// LastEventID is the last event of a stream that the client has.
+	LastEventID string
 	// Reached is how many endpoints it may have reached so far. Do counts it, so that
 	// a stream which is resumed again and again reaches no more than its route allows.
 	Reached int
 }
 
 // subject names the request's content: who asks for what, whatever its id.
-func (r *Request) subject() quarantine.Subject {
-	return quarantine.SubjectOf(r.Organisation, r.Host, r.Method, r.Target, string(r.Body))
+func (r *Request) subject() quarantine.Fingerprint {
+	return quarantine.FingerprintOf(r.Organisation, r.Host, r.Method, r.Target, string(r.Body))
 }
 
 // Answer is an endpoint's answer.
@@ -118,9 +118,9 @@
 	ReasonFailed     = "failed"
 	ReasonSlow       = "slow"
 	ReasonTimeout    = "timeout"
-	ReasonGone       = "client_gone"
-	// ReasonHeld says that endpoints have ended under the request's content.
-	ReasonHeld = "held"
+	ReasonClientGone = "client_gone"
+	// ReasonQuarantined says that endpoints have ended under the request's content.
+	ReasonQuarantined = "held"
 )
 
 // Times of a request's attempts.
@@ -144,17 +144,17 @@
 	Zone     string
 	Log      logrus.FieldLogger
 	Counters *observe.Counters
-	// Began, if set, is told of each run that an endpoint begins, with its
+	// OnRunStarted, if set, is told of each run that an endpoint begins, with its
 	// organisation. What it returns is called if the endpoint turns out not to have
 	// begun it. It is set before the first request.
-	Began func(organisation string, at time.Time) (withdraw func())
+	OnRunStarted func(organisation string, at time.Time) (withdraw func())
 	// Meter, if set, is told of each send to an endpoint and, by what it returns, of
 	// its end. It is set before the first request.
 	Meter func(to fleet.Instance) (end func())
 
 	// Quarantine keeps requests that end endpoints away from them. It may be replaced
 	// before the first request by one that tells other processes.
-	Quarantine *quarantine.Keeper
+	Quarantine *quarantine.Tracker
 
 	picker *picker.Picker
 	lost   lostSends
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -158,7 +158,7 @@
 				var mu sync.Mutex
 				var got []time.Duration
 				came := time.Now()
-				f.Began = func(organisation string, at time.Time) func() {
+				f.OnRunStarted = func(organisation string, at time.Time) func() {
 					mu.Lock()
 					defer mu.Unlock()
 					if organisation != "guthi" {
@@ -194,7 +194,7 @@
 		}, hangs)
 		came := time.Now()
 		var at time.Time
-		f.Began = func(_ string, began time.Time) func() {
+		f.OnRunStarted = func(_ string, began time.Time) func() {
 			at = began
 			return func() { t.Error("withdrawn") }
 		}
@@ -222,7 +222,7 @@
 		time.AfterFunc(50*time.Millisecond, cancel)
 		_, err := f.Do(ctx, request(fleet.KindUnsafe))
 		var refusal *Refusal
-		if !errors.As(err, &refusal) || refusal.Reason != ReasonGone || refusal.NotRun {
+		if !errors.As(err, &refusal) || refusal.Reason != ReasonClientGone || refusal.NotRun {
 			t.Fatalf("got %#v", err)
 		}
 		synctest.Wait()
--- a/forward/held.go
+++ b/forward/held.go
@@ -25,13 +25,13 @@
 // one is answered at once, so that all of a service's endpoints do not end under it.
 func (c *call) admitAndRun(ctx context.Context) (*Answer, error) {
 	verdict, wait := c.Quarantine.Admit(ctx, c.subject, quarantine.RequestLimit)
-	if verdict == quarantine.Held {
-		c.Quarantine.Refused()
-		refusal := c.refusal(ReasonHeld, nil)
+	if verdict == quarantine.Quarantined {
+		c.Quarantine.CountRefused()
+		refusal := c.refusal(ReasonQuarantined, nil)
 		refusal.RetryAfter = (wait + time.Second - 1).Truncate(time.Second) // whole seconds, not before its time
 		return nil, refusal
 	}
-	c.trial = verdict == quarantine.Due
+	c.trial = verdict == quarantine.TrialDue
 	return c.run(ctx)
 }
 
@@ -42,12 +42,12 @@
 	if !errors.Is(err, ErrBroken) || ctx.Err() != nil || c.View.Snapshot().Leaves(to) {
 		return false
 	}
-	return c.Quarantine.Broken(ctx, quarantine.Run{Subject: c.subject, Endpoint: to.Incarnation(), Addr: to.Addr, Took: took})
+	return c.Quarantine.ReportBroken(ctx, quarantine.BrokenRun{Fingerprint: c.subject, Endpoint: to.Incarnation(), Addr: to.Addr, Took: took})
 }
 
 // suspected reports whether an endpoint has ended under the request's content.
 func (c *call) suspected() bool {
-	verdict, _ := c.Quarantine.Judge(c.subject, quarantine.RequestLimit)
+	verdict, _ := c.Quarantine.State(c.subject, quarantine.RequestLimit)
 	return verdict != quarantine.Clear
 }
 
@@ -55,7 +55,7 @@
 // under which an endpoint has ended goes to one at a time, so that a second end tells
 // before a third endpoint has it.
 func (c *call) mayEndAnother() bool {
-	verdict, _ := c.Quarantine.Judge(c.subject, quarantine.RequestLimit)
+	verdict, _ := c.Quarantine.State(c.subject, quarantine.RequestLimit)
 	switch verdict {
 	case quarantine.Clear:
 		return true
@@ -77,7 +77,7 @@
 // awaitTurn has the request wait if all endpoints that are left have another one
 // under which an endpoint has ended: what was beside the culprit would meet it again.
 func (c *call) awaitTurn(q picker.Query) {
-	q.Apart = false
+	q.AvoidRisky = false
 	if _, left := c.picker.Pick(q); !left {
 		return
 	}
--- a/forward/lost.go
+++ b/forward/lost.go
@@ -22,7 +22,7 @@
 	to   fleet.Instance
 	sent time.Time
 	// subject is its request's, gaveUp when that was given up.
-	subject quarantine.Subject
+	subject quarantine.Fingerprint
 	gaveUp  time.Time
 }
 
@@ -68,15 +68,15 @@
 func (f *Forwarder) noteLost() {
 	now := time.Now()
 	for _, s := range f.lost.ended(f.View.Snapshot(), now) {
-		f.Quarantine.Ended(quarantine.Run{
-			Subject: s.subject, Endpoint: s.to.Incarnation(), Addr: s.to.Addr, Took: s.gaveUp.Sub(s.sent), Ago: now.Sub(s.gaveUp),
+		f.Quarantine.ReportCrash(quarantine.BrokenRun{
+			Fingerprint: s.subject, Endpoint: s.to.Incarnation(), Addr: s.to.Addr, Took: s.gaveUp.Sub(s.sent), Ago: now.Sub(s.gaveUp),
 		})
 	}
 }
 
-// WatchEnds looks out for the ends of endpoints that left requests without an answer,
+// WatchCrashes looks out for the ends of endpoints that left requests without an answer,
 // until ctx ends.
-func (f *Forwarder) WatchEnds(ctx context.Context) {
+func (f *Forwarder) WatchCrashes(ctx context.Context) {
 	for {
 		changed := f.View.Changed()
 		f.noteLost()
--- a/forward/resume.go
+++ b/forward/resume.go
@@ -13,7 +13,7 @@
 		return nil, fmt.Errorf("forward: route %s is not resumable", r.Route.Name)
 	}
 	again := *r
-	again.LastEvent = lastEvent
+	again.LastEventID = lastEvent
 	defer func() { r.Reached = again.Reached }()
 	for again.Reached < r.Route.MaxAttempts {
 		if !r.Deadline.IsZero() && time.Until(r.Deadline) <= answerSlack {
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -21,7 +21,7 @@
 	switch {
 	case err == nil:
 	case errors.Is(err, io.EOF):
-		s.call.Quarantine.Served(s.call.subject)
+		s.call.Quarantine.ReportServed(s.call.subject)
 	default:
 		a := attempt{to: s.call.last, err: err, took: time.Since(s.call.lastSent)}
 		a.ended = s.call.hasEnded(s.ctx, a.to, a.err, a.took)
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// For waits for d, or returns at once when d is not positive. The error is ctx's
+// Sleep waits for d, or returns at once when d is not positive. The error is ctx's
 // cause if ctx ends first.
-func For(ctx context.Context, d time.Duration) error {
+func Sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return context.Cause(ctx)
 	}
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -30,7 +30,7 @@
 					defer time.AfterFunc(c.stop, func() { cancel(errStop) }).Stop()
 				}
 				began := time.Now()
-				if err := For(ctx, c.pause); !errors.Is(err, c.want) {
+				if err := Sleep(ctx, c.pause); !errors.Is(err, c.want) {
 					t.Errorf("got %v, want %v", err, c.want)
 				}
 				if took := time.Since(began); took != c.took {
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -179,8 +179,8 @@
 	Candidates []fleet.Instance
 	// Tried are passed over.
 	Tried map[fleet.Incarnation]bool
-	// Apart passes over instances that have a risky request from here.
-	Apart bool
+	// AvoidRisky passes over instances that have a risky request from here.
+	AvoidRisky bool
 	// Zone is the sender's availability zone, Request the request's id.
 	Zone, Request string
 	Now           time.Time
@@ -224,10 +224,10 @@
 			fresh = append(fresh, c)
 		}
 	}
-	if len(fresh) == 0 && !q.Apart {
+	if len(fresh) == 0 && !q.AvoidRisky {
 		fresh = atRisk
 	}
-	if len(fresh) == 0 && !(q.Apart && len(atRisk) > 0) {
+	if len(fresh) == 0 && !(q.AvoidRisky && len(atRisk) > 0) {
 		fresh = suspects
 	}
 	if len(fresh) == 0 {
--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -116,7 +116,7 @@
 // endpoints and go to the same one, since each looked before the other had begun.
 func TestRequestsThatLookTogetherAreApart(t *testing.T) {
 	r := newRig(2)
-	q := Query{Candidates: r.candidates, Zone: "z", Request: "same", Apart: true, Now: r.now}
+	q := Query{Candidates: r.candidates, Zone: "z", Request: "same", AvoidRisky: true, Now: r.now}
 	first, ok := r.Take(q, true)
 	if !ok {
 		t.Fatal("no instance for the first")
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -11,18 +11,18 @@
 
 // book is what a process knows of contents. It is not safe for concurrent use.
 type book struct {
-	subjects map[Subject]*history
+	subjects map[Fingerprint]*history
 	// cleared are contents that an endpoint ran and lived through lately: what is
 	// told of them from before that is old.
-	cleared map[Subject]time.Duration
+	cleared map[Fingerprint]time.Duration
 }
 
 func newBook() *book {
-	return &book{subjects: map[Subject]*history{}, cleared: map[Subject]time.Duration{}}
+	return &book{subjects: map[Fingerprint]*history{}, cleared: map[Fingerprint]time.Duration{}}
 }
 
 // judge is the verdict on a content.
-func (b *book) judge(s Subject, limit Limit, now time.Duration) (Verdict, time.Duration) {
+func (b *book) judge(s Fingerprint, limit Limit, now time.Duration) (State, time.Duration) {
 	h, known := b.subjects[s]
 	if !known || h.forgotten(now) {
 		return Clear, 0
@@ -69,14 +69,14 @@
 }
 
 // forget forgets a content and returns its history; nil if nothing was known.
-func (b *book) forget(s Subject) *history {
+func (b *book) forget(s Fingerprint) *history {
 	h := b.subjects[s]
 	delete(b.subjects, s)
 	return h
 }
 
 // clear forgets what was known of a content up to a moment.
-func (b *book) clear(s Subject, at time.Duration) {
+func (b *book) clear(s Fingerprint, at time.Duration) {
 	if former, known := b.cleared[s]; known && former >= at {
 		return
 	}
@@ -88,11 +88,11 @@
 
 // forgetCleared forgets clearances of which no old news comes any more.
 func (b *book) forgetCleared(now time.Duration) {
-	maps.DeleteFunc(b.cleared, func(_ Subject, at time.Duration) bool { return now-at > 2*newsTime })
+	maps.DeleteFunc(b.cleared, func(_ Fingerprint, at time.Duration) bool { return now-at > 2*newsTime })
 }
 
 // forgotten are the contents whose time is up.
-func (b *book) forgotten(now time.Duration) (list []Subject) {
+func (b *book) forgotten(now time.Duration) (list []Fingerprint) {
 	for s, h := range b.subjects {
 		if h.forgotten(now) {
 			list = append(list, s)
@@ -106,7 +106,7 @@
 	if len(b.subjects) < maxSubjects {
 		return
 	}
-	var oldest Subject
+	var oldest Fingerprint
 	for s, h := range b.subjects {
 		if oldest == "" || h.last() < b.subjects[oldest].last() {
 			oldest = s
--- a/quarantine/follow.go
+++ b/quarantine/follow.go
@@ -29,7 +29,7 @@
 
 // Run follows what other processes have seen and tells them what this one sees,
 // until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Tracker) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	pace := store.Pace{BytesPerSecond: newsBudget, MaxAge: newsAge, Savings: newsSavings}
 	wg.Go(func() { store.Follow(ctx, k.Rows, store.Source{Table: Table, Pace: pace, Wait: quietWait}, k) })
@@ -38,11 +38,11 @@
 	wg.Wait()
 }
 
-// Listed is closed once what others have seen has been read.
-func (k *Keeper) Listed() <-chan struct{} { return k.listed }
+// Synced is closed once what others have seen has been read.
+func (k *Tracker) Synced() <-chan struct{} { return k.listed }
 
 // Replace implements store.Watcher.
-func (k *Keeper) Replace(s store.Snapshot) {
+func (k *Tracker) Replace(s store.Snapshot) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	select {
@@ -56,7 +56,7 @@
 }
 
 // keepUnwritten takes over what was seen here and does not stand in the store yet.
-func (k *Keeper) keepUnwritten() {
+func (k *Tracker) keepUnwritten() {
 	for key, m := range k.outbox.rows {
 		e, err := decodeName(key.Name)
 		if err != nil {
@@ -73,14 +73,14 @@
 }
 
 // Apply implements store.Watcher.
-func (k *Keeper) Apply(s store.Snapshot) {
+func (k *Tracker) Apply(s store.Snapshot) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.apply(s.Rows)
 }
 
 // apply takes rows in. It is called with k.mu held.
-func (k *Keeper) apply(rows []store.Row) {
+func (k *Tracker) apply(rows []store.Row) {
 	for _, row := range rows {
 		if row.Deleted {
 			k.undo(row.Name)
@@ -96,7 +96,7 @@
 }
 
 // undo takes back what a removed row said. It is called with k.mu held.
-func (k *Keeper) undo(name string) {
+func (k *Tracker) undo(name string) {
 	e, err := decodeName(name)
 	if err != nil {
 		k.Log.WithError(err).Error("quarantine: removed row not readable")
@@ -106,15 +106,15 @@
 }
 
 // Lost implements store.Watcher.
-func (k *Keeper) Lost(err error) { store.LogLoss(k.Log, Table, err) }
+func (k *Tracker) Lost(err error) { store.LogLoss(k.Log, Table, err) }
 
 // Regained implements store.Watcher.
-func (k *Keeper) Regained(after time.Duration) { store.LogReturn(k.Log, Table, after) }
+func (k *Tracker) Regained(after time.Duration) { store.LogReturn(k.Log, Table, after) }
 
 // expire forgets what is old, until ctx ends.
-func (k *Keeper) expire(ctx context.Context) {
+func (k *Tracker) expire(ctx context.Context) {
 	for ctx.Err() == nil {
-		_ = pause.For(ctx, expiryInterval+time.Duration(rand.Int64N(int64(expiryInterval)))) // the end of ctx is looked at next
+		_ = pause.Sleep(ctx, expiryInterval+time.Duration(rand.Int64N(int64(expiryInterval)))) // the end of ctx is looked at next
 		now, known := k.Clock()
 		if !known {
 			continue
--- a/quarantine/history.go
+++ b/quarantine/history.go
@@ -9,20 +9,20 @@
 	"mulberryscale.example/fleet"
 )
 
-// Verdict says how a content may be sent.
-type Verdict int
+// State says how a content may be sent.
+type State int
 
 // Verdicts.
 const (
 	// Clear contents are sent as any other.
-	Clear Verdict = iota
+	Clear State = iota
 	// Suspect contents have met the end of an endpoint, which may be the endpoint's
 	// own: they go on to one endpoint at a time.
 	Suspect
-	// Held contents are not sent.
-	Held
-	// Due contents are held, and one process may try them out once.
-	Due
+	// Quarantined contents are not sent.
+	Quarantined
+	// TrialDue contents are held, and one process may try them out once.
+	TrialDue
 )
 
 // Limit is how many endpoints may end under a content before it is held.
@@ -99,7 +99,7 @@
 }
 
 // judge is the verdict, and for a held content how long it stays held.
-func (h *history) judge(limit Limit, now time.Duration) (verdict Verdict, wait time.Duration) {
+func (h *history) judge(limit Limit, now time.Duration) (verdict State, wait time.Duration) {
 	switch n := h.count(); {
 	case n == 0:
 		return Clear, 0
@@ -111,9 +111,9 @@
 		wait = h.last() + trialPauses[n] - now
 	}
 	if wait > 0 {
-		return Held, wait
+		return Quarantined, wait
 	}
-	return Due, 0
+	return TrialDue, 0
 }
 
 // nextTrial is the number of the next trial.
--- a/quarantine/history_test.go
+++ b/quarantine/history_test.go
@@ -53,20 +53,20 @@
 		h     *history
 		limit Limit
 		after time.Duration
-		want  Verdict
+		want  State
 		wait  time.Duration
 	}{
 		"nothing known":         {newHistory(), RequestLimit, 0, Clear, 0},
 		"one end":               {ended(1, at), RequestLimit, 0, Suspect, 0},
 		"ends together":         {together(5, at), RequestLimit, 0, Suspect, 0},
-		"second send beside":    {beside(at), RequestLimit, 10 * time.Second, Held, 20 * time.Second},
-		"two ends":              {ended(2, at), RequestLimit, 10 * time.Second, Held, 20 * time.Second},
+		"second send beside":    {beside(at), RequestLimit, 10 * time.Second, Quarantined, 20 * time.Second},
+		"two ends":              {ended(2, at), RequestLimit, 10 * time.Second, Quarantined, 20 * time.Second},
 		"two ends of an item":   {ended(2, at), ItemLimit, 0, Suspect, 0},
-		"three ends of an item": {ended(3, at), ItemLimit, 0, Held, 30 * time.Second},
-		"first trial due":       {ended(2, at), RequestLimit, 30 * time.Second, Due, 0},
-		"first trial claimed":   {tried(ended(2, at), at+30*time.Second), RequestLimit, 40 * time.Second, Held, 5*time.Minute - 10*time.Second},
-		"second trial due":      {tried(ended(3, at), at+30*time.Second), RequestLimit, 6 * time.Minute, Due, 0},
-		"no trial left":         {tried(ended(5, at), 1, 2, 3), RequestLimit, 23 * time.Hour, Held, time.Hour},
+		"three ends of an item": {ended(3, at), ItemLimit, 0, Quarantined, 30 * time.Second},
+		"first trial due":       {ended(2, at), RequestLimit, 30 * time.Second, TrialDue, 0},
+		"first trial claimed":   {tried(ended(2, at), at+30*time.Second), RequestLimit, 40 * time.Second, Quarantined, 5*time.Minute - 10*time.Second},
+		"second trial due":      {tried(ended(3, at), at+30*time.Second), RequestLimit, 6 * time.Minute, TrialDue, 0},
+		"no trial left":         {tried(ended(5, at), 1, 2, 3), RequestLimit, 23 * time.Hour, Quarantined, time.Hour},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, wait := c.h.judge(c.limit, at+c.after)
@@ -90,12 +90,12 @@
 				return
 			}
 			verdict, _ := h.judge(RequestLimit, now)
-			if verdict == Due {
+			if verdict == TrialDue {
 				h.trials[h.nextTrial()] = now
 				h.ends[fleet.Incarnation{ID: "trial", Born: int64(now)}] = span{now, now + time.Second}
 				trials++
 			}
-			if verdict != Due && verdict != Held {
+			if verdict != TrialDue && verdict != Quarantined {
 				t.Fatalf("%v after %d ends", verdict, len(h.ends))
 			}
 		}
@@ -122,12 +122,12 @@
 func TestBookIsBounded(t *testing.T) {
 	b := newBook()
 	for i := range maxSubjects + 10 {
-		b.note(event{subject: SubjectOf(fmt.Sprint(i)), endpoint: end(0), trial: -1, mark: mark{At: time.Duration(i)}})
+		b.note(event{subject: FingerprintOf(fmt.Sprint(i)), endpoint: end(0), trial: -1, mark: mark{At: time.Duration(i)}})
 	}
 	if len(b.subjects) != maxSubjects {
 		t.Fatalf("%d contents remembered", len(b.subjects))
 	}
-	if _, known := b.subjects[SubjectOf("0")]; known {
+	if _, known := b.subjects[FingerprintOf("0")]; known {
 		t.Error("the oldest is remembered")
 	}
 }
--- a/quarantine/inspect.go
+++ b/quarantine/inspect.go
@@ -10,37 +10,37 @@
 	"mulberryscale.example/store"
 )
 
-// Content is what stands in the store about one content.
-type Content struct {
-	Subject Subject
+// Record is what stands in the store about one content.
+type Record struct {
+	Fingerprint Fingerprint
 	// Endpoints are the ids of those that ended under it.
 	Endpoints []string
 	// Trials is how often it was tried out since.
 	Trials int
 	// Since is how long ago the last end or trial was.
 	Since time.Duration
-	// Verdict is the one on requests, Wait how long a held one stays held.
-	Verdict Verdict
-	Wait    time.Duration
+	// State is the one on requests, Wait how long a held one stays held.
+	State State
+	Wait  time.Duration
 }
 
 // String implements fmt.Stringer.
-func (v Verdict) String() string {
+func (v State) String() string {
 	switch v {
 	case Clear:
 		return "clear"
 	case Suspect:
 		return "suspect"
-	case Held:
+	case Quarantined:
 		return "held"
-	case Due:
+	case TrialDue:
 		return "trial due"
 	}
 	return fmt.Sprint(int(v))
 }
 
 // List reads what all processes have seen, in order of the contents' names.
-func List(ctx context.Context, rows store.Rows) ([]Content, error) {
+func List(ctx context.Context, rows store.Rows) ([]Record, error) {
 	s, err := store.ListAll(ctx, rows, store.Range{Table: Table})
 	if err != nil {
 		return nil, err
@@ -53,15 +53,15 @@
 		}
 		b.note(e)
 	}
-	var list []Content
+	var list []Record
 	for _, subject := range slices.Sorted(maps.Keys(b.subjects)) {
 		h := b.subjects[subject]
-		c := Content{Subject: subject, Trials: len(h.trials), Since: s.Now - h.last()}
+		c := Record{Fingerprint: subject, Trials: len(h.trials), Since: s.Now - h.last()}
 		for of := range h.ends {
 			c.Endpoints = append(c.Endpoints, of.ID)
 		}
 		slices.Sort(c.Endpoints)
-		c.Verdict, c.Wait = h.judge(RequestLimit, s.Now)
+		c.State, c.Wait = h.judge(RequestLimit, s.Now)
 		list = append(list, c)
 	}
 	return list, nil
@@ -72,7 +72,7 @@
 
 // Release removes all that is held against a content, and reports whether there was
 // anything.
-func Release(ctx context.Context, rows store.Rows, subject Subject) (bool, error) {
+func Release(ctx context.Context, rows store.Rows, subject Fingerprint) (bool, error) {
 	prefix := string(subject) + "/"
 	s, err := store.ListAll(ctx, rows, store.Range{Table: Table, From: prefix, To: string(subject) + afterSlash})
 	if err != nil || len(s.Rows) == 0 {
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -15,33 +15,33 @@
 const newsAllowance = 2 * time.Second
 
 // keepers are processes that share a stand-in store.
-func keepers(t *testing.T, s *rowstore.Store, n int) []*Keeper {
-	list := make([]*Keeper, n)
+func keepers(t *testing.T, s *rowstore.Store, n int) []*Tracker {
+	list := make([]*Tracker, n)
 	for i := range list {
 		list[i] = keeper(t.Context(), s)
 	}
 	return list
 }
 
-func keeper(ctx context.Context, s *rowstore.Store) *Keeper {
+func keeper(ctx context.Context, s *rowstore.Store) *Tracker {
 	k := New()
 	k.Rows, k.Clock, k.Log, k.Counters = s.Client(), s.Now, observe.Discard(), observe.NewCounters()
 	go k.Run(ctx)
 	return k
 }
 
-func wantVerdict(t *testing.T, k *Keeper, s Subject, want Verdict) {
+func wantVerdict(t *testing.T, k *Tracker, s Fingerprint, want State) {
 	t.Helper()
-	if got, _ := k.Judge(s, RequestLimit); got != want {
+	if got, _ := k.State(s, RequestLimit); got != want {
 		t.Fatalf("verdict %v, want %v", got, want)
 	}
 }
 
-const subject = Subject("content")
+const subject = Fingerprint("content")
 
 // run is one of the content that an endpoint broke off. Runs do not overlap, though
 // the tests take them in at one moment.
-func run(n int) Run { return Run{Subject: subject, Endpoint: end(n)} }
+func run(n int) BrokenRun { return BrokenRun{Fingerprint: subject, Endpoint: end(n)} }
 
 func TestEndsAreKnownToAllProcesses(t *testing.T) {
 	for name, outcomes := range map[string][]rowstore.Outcome{
@@ -57,14 +57,14 @@
 				k := keepers(t, s, 3)
 				time.Sleep(time.Second)
 				s.Next(outcomes...)
-				k[0].Ended(run(0))
-				k[1].Ended(run(1))
-				k[1].Ended(run(1)) // seen by two sends at once
+				k[0].ReportCrash(run(0))
+				k[1].ReportCrash(run(1))
+				k[1].ReportCrash(run(1)) // seen by two sends at once
 				time.Sleep(newsAllowance)
 				for _, each := range k {
-					wantVerdict(t, each, subject, Held)
+					wantVerdict(t, each, subject, Quarantined)
 				}
-				wantVerdict(t, k[2], Subject("another"), Clear)
+				wantVerdict(t, k[2], Fingerprint("another"), Clear)
 			})
 		})
 	}
@@ -74,12 +74,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
 		k := keeper(t.Context(), s)
-		k.Ended(run(0))
-		k.Ended(run(1))
+		k.ReportCrash(run(0))
+		k.ReportCrash(run(1))
 		time.Sleep(newsAllowance)
 		late := keeper(t.Context(), s)
-		<-late.Listed()
-		wantVerdict(t, late, subject, Held)
+		<-late.Synced()
+		wantVerdict(t, late, subject, Quarantined)
 	})
 }
 
@@ -90,12 +90,12 @@
 		k := keeper(t.Context(), s)
 		time.Sleep(time.Second)
 		s.Next(rowstore.Refused)
-		k.Ended(run(0))
-		k.Ended(run(1))
+		k.ReportCrash(run(0))
+		k.ReportCrash(run(1))
 		k.Replace(store.Snapshot{}) // read before they stood there
-		wantVerdict(t, k, subject, Held)
+		wantVerdict(t, k, subject, Quarantined)
 		time.Sleep(newsAllowance)
-		wantVerdict(t, k, subject, Held)
+		wantVerdict(t, k, subject, Quarantined)
 	})
 }
 
@@ -103,10 +103,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
 		k := keepers(t, s, 2)
-		k[0].Ended(run(0))
+		k[0].ReportCrash(run(0))
 		time.Sleep(newsAllowance)
 		wantVerdict(t, k[1], subject, Suspect)
-		k[1].Served(subject)
+		k[1].ReportServed(subject)
 		time.Sleep(newsAllowance)
 		wantVerdict(t, k[0], subject, Clear)
 		if rows := s.Rows(Table); len(rows) != 0 {
@@ -120,10 +120,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
 		k := keepers(t, s, 5)
-		k[0].Ended(run(0))
-		k[0].Ended(run(1))
+		k[0].ReportCrash(run(0))
+		k[0].ReportCrash(run(1))
 		time.Sleep(newsAllowance + trialPauses[0])
-		claims := make(chan Verdict, 2*len(k))
+		claims := make(chan State, 2*len(k))
 		for _, each := range k {
 			for range 2 {
 				go func() {
@@ -134,7 +134,7 @@
 		}
 		tried := 0
 		for range 2 * len(k) {
-			if <-claims == Due {
+			if <-claims == TrialDue {
 				tried++
 			}
 		}
@@ -143,7 +143,7 @@
 		}
 		time.Sleep(newsAllowance)
 		for _, each := range k {
-			wantVerdict(t, each, subject, Held)
+			wantVerdict(t, each, subject, Quarantined)
 		}
 	})
 }
@@ -154,11 +154,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			s := rowstore.New()
 			k := keeper(t.Context(), s)
-			k.Ended(run(0))
-			k.Ended(run(1))
+			k.ReportCrash(run(0))
+			k.ReportCrash(run(1))
 			time.Sleep(newsAllowance + trialPauses[0])
 			s.Next(outcome)
-			if verdict, wait := k.Admit(t.Context(), subject, RequestLimit); verdict != Held || wait <= 0 {
+			if verdict, wait := k.Admit(t.Context(), subject, RequestLimit); verdict != Quarantined || wait <= 0 {
 				t.Fatalf("outcome %v: verdict %v, wait %v", outcome, verdict, wait)
 			}
 		})
@@ -170,12 +170,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
 		k := keeper(t.Context(), s)
-		k.Ended(run(0))
-		k.Ended(run(1))
+		k.ReportCrash(run(0))
+		k.ReportCrash(run(1))
 		time.Sleep(newsAllowance + trialPauses[0])
 		s.Slow(time.Hour)
 		asked := time.Now()
-		if verdict, _ := k.Admit(t.Context(), subject, RequestLimit); verdict != Held {
+		if verdict, _ := k.Admit(t.Context(), subject, RequestLimit); verdict != Quarantined {
 			t.Fatalf("verdict %v", verdict)
 		}
 		if took := time.Since(asked); took > claimTimeout {
@@ -188,7 +188,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
 		k := keepers(t, s, 3)
-		k[0].Ended(run(0))
+		k[0].ReportCrash(run(0))
 		time.Sleep(suspectMemory + 3*expiryInterval)
 		if rows := s.Rows(Table); len(rows) != 0 {
 			t.Fatalf("%d rows left", len(rows))
@@ -210,7 +210,7 @@
 			}
 		}
 		time.Sleep(newsAllowance)
-		wantVerdict(t, k, Subject("x"), Clear)
+		wantVerdict(t, k, Fingerprint("x"), Clear)
 	})
 }
 
@@ -221,11 +221,11 @@
 
 func TestOnlyTheEndOfAnEndpointCounts(t *testing.T) {
 	k := Local(refusing{"gone:1": true}, observe.Discard(), observe.NewCounters())
-	if k.Broken(t.Context(), Run{Subject: subject, Endpoint: end(0), Addr: "there:1"}) {
+	if k.ReportBroken(t.Context(), BrokenRun{Fingerprint: subject, Endpoint: end(0), Addr: "there:1"}) {
 		t.Error("a lost connection counts as an end")
 	}
 	wantVerdict(t, k, subject, Clear)
-	if !k.Broken(t.Context(), Run{Subject: subject, Endpoint: end(1), Addr: "gone:1"}) {
+	if !k.ReportBroken(t.Context(), BrokenRun{Fingerprint: subject, Endpoint: end(1), Addr: "gone:1"}) {
 		t.Error("an end does not count")
 	}
 	wantVerdict(t, k, subject, Suspect)
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -8,11 +8,11 @@
 	"mulberryscale.example/fleet"
 )
 
-// News is what one process tells another that shares neither a store nor a clock
+// GossipEvent is what one process tells another that shares neither a store nor a clock
 // with it.
-type News struct {
-	Subject Subject
-	Kind    NewsKind
+type GossipEvent struct {
+	Fingerprint Fingerprint
+	Kind        GossipKind
 	// Endpoint and Took are those of a run that an endpoint broke off as it ended.
 	Endpoint fleet.Incarnation
 	Took     time.Duration
@@ -22,14 +22,14 @@
 	Age time.Duration
 }
 
-// NewsKind is what happened to a content.
-type NewsKind int
+// GossipKind is what happened to a content.
+type GossipKind int
 
 // Kinds of news.
 const (
-	NewsEnd NewsKind = iota + 1
-	NewsTrial
-	NewsCleared
+	GossipCrash GossipKind = iota + 1
+	GossipTrial
+	GossipCleared
 )
 
 const (
@@ -40,43 +40,43 @@
 	maxNews = 32
 )
 
-// News is what has happened lately.
-func (k *Keeper) News() []News {
+// RecentEvents is what has happened lately.
+func (k *Tracker) RecentEvents() []GossipEvent {
 	now, _ := k.Clock()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var list []News
+	var list []GossipEvent
 	for s, h := range k.book.subjects {
 		for of, run := range h.ends {
-			list = append(list, News{Subject: s, Kind: NewsEnd, Endpoint: of, Took: run.ended - run.began, Age: now - run.ended})
+			list = append(list, GossipEvent{Fingerprint: s, Kind: GossipCrash, Endpoint: of, Took: run.ended - run.began, Age: now - run.ended})
 		}
 		for number, at := range h.trials {
-			list = append(list, News{Subject: s, Kind: NewsTrial, Trial: number, Age: now - at})
+			list = append(list, GossipEvent{Fingerprint: s, Kind: GossipTrial, Trial: number, Age: now - at})
 		}
 	}
 	for s, at := range k.book.cleared {
-		list = append(list, News{Subject: s, Kind: NewsCleared, Age: now - at})
+		list = append(list, GossipEvent{Fingerprint: s, Kind: GossipCleared, Age: now - at})
 	}
 	k.book.forgetCleared(now)
-	list = slices.DeleteFunc(list, func(n News) bool { return n.Age > newsTime })
-	slices.SortFunc(list, func(a, b News) int { return cmp.Compare(a.Age, b.Age) })
+	list = slices.DeleteFunc(list, func(n GossipEvent) bool { return n.Age > newsTime })
+	slices.SortFunc(list, func(a, b GossipEvent) int { return cmp.Compare(a.Age, b.Age) })
 	return list[:min(len(list), maxNews)]
 }
 
-// Hear takes in what another process tells.
-func (k *Keeper) Hear(list []News) {
+// MergeEvents takes in what another process tells.
+func (k *Tracker) MergeEvents(list []GossipEvent) {
 	now, _ := k.Clock()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, n := range list[:min(len(list), maxNews)] {
 		at := now - n.Age
 		switch n.Kind {
-		case NewsCleared:
-			k.book.clear(n.Subject, at)
-		case NewsEnd:
-			k.book.note(event{subject: n.Subject, endpoint: n.Endpoint, trial: -1, mark: mark{At: at, Ran: n.Took}})
-		case NewsTrial:
-			k.book.note(event{subject: n.Subject, trial: n.Trial, mark: mark{At: at}})
+		case GossipCleared:
+			k.book.clear(n.Fingerprint, at)
+		case GossipCrash:
+			k.book.note(event{subject: n.Fingerprint, endpoint: n.Endpoint, trial: -1, mark: mark{At: at, Ran: n.Took}})
+		case GossipTrial:
+			k.book.note(event{subject: n.Fingerprint, trial: n.Trial, mark: mark{At: at}})
 		}
 	}
 }
--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -93,23 +93,23 @@
 }
 
 // write writes what is to be told until ctx ends.
-func (k *Keeper) write(ctx context.Context) {
+func (k *Tracker) write(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-k.outbox.changed:
 		}
-		_ = pause.For(ctx, gatherTime) // the end of ctx is looked at next
+		_ = pause.Sleep(ctx, gatherTime) // the end of ctx is looked at next
 		if err := k.flush(ctx); err != nil && ctx.Err() == nil {
 			k.Log.WithError(err).WithField("dependency", "store").Warn("quarantine not written")
-			_ = pause.For(ctx, writePause) // the end of ctx is looked at next
+			_ = pause.Sleep(ctx, writePause) // the end of ctx is looked at next
 		}
 	}
 }
 
 // flush writes one transaction.
-func (k *Keeper) flush(ctx context.Context) error {
+func (k *Tracker) flush(ctx context.Context) error {
 	k.mu.Lock()
 	batch := k.outbox.take()
 	k.mu.Unlock()
--- a/quarantine/rows.go
+++ b/quarantine/rows.go
@@ -32,7 +32,7 @@
 
 // event is a row's meaning.
 type event struct {
-	subject Subject
+	subject Fingerprint
 	// endpoint is the one that ended; it is empty for a trial.
 	endpoint fleet.Incarnation
 	// trial is its number; -1 for an end.
@@ -40,11 +40,11 @@
 	mark  mark
 }
 
-func endKey(s Subject, of fleet.Incarnation) store.Key {
+func endKey(s Fingerprint, of fleet.Incarnation) store.Key {
 	return store.Key{Table: Table, Name: strings.Join([]string{string(s), kindEnd, strconv.FormatInt(of.Born, 10), of.ID}, "/")}
 }
 
-func trialKey(s Subject, number int) store.Key {
+func trialKey(s Fingerprint, number int) store.Key {
 	return store.Key{Table: Table, Name: strings.Join([]string{string(s), kindTrial, strconv.Itoa(number)}, "/")}
 }
 
@@ -52,7 +52,7 @@
 func decodeName(name string) (event, error) {
 	subject, rest, _ := strings.Cut(name, "/")
 	kind, rest, _ := strings.Cut(rest, "/")
-	e := event{subject: Subject(subject), trial: -1}
+	e := event{subject: Fingerprint(subject), trial: -1}
 	var err error
 	switch kind {
 	case kindTrial:
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -16,7 +16,7 @@
 const claimTimeout = 100 * time.Millisecond
 
 // claim claims the next trial of a content: of all processes one gets it.
-func (k *Keeper) claim(ctx context.Context, s Subject, limit Limit) bool {
+func (k *Tracker) claim(ctx context.Context, s Fingerprint, limit Limit) bool {
 	e, ok := k.beginClaim(s, limit)
 	if !ok {
 		return false
@@ -39,11 +39,11 @@
 
 // beginClaim returns the trial to claim, unless another request of this process
 // claims it or has, or the content was cleared meanwhile.
-func (k *Keeper) beginClaim(s Subject, limit Limit) (event, bool) {
+func (k *Tracker) beginClaim(s Fingerprint, limit Limit) (event, bool) {
 	now, _ := k.Clock()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if verdict, _ := k.book.judge(s, limit, now); verdict != Due || k.claiming[s] {
+	if verdict, _ := k.book.judge(s, limit, now); verdict != TrialDue || k.claiming[s] {
 		return event{}, false
 	}
 	k.claiming[s] = true
@@ -52,7 +52,7 @@
 
 // commitTrial writes a trial's row unless another process has. One whose outcome is
 // not known counts as another's: it may stand yet.
-func (k *Keeper) commitTrial(ctx context.Context, e event) error {
+func (k *Tracker) commitTrial(ctx context.Context, e event) error {
 	if k.Rows == nil {
 		return nil
 	}
--- a/retry/pause.go
+++ b/retry/pause.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Pause sleeps for d; false says that ctx ended meanwhile.
-func Pause(ctx context.Context, d time.Duration) bool {
+// Sleep sleeps for d; false says that ctx ended meanwhile.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/rollout/held.go
+++ b/rollout/held.go
@@ -13,18 +13,18 @@
 
 // subject names the sample's content; one that comes again in a later step under its
 // id is the same.
-func (t *task) subject() quarantine.Subject {
-	return quarantine.SubjectOf(t.s.row.Name, t.req.ID, t.req.Prompt, fmt.Sprint(t.req.MaxTokens, t.req.Temperature, t.req.Seed))
+func (t *task) subject() quarantine.Fingerprint {
+	return quarantine.FingerprintOf(t.s.row.Name, t.req.ID, t.req.Prompt, fmt.Sprint(t.req.MaxTokens, t.req.Temperature, t.req.Seed))
 }
 
 // held refuses a sample under which endpoints have ended, for good: its step goes on
 // without it, and the samples beside it run on. Its step is over before a trial would be due.
 func (t *task) held() *api.Refusal {
-	verdict, _ := t.s.Quarantine.Judge(t.subject(), quarantine.ItemLimit)
+	verdict, _ := t.s.Quarantine.State(t.subject(), quarantine.ItemLimit)
 	if verdict == quarantine.Clear || verdict == quarantine.Suspect {
 		return nil
 	}
-	t.s.Quarantine.Refused()
+	t.s.Quarantine.CountRefused()
 	return t.refusal(api.CodeHeld, errHeld, api.NotRunFalse)
 }
 
@@ -32,8 +32,8 @@
 func (t *task) noteEnd(refusal *api.Refusal, took time.Duration) {
 	switch {
 	case refusal == nil:
-		t.s.Quarantine.Served(t.subject())
+		t.s.Quarantine.ReportServed(t.subject())
 	case refusal.EndpointEnded:
-		t.s.Quarantine.EndedBeside(t.subject(), refusal.Peer, took)
+		t.s.Quarantine.ReportCrashAtAgent(t.subject(), refusal.Peer, took)
 	}
 }
--- a/rollout/runner.go
+++ b/rollout/runner.go
@@ -51,7 +51,7 @@
 	// Policy says how samples are placed and moved.
 	Policy Policy
 	// Quarantine keeps samples that end endpoints away from them.
-	Quarantine *quarantine.Keeper
+	Quarantine *quarantine.Tracker
 }
 
 // Policy says how the samples of a step are placed and moved.
--- a/service/agent/fencer.go
+++ b/service/agent/fencer.go
@@ -91,7 +91,7 @@
 		wait := a.jitter(backoff)
 		a.mu.Unlock()
 		a.log.WithError(err).Warn("no fencing number yet; the engine keeps its weights")
-		if !retry.Pause(ctx, wait) {
+		if !retry.Sleep(ctx, wait) {
 			return
 		}
 		backoff = min(2*backoff, a.cfg.MaxBackoff)
--- a/service/agent/weights.go
+++ b/service/agent/weights.go
@@ -26,7 +26,7 @@
 func (a *Agent) followTargets(ctx context.Context) {
 	for {
 		wait := a.askTargets(ctx)
-		if !retry.Pause(ctx, wait) {
+		if !retry.Sleep(ctx, wait) {
 			return
 		}
 	}
--- a/service/entry/claimed.go
+++ b/service/entry/claimed.go
@@ -35,7 +35,7 @@
 
 // runIdentified runs a call by what its caller said of repeating it.
 func (e *Entry) runIdentified(ctx context.Context, work *call, id identity, digest string) (*wire.Done, *api.Refusal) {
-	work.subject = quarantine.SubjectOf(work.row.Name, digest)
+	work.subject = quarantine.FingerprintOf(work.row.Name, digest)
 	if refusal := e.admitContent(ctx, work); refusal != nil {
 		return nil, refusal
 	}
--- a/service/entry/entry.go
+++ b/service/entry/entry.go
@@ -100,7 +100,7 @@
 	interactive *routing.Router
 	budget      *retry.Budget
 	// quarantine keeps calls and samples that end endpoints away from them.
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Tracker
 	runner     *rollout.Runner
 	sync       *tableSync
 	gossip     *gossip
--- a/service/entry/held.go
+++ b/service/entry/held.go
@@ -14,16 +14,16 @@
 // that all endpoints of its row do not end under it.
 func (e *Entry) admitContent(ctx context.Context, c *call) *api.Refusal {
 	verdict, wait := e.quarantine.Admit(ctx, c.subject, quarantine.RequestLimit)
-	if verdict != quarantine.Held {
+	if verdict != quarantine.Quarantined {
 		return nil
 	}
-	e.quarantine.Refused()
+	e.quarantine.CountRefused()
 	return e.refusal(api.CodeHeld, "endpoints have ended under this request", StepRoute, wait)
 }
 
 // mayEndAnother reports whether a call that failed may go to one more endpoint.
 func (e *Entry) mayEndAnother(c *call) bool {
-	verdict, _ := e.quarantine.Judge(c.subject, quarantine.RequestLimit)
+	verdict, _ := e.quarantine.State(c.subject, quarantine.RequestLimit)
 	return verdict == quarantine.Clear || verdict == quarantine.Suspect
 }
 
@@ -31,17 +31,17 @@
 func (e *Entry) noteEnd(c *call, agent string, refusal *api.Refusal, took time.Duration) {
 	switch {
 	case refusal == nil:
-		e.quarantine.Served(c.subject)
+		e.quarantine.ReportServed(c.subject)
 	case refusal.EndpointEnded:
-		e.quarantine.EndedBeside(c.subject, agent, took)
+		e.quarantine.ReportCrashAtAgent(c.subject, agent, took)
 	}
 }
 
 // contentNews is what the quarantine tells other entries.
 func (e *Entry) contentNews() (list []wire.ContentNews) {
-	for _, n := range e.quarantine.News() {
+	for _, n := range e.quarantine.RecentEvents() {
 		list = append(list, wire.ContentNews{
-			Content: string(n.Subject), Kind: int(n.Kind), Agent: n.Endpoint.ID, Born: n.Endpoint.Born,
+			Content: string(n.Fingerprint), Kind: int(n.Kind), Agent: n.Endpoint.ID, Born: n.Endpoint.Born,
 			Took: n.Took, Trial: n.Trial, Age: n.Age,
 		})
 	}
@@ -50,12 +50,12 @@
 
 // hearContents takes in what another entry tells.
 func (e *Entry) hearContents(list []wire.ContentNews) {
-	heard := make([]quarantine.News, 0, len(list))
+	heard := make([]quarantine.GossipEvent, 0, len(list))
 	for _, n := range list {
-		heard = append(heard, quarantine.News{
-			Subject: quarantine.Subject(n.Content), Kind: quarantine.NewsKind(n.Kind),
+		heard = append(heard, quarantine.GossipEvent{
+			Fingerprint: quarantine.Fingerprint(n.Content), Kind: quarantine.GossipKind(n.Kind),
 			Endpoint: fleet.Incarnation{ID: n.Agent, Born: n.Born}, Took: n.Took, Trial: n.Trial, Age: n.Age,
 		})
 	}
-	e.quarantine.Hear(heard)
+	e.quarantine.MergeEvents(heard)
 }
--- a/service/entry/run.go
+++ b/service/entry/run.go
@@ -42,7 +42,7 @@
 type call struct {
 	row *table.Row
 	// subject names its content.
-	subject quarantine.Subject
+	subject quarantine.Fingerprint
 	// route says which endpoints can take it.
 	route routing.Request
 	// work is a run without id, identity and budget, which each attempt fills in.
--- a/service/node/agent.go
+++ b/service/node/agent.go
@@ -60,7 +60,7 @@
 	a.reportUsage(working, &wg)
 	a.orderEndpoints(working, &wg)
 	wg.Go(func() { a.worker.Run(working) })
-	wg.Go(func() { a.forwarder.WatchEnds(working) })
+	wg.Go(func() { a.forwarder.WatchCrashes(working) })
 	wg.Go(func() { a.servePeers(working) })
 	<-ctx.Done()
 	a.log.Info("draining")
--- a/service/node/entry.go
+++ b/service/node/entry.go
@@ -92,7 +92,7 @@
 		e.measure(working, &wg, meter, nil)
 	}
 	wg.Go(func() { e.reader.Run(working) })
-	wg.Go(func() { e.forwarder.WatchEnds(working) })
+	wg.Go(func() { e.forwarder.WatchCrashes(working) })
 	collector := &batch.Collector{Ledger: e.ledger, Keep: e.settings.KeepResults, Now: e.store.Now, Log: e.log}
 	jobs := store.Source{Table: batch.TableJobs, Pace: entryJobsPace()}
 	wg.Go(func() { store.Follow(working, e.rows, jobs, e.demand.Watcher(collector, e.log)) })
@@ -154,7 +154,7 @@
 // for a short time: a store that serves all but that table holds up nobody.
 func (e *Entry) awaitQuarantine(ctx context.Context) {
 	select {
-	case <-e.quarantine.Listed():
+	case <-e.quarantine.Synced():
 	case <-time.After(quarantineTime):
 		e.log.Warn("serving before the quarantine is known")
 	case <-ctx.Done():
--- a/service/node/node.go
+++ b/service/node/node.go
@@ -42,7 +42,7 @@
 	view   *fleet.View
 	ledger *batch.Ledger
 	// quarantine is what all processes have seen requests do to endpoints.
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Tracker
 }
 
 // Options are settings of our own, beside the platform's.
@@ -75,7 +75,7 @@
 
 // keepQuarantine makes the process's part of the quarantine, for which it asks
 // endpoints by a prober.
-func (b *base) keepQuarantine(prober quarantine.Prober) *quarantine.Keeper {
+func (b *base) keepQuarantine(prober quarantine.Prober) *quarantine.Tracker {
 	k := quarantine.New()
 	k.Rows, k.Clock, k.Prober, k.Process, k.Log, k.Counters = b.rows, b.store.Now, prober, b.settings.Node, b.log, b.counters
 	b.quarantine = k
--- a/service/node/usage.go
+++ b/service/node/usage.go
@@ -20,7 +20,7 @@
 	}
 	windows := usage.Windows{Length: e.settings.UsageWindow}
 	counter := usage.NewCounter(windows)
-	e.forwarder.Began = counter.Began
+	e.forwarder.OnRunStarted = counter.Began
 	recorder := &usage.Recorder{
 		Rows: e.rows, Counter: counter, Windows: windows, Zone: e.settings.Zone, Entry: e.settings.Node + "-" + e.incarnation,
 		ReportDelay: usage.ReportDelay(e.settings.UsageDue), Log: e.log,
--- a/store/follow.go
+++ b/store/follow.go
@@ -82,13 +82,13 @@
 	switch {
 	case err == nil:
 		f.hear(s, asked)
-		_ = pause.For(ctx, f.pacer.pause(s)) // the end of ctx is looked at next
+		_ = pause.Sleep(ctx, f.pacer.pause(s)) // the end of ctx is looked at next
 	case ctx.Err() != nil:
 	case errors.Is(err, ErrHistoryGone):
 		f.listed = false
 	default:
 		f.lose(err, asked)
-		_ = pause.For(ctx, min(retryPause<<min(f.failures-1, 4), maxRetryPause)) // the end of ctx is looked at next
+		_ = pause.Sleep(ctx, min(retryPause<<min(f.failures-1, 4), maxRetryPause)) // the end of ctx is looked at next
 	}
 }
 
--- a/tablestore/apply.go
+++ b/tablestore/apply.go
@@ -75,7 +75,7 @@
 		case !mayHaveTakenEffect && !errors.Is(err, platform.ErrPrecondition):
 			return Entry{}, err
 		}
-		if !retry.Pause(ctx, delay) {
+		if !retry.Sleep(ctx, delay) {
 			break
 		}
 		delay = min(2*delay, maxDelay)
--- a/usage/recorder.go
+++ b/usage/recorder.go
@@ -56,9 +56,9 @@
 			r.flush(last)
 			return
 		}
-		_ = pause.For(ctx, r.delay()) // the end of ctx is looked at next
+		_ = pause.Sleep(ctx, r.delay()) // the end of ctx is looked at next
 		if !r.flush(ctx) {
-			_ = pause.For(ctx, retryPause) // the end of ctx is looked at next
+			_ = pause.Sleep(ctx, retryPause) // the end of ctx is looked at next
 		}
 	}
 }
--- a/weights/fetch.go
+++ b/weights/fetch.go
@@ -126,7 +126,7 @@
 				break
 			}
 		}
-		if !retry.Pause(ctx, f.r.rand.jitter(wait)) {
+		if !retry.Sleep(ctx, f.r.rand.jitter(wait)) {
 			return context.Cause(ctx)
 		}
 	}
@@ -269,7 +269,7 @@
 		if refusal == nil || refusal.RetryAfter == 0 || time.Now().After(until) {
 			return err
 		}
-		if !retry.Pause(ctx, notYetPause) {
+		if !retry.Sleep(ctx, notYetPause) {
 			return context.Cause(ctx)
 		}
 	}
--- a/weights/peers.go
+++ b/weights/peers.go
@@ -44,7 +44,7 @@
 func (p *PeerList) Run(ctx context.Context) {
 	for {
 		p.read(ctx)
-		if !retry.Pause(ctx, p.rand.jitter(ListInterval(p.Len()))) {
+		if !retry.Sleep(ctx, p.rand.jitter(ListInterval(p.Len()))) {
 			return
 		}
 	}
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -299,7 +299,7 @@
 	Contents []ContentNews `cbor:"6,keyasint,omitempty"`
 }
 
-// ContentNews is what happened to a content; see quarantine.News.
+// ContentNews is what happened to a content; see quarantine.GossipEvent.
 type ContentNews struct {
 	Content string        `cbor:"1,keyasint"`
 	Kind    int           `cbor:"2,keyasint"`
