--- a/batch/openjobs.go
+++ b/batch/openjobs.go
@@ -51,7 +51,7 @@
 // begin reads a job's items and takes this worker's part of them.
 func (w *Worker) begin(j *workJob, old bool) {
 	for !w.read(j, old) {
-		if pause.For(w.ctx, writePause) != nil {
+		if pause.Sleep(w.ctx, writePause) != nil {
 			return
 		}
 	}
@@ -108,7 +108,7 @@
 			return false
 		}
 		w.mu.Lock()
-		j.items, j.owners = items, Split(j.job, items)
+		j.items, j.owners = items, AssignItems(j.job, items)
 		w.mu.Unlock()
 	}
 	if !results {
--- a/service/agent/job.go
+++ b/service/agent/job.go
@@ -258,7 +258,7 @@
 // that they are placed elsewhere. match is called with a.mu held.
 func (a *Agent) refuseQueued(refusal *api.Refusal, match func(*admission.Item) bool) {
 	a.mu.Lock()
-	items := a.queue.Clear(match)
+	items := a.queue.RemoveMatching(match)
 	for _, it := range items {
 		a.forgetJob(it.Value.(*job))
 	}
--- a/service/node/agent.go
+++ b/service/node/agent.go
@@ -41,11 +41,11 @@
 	a.worker = batch.NewWorker(batch.WorkerConfig{
 		Node: settings.Node, Incarnation: b.incarnation, Engine: settings.Engine, Service: settings.Service,
 		PeerPort: settings.PeerPort, View: b.view, Ledger: b.ledger, Direct: b.store, Demand: batch.NewDemand(), Engines: engines, Peers: a.peers,
-		Rewards:     &reward.Caller{View: b.view, Forward: a.forwarder, Service: settings.Service},
-		Quarantine:  keeper,
-		JobsPace:    agentJobsPace(),
-		StoreWrites: settings.StoreWrites,
-		Now:         b.store.Now, Log: b.log, Counters: b.counters,
+		Rewards:        &reward.Caller{View: b.view, Forward: a.forwarder, Service: settings.Service},
+		Quarantine:     keeper,
+		JobsPace:       agentJobsPace(),
+		StoreWriteRate: settings.StoreWrites,
+		Now:            b.store.Now, Log: b.log, Counters: b.counters,
 	})
 	return a, nil
 }
@@ -60,7 +60,7 @@
 	a.reportUsage(working, &wg)
 	a.orderEndpoints(working, &wg)
 	wg.Go(func() { a.worker.Run(working) })
-	wg.Go(func() { a.forwarder.WatchEnds(working) })
+	wg.Go(func() { a.forwarder.WatchCrashes(working) })
 	wg.Go(func() { a.servePeers(working) })
 	<-ctx.Done()
 	a.log.Info("draining")
