--- a/batch/fakerewards_test.go
+++ b/batch/fakerewards_test.go
@@ -40,7 +40,7 @@
 	}
 	took := f.took
 	f.mu.Unlock()
-	if pause.For(ctx, took) != nil {
+	if pause.Sleep(ctx, took) != nil {
 		f.mu.Lock()
 		f.ended++
 		f.mu.Unlock()
--- a/batch/openjobs.go
+++ b/batch/openjobs.go
@@ -51,7 +51,7 @@
 // startJob reads a job's items and takes this worker's part of them.
 func (w *Worker) startJob(j *workJob, old bool) {
 	for !w.load(j, old) {
-		if pause.For(w.ctx, writeRetryPause) != nil {
+		if pause.Sleep(w.ctx, writeRetryPause) != nil {
 			return
 		}
 	}
