--- a/batch/bodies.go
+++ b/batch/bodies.go
@@ -20,9 +20,9 @@
 	return item.Body, nil
 }
 
-func (r *Reader) loadItems(ctx context.Context, j *readJob) error {
-	j.load.Lock()
-	defer j.load.Unlock()
+func (r *Reader) loadItems(ctx context.Context, j *cachedJob) error {
+	j.loadMu.Lock()
+	defer j.loadMu.Unlock()
 	r.mu.Lock()
 	job, known := j.job, j.items != nil
 	r.mu.Unlock()
--- a/batch/patience_test.go
+++ b/batch/patience_test.go
@@ -25,7 +25,7 @@
 	return NewReader(newLedger(s), s.Now, observe.Discard()), newLedger(s)
 }
 
-func finish(t *testing.T, l *Ledger, ids ...string) {
+func appendResults(t *testing.T, l *Ledger, ids ...string) {
 	var results []Result
 	for _, id := range ids {
 		results = append(results, Result{ID: id, State: StateDone, Output: "x", Group: id[:1]})
@@ -44,21 +44,21 @@
 		results int
 	}{
 		"the last wanted result comes":        {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "c2", time.Minute, callers, 700 * time.Millisecond, 7},
-		"another one comes":                   {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "e1", time.Minute, callers, callers - answerTime, 7},
-		"the wanted groups are whole":         {[]string{"a1", "a2", "b1", "b2", "c1", "c2"}, "d1", time.Minute, callers, readPeriod, 6},
+		"another one comes":                   {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "e1", time.Minute, callers, callers - answerMargin, 7},
+		"the wanted groups are whole":         {[]string{"a1", "a2", "b1", "b2", "c1", "c2"}, "d1", time.Minute, callers, tailGatherTime, 6},
 		"the results are due":                 {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "c2", 600 * time.Millisecond, callers, 600 * time.Millisecond, 6},
-		"the results are overdue":             {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "c2", time.Nanosecond, callers, readPeriod, 6},
+		"the results are overdue":             {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "c2", time.Nanosecond, callers, tailGatherTime, 6},
 		"the caller allows no waiting":        {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "c2", time.Minute, 0, 0, 6},
 		"less than three quarters are listed": {[]string{"a1", "a2", "b1"}, "c2", time.Minute, callers, 0, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r, l := stepRig(t, c.due)
-				finish(t, l, c.listed...)
+				appendResults(t, l, c.listed...)
 				began := time.Now()
 				go func() {
 					time.Sleep(700 * time.Millisecond)
-					finish(t, l, c.next)
+					appendResults(t, l, c.next)
 				}()
 				page, err := r.Read(t.Context(), "j", 0, 1<<20, c.wait)
 				if took := time.Since(began); err != nil || took != c.took || len(page.Results) != c.results {
@@ -111,9 +111,9 @@
 				r, l := NewReader(newLedger(s), s.Now, observe.Discard()), newLedger(s)
 				name := func(g, i int) string { return fmt.Sprintf("%c%d", 'a'+g, i) }
 				for g := range groups {
-					finish(t, l, name(g, 1))
+					appendResults(t, l, name(g, 1))
 					if g < groups-tail {
-						finish(t, l, name(g, 2))
+						appendResults(t, l, name(g, 2))
 					}
 				}
 				ended := make(chan time.Time, 1)
@@ -121,7 +121,7 @@
 					time.Sleep(time.Second)
 					for g := groups - tail; g < wanted; g++ {
 						time.Sleep(time.Duration(300 * rng.ExpFloat64() * float64(time.Millisecond)))
-						finish(t, l, name(g, 2))
+						appendResults(t, l, name(g, 2))
 					}
 					ended <- time.Now()
 				}()
--- a/batch/reader.go
+++ b/batch/reader.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// forgetAfter is how long a job stays in a reader's memory after it was
+	// cacheRetention is how long a job stays in a reader's memory after it was
 	// last asked for. Callers poll open jobs about twice a second.
-	forgetAfter = 15 * time.Second
-	forgetEvery = 2 * time.Second
-	// showAfter is how long a caller for whom there are results waits for news of
+	cacheRetention = 15 * time.Second
+	evictInterval  = 2 * time.Second
+	// refreshWait is how long a caller for whom there are results waits for news of
 	// more: ten times the usual answer of the store.
-	showAfter = 40 * time.Millisecond
+	refreshWait = 40 * time.Millisecond
 )
 
 // Reader serves the results of jobs from the store, with what it has read kept
@@ -40,33 +40,33 @@
 	log    logrus.FieldLogger
 
 	mu   sync.Mutex
-	jobs map[string]*readJob
+	jobs map[string]*cachedJob
 }
 
-// readJob is a job that was asked for here.
-type readJob struct {
-	load sync.Mutex // held while the job's head or items are read from the store
+// cachedJob is a job that was asked for here.
+type cachedJob struct {
+	loadMu sync.Mutex // held while the job's head or items are read from the store
 
 	// The rest is guarded by Reader.mu.
-	job     *Job      // nil until known
-	listing *Listing  // nil until read; replaced or appended to
-	update  *update   // in flight; nil if none
-	fresh   time.Time // when the list was last up to date
-	items   map[string]Item
-	used    time.Time
+	job      *Job      // nil until known
+	listing  *Listing  // nil until read; replaced or appended to
+	update   *update   // in flight; nil if none
+	freshAt  time.Time // when the list was last up to date
+	items    map[string]Item
+	lastUsed time.Time
 }
 
 // NewReader returns a reader; now is the store's clock, false before it is known.
 func NewReader(ledger *Ledger, now func() (time.Duration, bool), log logrus.FieldLogger) *Reader {
-	return &Reader{ledger: ledger, now: now, log: log, jobs: map[string]*readJob{}}
+	return &Reader{ledger: ledger, now: now, log: log, jobs: map[string]*cachedJob{}}
 }
 
 // Run forgets jobs that nobody reads any more until ctx ends.
 func (r *Reader) Run(ctx context.Context) {
-	for pause.Sleep(ctx, forgetEvery) == nil {
+	for pause.Sleep(ctx, evictInterval) == nil {
 		r.mu.Lock()
 		for id, j := range r.jobs {
-			if time.Since(j.used) > forgetAfter {
+			if time.Since(j.lastUsed) > cacheRetention {
 				delete(r.jobs, id)
 			}
 		}
@@ -75,15 +75,15 @@
 }
 
 // touch returns the kept job, making it if need be.
-func (r *Reader) touch(id string) *readJob {
+func (r *Reader) touch(id string) *cachedJob {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j, ok := r.jobs[id]
 	if !ok {
-		j = &readJob{}
+		j = &cachedJob{}
 		r.jobs[id] = j
 	}
-	j.used = time.Now()
+	j.lastUsed = time.Now()
 	return j
 }
 
@@ -92,13 +92,13 @@
 	Total   int // items of the job
 	Results []Result
 
-	cut bool // there are more results than the page takes
+	truncated bool // there are more results than the page takes
 }
 
 // query is one call of Read.
 type query struct {
 	from, maxBytes int
-	asked          time.Time
+	began          time.Time
 	wait           time.Duration
 	waited         bool // there was no result yet when it came
 }
@@ -106,15 +106,15 @@
 // Read returns the results from a position on, at most maxBytes of output but
 // at least one if there is one. With none yet it waits up to wait.
 func (r *Reader) Read(ctx context.Context, id string, from, maxBytes int, wait time.Duration) (Page, error) {
-	q := query{from: from, maxBytes: maxBytes, asked: time.Now(), wait: wait}
+	q := query{from: from, maxBytes: maxBytes, began: time.Now(), wait: wait}
 	j := r.touch(id)
 	if err := r.loadJob(ctx, id, j); err != nil {
 		return Page{}, err
 	}
-	err := r.catchUp(ctx, id, j, q)
+	err := r.refresh(ctx, id, j, q)
 	for {
 		page := r.page(j, q)
-		left := wait - time.Since(q.asked)
+		left := wait - time.Since(q.began)
 		switch {
 		case ctx.Err() != nil:
 			return Page{}, context.Cause(ctx)
@@ -129,26 +129,26 @@
 		if err != nil {
 			_ = pause.Sleep(ctx, writeRetryPause) // the loop looks at ctx
 		}
-		u := r.bringUp(id, j, min(left, updateWait))
-		err = u.await(ctx, wait-time.Since(q.asked))
+		u := r.startUpdate(id, j, min(left, feedWait))
+		err = u.await(ctx, wait-time.Since(q.began))
 	}
 }
 
-// catchUp brings a job's list up to date before it is shown. A caller for whom
+// refresh brings a job's list up to date before it is shown. A caller for whom
 // there is something waits for that no longer than showAfter.
-func (r *Reader) catchUp(ctx context.Context, id string, j *readJob, q query) error {
+func (r *Reader) refresh(ctx context.Context, id string, j *cachedJob, q query) error {
 	u, current := r.inFlight(j)
 	if current {
 		return nil
 	}
 	if u == nil {
-		u = r.bringUp(id, j, 0)
+		u = r.startUpdate(id, j, 0)
 	}
 	if len(r.page(j, q).Results) > 0 {
-		_ = u.await(ctx, showAfter) // what is kept is true whatever became of it
+		_ = u.await(ctx, refreshWait) // what is kept is true whatever became of it
 		return nil
 	}
-	return u.await(ctx, updateLimit)
+	return u.await(ctx, updateTimeout)
 }
 
 const (
@@ -157,20 +157,20 @@
 	// so they end within a few tens of milliseconds of each other, and who has read
 	// the first comes back for the others only half a second later.
 	gatherTime = 80 * time.Millisecond
-	// readPeriod is how long after a call the answer may gather the last results
+	// tailGatherTime is how long after a call the answer may gather the last results
 	// of a job if the caller allows that much waiting. Trainers ask twice a second
 	// and act on an answer at their next turn, so one within this time is fuller
 	// and no later for them. The eighth step of a trainer was 0.8 s less late by
 	// it, the mean of four trainers on a calm day.
-	readPeriod = 450 * time.Millisecond
-	// lastShare is the share of a job's results that must be listed for that:
+	tailGatherTime = 450 * time.Millisecond
+	// tailShare is the share of a job's results that must be listed for that:
 	// the last quarter decides when a step ends.
-	lastShare = 0.75
-	// answerTime is left of what a caller allows, to write the answer and for it to arrive.
-	answerTime = 50 * time.Millisecond
+	tailShare = 0.75
+	// answerMargin is left of what a caller allows, to write the answer and for it to arrive.
+	answerMargin = 50 * time.Millisecond
 )
 
-// patience is how long after a call its answer may wait for the results that a
+// tailWait is how long after a call its answer may wait for the results that a
 // trainer still needs. A trainer asks twice a second, but at once if its answer
 // took longer than that. If the wanted groups become whole while a call has waited
 // for longer than half a second, it acts on them at once, else at its next turn.
@@ -178,24 +178,24 @@
 // wanted result in the mean, with answers each 0.45 s after 0.26 s (200 steps of
 // TestTrainersActSooner). What is due soon is not kept: a group counts if it is
 // read in time.
-func (r *Reader) patience(j *readJob, q query) (d time.Duration, wantedWhole bool) {
+func (r *Reader) tailWait(j *cachedJob, q query) (d time.Duration, wantedWhole bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	short := min(q.wait, readPeriod)
+	short := min(q.wait, tailGatherTime)
 	now, ok := r.now()
 	if j.job.GroupItems == 0 || j.job.WantedGroups == 0 || !ok {
 		return short, false
 	}
-	if j.wantedWhole() {
+	if j.wantedGroupsComplete() {
 		return short, true
 	}
 	untilDue := j.job.Accepted + j.job.RunTarget - now
-	return max(short, min(q.wait-answerTime, time.Since(q.asked)+untilDue)), false
+	return max(short, min(q.wait-answerMargin, time.Since(q.began)+untilDue)), false
 }
 
-// wantedWhole reports whether as many groups as the caller wants are whole. It is
+// wantedGroupsComplete reports whether as many groups as the caller wants are whole. It is
 // called with Reader.mu held.
-func (j *readJob) wantedWhole() bool {
+func (j *cachedJob) wantedGroupsComplete() bool {
 	if j.listing == nil {
 		return false
 	}
@@ -214,23 +214,23 @@
 // gather waits for further results, unless the list is whole: near its end for
 // a caller that allows it as long as patience says, and for one that has waited
 // already for gatherTime.
-func (r *Reader) gather(ctx context.Context, id string, j *readJob, page Page, q query) (Page, error) {
+func (r *Reader) gather(ctx context.Context, id string, j *cachedJob, page Page, q query) (Page, error) {
 	more := time.Now().Add(gatherTime)
 	for {
 		page = r.page(j, q)
 		end := time.Time{}
-		patience, wantedWhole := r.patience(j, q)
-		if q.from+len(page.Results) >= int(lastShare*float64(page.Total)) {
-			end = q.asked.Add(patience)
+		patience, wantedWhole := r.tailWait(j, q)
+		if q.from+len(page.Results) >= int(tailShare*float64(page.Total)) {
+			end = q.began.Add(patience)
 		}
 		if q.waited && !wantedWhole && more.After(end) {
 			end = more
 		}
 		left := time.Until(end)
-		if left <= 0 || q.from+len(page.Results) >= page.Total || page.cut {
+		if left <= 0 || q.from+len(page.Results) >= page.Total || page.truncated {
 			return page, nil
 		}
-		if err := r.bringUp(id, j, min(left, updateWait)).await(ctx, left); err != nil {
+		if err := r.startUpdate(id, j, min(left, feedWait)).await(ctx, left); err != nil {
 			_ = pause.Sleep(ctx, min(left, writeRetryPause)) // what is kept is shown all the same
 		}
 		if ctx.Err() != nil {
@@ -240,7 +240,7 @@
 }
 
 // page cuts a page out of the list.
-func (r *Reader) page(j *readJob, q query) Page {
+func (r *Reader) page(j *cachedJob, q query) Page {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	page := Page{Total: j.job.Items}
@@ -251,7 +251,7 @@
 	for i := q.from; i < len(j.listing.Results); i++ {
 		bytes += len(j.listing.Results[i].Output) + len(j.listing.Results[i].ID)
 		if bytes > q.maxBytes && len(page.Results) > 0 {
-			page.cut = true
+			page.truncated = true
 			break
 		}
 		page.Results = append(page.Results, j.listing.Results[i])
@@ -260,9 +260,9 @@
 }
 
 // loadJob reads the job's head unless it is known.
-func (r *Reader) loadJob(ctx context.Context, id string, j *readJob) error {
-	j.load.Lock()
-	defer j.load.Unlock()
+func (r *Reader) loadJob(ctx context.Context, id string, j *cachedJob) error {
+	j.loadMu.Lock()
+	defer j.loadMu.Unlock()
 	r.mu.Lock()
 	known := j.job != nil
 	r.mu.Unlock()
--- a/batch/reader_test.go
+++ b/batch/reader_test.go
@@ -19,7 +19,7 @@
 type readerRig struct {
 	t      *testing.T
 	store  *rowstore.Store
-	way    *rowstore.Client
+	client *rowstore.Client
 	ledger *Ledger
 	reader *Reader
 	n      int
@@ -27,8 +27,8 @@
 
 func newReaderRig(t *testing.T, items int) *readerRig {
 	s := rowstore.New()
-	rig := &readerRig{t: t, store: s, way: s.Client(), ledger: newLedger(s)}
-	rig.reader = NewReader(newLedger(rig.way), rig.store.Now, observe.Discard())
+	rig := &readerRig{t: t, store: s, client: s.Client(), ledger: newLedger(s)}
+	rig.reader = NewReader(newLedger(rig.client), rig.store.Now, observe.Discard())
 	must(t, rig.ledger.Submit(t.Context(), someJob("j", items), someItems(items)))
 	go rig.reader.Run(t.Context())
 	synctest.Wait()
@@ -117,10 +117,10 @@
 			time.Sleep(300 * time.Millisecond)
 			rig.append("e")
 		}()
-		if got := rig.ids(2, time.Second); fmt.Sprint(got) != "[c d]" || time.Since(began) != readPeriod {
+		if got := rig.ids(2, time.Second); fmt.Sprint(got) != "[c d]" || time.Since(began) != tailGatherTime {
 			t.Errorf("got %v after %s", got, time.Since(began))
 		}
-		if got := rig.ids(3, 0); fmt.Sprint(got) != "[d]" || time.Since(began) != readPeriod {
+		if got := rig.ids(3, 0); fmt.Sprint(got) != "[d]" || time.Since(began) != tailGatherTime {
 			t.Errorf("got %v after %s from a call that allows no waiting", got, time.Since(began))
 		}
 		if got := rig.ids(3, time.Second); fmt.Sprint(got) != "[d e]" || time.Since(began) != 600*time.Millisecond {
@@ -137,9 +137,9 @@
 		rig.append("a")
 		rig.want(0, "a")
 		rig.store.Forget()
-		rig.way.Cut(fmt.Errorf("%w: away", store.ErrUnknown))
+		rig.client.Cut(fmt.Errorf("%w: away", store.ErrUnknown))
 		time.Sleep(3 * time.Second) // the feed is given up
-		rig.way.Cut(nil)
+		rig.client.Cut(nil)
 		rig.want(0, "a") // read anew before the feed is back
 		rig.append("b")
 		time.Sleep(2 * time.Second) // the feed is back, at a newer version
@@ -154,7 +154,7 @@
 		rig := newReaderRig(t, 4)
 		rig.append("a", "b")
 		rig.want(0, "a", "b")
-		rig.way.Cut(store.ErrRefused)
+		rig.client.Cut(store.ErrRefused)
 		time.Sleep(5 * time.Second)
 		rig.want(0, "a", "b")
 		rig.want(1, "b")
@@ -203,7 +203,7 @@
 		if n := len(rig.reader.jobs); n != 0 {
 			t.Errorf("%d jobs kept that do not exist", n)
 		}
-		rig.way.Cut(store.ErrRefused)
+		rig.client.Cut(store.ErrRefused)
 		if _, err := rig.reader.Read(t.Context(), "third", 0, 1, 0); err == nil || errors.Is(err, ErrNoJob) {
 			t.Fatalf("got %v", err)
 		}
@@ -309,10 +309,10 @@
 		rig.store.Slow(time.Second)
 		began := time.Now()
 		rig.want(0, "a", "b")
-		if took := time.Since(began); took > 2*showAfter {
+		if took := time.Since(began); took > 2*refreshWait {
 			t.Errorf("shown after %s", took)
 		}
-		time.Sleep(2 * updateLimit) // the update that nobody waits for ends
+		time.Sleep(2 * updateTimeout) // the update that nobody waits for ends
 	})
 }
 
--- a/batch/rebirth_test.go
+++ b/batch/rebirth_test.go
@@ -7,8 +7,8 @@
 	"mulberryscale.example/fleet"
 )
 
-// reborn lets an engine start again under its id.
-func (r *workerRig) reborn(i int, born int64) {
+// restartEngine lets an engine start again under its id.
+func (r *workerRig) restartEngine(i int, born int64) {
 	r.engine(i, func(e *fakeEngine) { e.born, e.sequence = born, 0 })
 }
 
@@ -17,10 +17,10 @@
 func TestRunsGoOnWhenTheirEngineStartsAgain(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
-		rig.reborn(0, 1000)
+		rig.restartEngine(0, 1000)
 		time.Sleep(time.Second)
 		rig.submitLong("j", 2, "item-001")
-		rig.reborn(0, 2000)
+		rig.restartEngine(0, 2000)
 		at := time.Now()
 		rig.whole(rig.await("j", 2, 4*time.Second))
 		runs := rig.runsOf("item-001")
@@ -36,13 +36,13 @@
 func TestOrdersToAnEngineThatStartedAgain(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
-		rig.reborn(0, 1000)
+		rig.restartEngine(0, 1000)
 		rig.engine(0, func(e *fakeEngine) { e.sequence = 5 })
 		time.Sleep(time.Second)
 		rig.engine(0, func(e *fakeEngine) { e.loseOrder = true })
 		rig.view.SetNamed("m", 2)
 		time.Sleep(settleTime + 2*quietInterval)
-		rig.reborn(0, 2000)
+		rig.restartEngine(0, 2000)
 		time.Sleep(orderTimeout / 2)
 		var orders []Order
 		rig.engine(0, func(e *fakeEngine) { orders = e.orders })
@@ -56,7 +56,7 @@
 func TestOlderBirthChangesNothing(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
-		rig.reborn(0, 2000)
+		rig.restartEngine(0, 2000)
 		time.Sleep(time.Second)
 		w := rig.peers.workers["10.0.0.1"]
 		rig.engine(0, func(e *fakeEngine) { e.born, e.sequence, e.version = 1000, 9, 7 })
--- a/batch/update.go
+++ b/batch/update.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// updateWait is how long the store may hold a feed call that has nothing to
+	// feedWait is how long the store may hold a feed call that has nothing to
 	// tell of a job. Whoever waits longer asks again, so that a feed that has gone
 	// silent hides nothing for longer.
-	updateWait = 400 * time.Millisecond
-	// feedAnswer is how long after its time to wait a feed call may be answered
+	feedWait = 400 * time.Millisecond
+	// feedGrace is how long after its time to wait a feed call may be answered
 	// before the list is read whole instead. Together with updateWait it is below
 	// the second after which every entry must show what one has shown.
-	feedAnswer = 500 * time.Millisecond
-	// updateLimit bounds an update: a silent feed, then the list.
-	updateLimit = updateWait + feedAnswer + 1500*time.Millisecond
+	feedGrace = 500 * time.Millisecond
+	// updateTimeout bounds an update: a silent feed, then the list.
+	updateTimeout = feedWait + feedGrace + 1500*time.Millisecond
 )
 
 // update is one reading of what is new in a job's list, shared by all callers
@@ -29,8 +29,8 @@
 	err   error // set before done is closed
 }
 
-// errStillReading says that an update has not ended in the caller's time.
-var errStillReading = errors.New("batch: the job's list is still being read")
+// errUpdatePending says that an update has not ended in the caller's time.
+var errUpdatePending = errors.New("batch: the job's list is still being read")
 
 // await waits for the update's end, for limit at most.
 func (u *update) await(ctx context.Context, limit time.Duration) error {
@@ -43,31 +43,31 @@
 	case <-u.done:
 		return u.err
 	case <-time.After(limit):
-		if time.Since(u.began) < updateWait+feedAnswer {
+		if time.Since(u.began) < feedWait+feedGrace {
 			return nil // the feed is listened to and has told of nothing
 		}
-		return errStillReading
+		return errUpdatePending
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 }
 
-// freshTime is how old a list may be while the feed is being listened to: an
+// maxListAge is how old a list may be while the feed is being listened to: an
 // update that hears nothing ends within it and is followed by the next.
-const freshTime = updateWait + 100*time.Millisecond
+const maxListAge = feedWait + 100*time.Millisecond
 
 // inFlight is the update in flight, if any; current says that the list was up to
 // date a moment ago and the feed is listened to since, so that there is nothing to
 // catch up with. An update alone says nothing: it may be the first in seconds.
-func (r *Reader) inFlight(j *readJob) (u *update, current bool) {
+func (r *Reader) inFlight(j *cachedJob) (u *update, current bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	u = j.update
-	return u, u != nil && j.listing != nil && time.Since(j.fresh) < freshTime
+	return u, u != nil && j.listing != nil && time.Since(j.freshAt) < maxListAge
 }
 
-// bringUp begins an update unless one is in flight; the store may hold it for wait.
-func (r *Reader) bringUp(id string, j *readJob, wait time.Duration) *update {
+// startUpdate begins an update unless one is in flight; the store may hold it for wait.
+func (r *Reader) startUpdate(id string, j *cachedJob, wait time.Duration) *update {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if j.update != nil {
@@ -77,13 +77,13 @@
 	j.update = u
 	go func() {
 		// No caller's context: others may have joined it.
-		ctx, cancel := context.WithTimeout(context.Background(), updateLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), updateTimeout)
 		defer cancel()
-		err := r.hear(ctx, id, j, wait)
+		err := r.fetch(ctx, id, j, wait)
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if err == nil {
-			j.fresh = time.Now()
+			j.freshAt = time.Now()
 		}
 		u.err, j.update = err, nil
 		close(u.done)
@@ -91,9 +91,9 @@
 	return u
 }
 
-// hear brings a job's list up to date: from the feed of its table, or whole
+// fetch brings a job's list up to date: from the feed of its table, or whole
 // where none is known, the feed gives no answer or no longer reaches back.
-func (r *Reader) hear(ctx context.Context, id string, j *readJob, wait time.Duration) error {
+func (r *Reader) fetch(ctx context.Context, id string, j *cachedJob, wait time.Duration) error {
 	r.mu.Lock()
 	known := j.listing
 	version := uint64(0)
@@ -101,7 +101,7 @@
 		version = known.Version
 	}
 	r.mu.Unlock()
-	if known != nil && r.hearFeed(ctx, id, known, version, wait) == nil {
+	if known != nil && r.fetchFeed(ctx, id, known, version, wait) == nil {
 		return nil
 	}
 	listing, err := r.ledger.Results(ctx, id)
@@ -116,38 +116,38 @@
 	return nil
 }
 
-// fullAnswer is the size of an answer from which on the feed may have been cut
+// fullFeedBytes is the size of an answer from which on the feed may have been cut
 // off: the store bounds a page at 1 MB, and does not say so of feeds.
-const fullAnswer = 128 << 10
+const fullFeedBytes = 128 << 10
 
-// hearFeed applies what the feed tells of a job after a version, to the end. A
+// fetchFeed applies what the feed tells of a job after a version, to the end. A
 // list that is read up to the middle of what has changed would hide positions
 // that others have shown.
-func (r *Reader) hearFeed(ctx context.Context, id string, listing *Listing, version uint64, wait time.Duration) error {
+func (r *Reader) fetchFeed(ctx context.Context, id string, listing *Listing, version uint64, wait time.Duration) error {
 	for {
-		s, err := r.feed(ctx, id, version, wait)
+		s, err := r.callFeed(ctx, id, version, wait)
 		if err != nil {
 			return err
 		}
-		if err := r.apply(id, listing, s); err != nil {
+		if err := r.applyRows(id, listing, s); err != nil {
 			return err
 		}
-		if len(s.Rows) == 0 || (!s.More && bytesOf(s.Rows) < fullAnswer) {
+		if len(s.Rows) == 0 || (!s.More && bytesOf(s.Rows) < fullFeedBytes) {
 			return nil
 		}
 		version, wait = s.Version, 0
 	}
 }
 
-// feed makes one call.
-func (r *Reader) feed(ctx context.Context, id string, version uint64, wait time.Duration) (store.Snapshot, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+feedAnswer)
+// callFeed makes one call.
+func (r *Reader) callFeed(ctx context.Context, id string, version uint64, wait time.Duration) (store.Snapshot, error) {
+	ctx, cancel := context.WithTimeout(ctx, wait+feedGrace)
 	defer cancel()
 	return r.ledger.Store.Feed(ctx, resultsTable(id), version, wait)
 }
 
-// apply adds the rows of a job to its list.
-func (r *Reader) apply(id string, listing *Listing, s store.Snapshot) error {
+// applyRows adds the rows of a job to its list.
+func (r *Reader) applyRows(id string, listing *Listing, s store.Snapshot) error {
 	var rows []store.Row
 	for _, row := range s.Rows {
 		if row.Part == id {
