--- a/forward/abandoned.go
+++ b/forward/abandoned.go
@@ -10,66 +10,66 @@
 	"mulberryscale.example/quarantine"
 )
 
-// lapseTime is how long after the end of an endpoint the list of instances has
+// unlistTime is how long after the end of an endpoint the list of instances has
 // dropped it: three heartbeats and what the news takes.
-const lapseTime = 5 * time.Second
+const unlistTime = 5 * time.Second
 
-// maxLost bounds the sends that are kept, the newest of them.
-const maxLost = 256
+// maxAbandoned bounds the sends that are kept, the newest of them.
+const maxAbandoned = 256
 
-// lostSend is a send that got no answer.
-type lostSend struct {
+// abandonedSend is a send that got no answer.
+type abandonedSend struct {
 	to   fleet.Instance
 	sent time.Time
-	// subject is its request's, gaveUp when that was given up.
-	subject quarantine.Fingerprint
-	gaveUp  time.Time
+	// fingerprint is its request's, abandonedAt when that was given up.
+	fingerprint quarantine.Fingerprint
+	abandonedAt time.Time
 }
 
-// lostSends are the sends of requests that were given up: a caller that leaves, or a
+// abandonedSends are the sends of requests that were given up: a caller that leaves, or a
 // timeout, hides that an endpoint ends under its request, and the list of instances
 // tells it seconds later. It is safe for concurrent use.
-type lostSends struct {
+type abandonedSends struct {
 	mu   sync.Mutex
-	list []lostSend
+	list []abandonedSend
 }
 
-func (l *lostSends) add(sends ...lostSend) {
+func (l *abandonedSends) add(sends ...abandonedSend) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.list = append(l.list, sends...)
-	l.list = l.list[max(0, len(l.list)-maxLost):]
+	l.list = l.list[max(0, len(l.list)-maxAbandoned):]
 }
 
-// ended takes out those whose endpoints have gone from the list without notice, and
+// takeCrashed takes out those whose endpoints have gone from the list without notice, and
 // forgets those that say nothing any more.
-func (l *lostSends) ended(snap *fleet.Snapshot, now time.Time) (ended []lostSend) {
+func (l *abandonedSends) takeCrashed(snap *fleet.Snapshot, now time.Time) (ended []abandonedSend) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.list = slices.DeleteFunc(l.list, func(s lostSend) bool {
+	l.list = slices.DeleteFunc(l.list, func(s abandonedSend) bool {
 		gone := !snap.Lists(s.to)
 		if gone {
 			ended = append(ended, s)
 		}
-		return gone || snap.Leaves(s.to) || now.Sub(s.gaveUp) > lapseTime
+		return gone || snap.Leaves(s.to) || now.Sub(s.abandonedAt) > unlistTime
 	})
 	return ended
 }
 
-// keepLost keeps the sends of a call that was given up.
-func (c *call) keepLost() {
+// keepAbandoned keeps the sends of a call that was given up.
+func (c *call) keepAbandoned() {
 	for _, lost := range c.unanswered {
-		lost.subject, lost.gaveUp = c.subject, time.Now()
-		c.lost.add(lost)
+		lost.fingerprint, lost.abandonedAt = c.fingerprint, time.Now()
+		c.abandoned.add(lost)
 	}
 }
 
-// noteLost tells the quarantine of the ends that the list of instances has told.
-func (f *Forwarder) noteLost() {
+// reportAbandonedCrashes tells the quarantine of the ends that the list of instances has told.
+func (f *Forwarder) reportAbandonedCrashes() {
 	now := time.Now()
-	for _, s := range f.lost.ended(f.View.Snapshot(), now) {
+	for _, s := range f.abandoned.takeCrashed(f.View.Snapshot(), now) {
 		f.Quarantine.ReportCrash(quarantine.BrokenRun{
-			Fingerprint: s.subject, Endpoint: s.to.Incarnation(), Addr: s.to.Addr, Took: s.gaveUp.Sub(s.sent), Ago: now.Sub(s.gaveUp),
+			Fingerprint: s.fingerprint, Endpoint: s.to.Incarnation(), Addr: s.to.Addr, Took: s.abandonedAt.Sub(s.sent), Ago: now.Sub(s.abandonedAt),
 		})
 	}
 }
@@ -79,7 +79,7 @@
 func (f *Forwarder) WatchCrashes(ctx context.Context) {
 	for {
 		changed := f.View.Changed()
-		f.noteLost()
+		f.reportAbandonedCrashes()
 		select {
 		case <-changed:
 		case <-ctx.Done():
--- a/forward/call.go
+++ b/forward/call.go
@@ -19,25 +19,25 @@
 // hasEnded, which reads what does not change.
 type call struct {
 	*Forwarder
-	request *Request
-	subject quarantine.Fingerprint
+	request     *Request
+	fingerprint quarantine.Fingerprint
 	// trial says that the content is held and this call tries it out.
 	trial   bool
 	tried   map[fleet.Incarnation]bool
 	results chan attempt
 	pending int
 	// sent counts the endpoints that the request may have reached.
-	sent int
-	last fleet.Instance
+	sent   int
+	lastTo fleet.Instance
 	// lastSent is when it was sent there.
 	lastSent time.Time
 	// unanswered are the endpoints that have it and gave no answer, with when it was
 	// sent there.
-	unanswered map[fleet.Incarnation]lostSend
-	// turn fires when a request that waits for its turn is to try again; waited is
+	unanswered map[fleet.Incarnation]abandonedSend
+	// retryTimer fires when a request that waits for its retryTimer is to try again; waited is
 	// how long it has waited so far.
-	turn   <-chan time.Time
-	waited time.Duration
+	retryTimer <-chan time.Time
+	riskyWait  time.Duration
 	// failures counts the endpoints' own failures.
 	failures int
 	// mayHaveRun says that an endpoint may have run it.
@@ -50,8 +50,8 @@
 	answer *Answer
 	err    error
 	took   time.Duration
-	// ended says that the endpoint broke off and has ended.
-	ended bool
+	// crashed says that the endpoint broke off and has crashed.
+	crashed bool
 }
 
 // run sends the request until an answer is final.
@@ -69,38 +69,38 @@
 	var lastReason string
 	start := func() bool {
 		risky := c.suspected()
-		to, ok := c.next(risky)
+		to, ok := c.pickEndpoint(risky)
 		if ok {
 			cancels[to.Incarnation()] = c.send(ctx, to, risky)
 		}
 		return ok
 	}
-	if !start() && !c.waits() {
+	if !start() && !c.waiting() {
 		return nil, c.refusal(ReasonNoEndpoint, nil)
 	}
 	hedge := time.NewTimer(c.hedgeAfter())
 	defer hedge.Stop()
-	for c.pending > 0 || c.waits() {
+	for c.pending > 0 || c.waiting() {
 		select {
 		case <-ctx.Done():
-			return nil, c.ended(ctx)
+			return nil, c.contextRefusal(ctx)
 		case <-hedge.C:
-			if c.repeatable() && c.pending < maxParallel && c.mayEndAnother() && start() {
+			if c.repeatable() && c.pending < maxParallel && c.maySendToAnother() && start() {
 				c.Counters.Retry(c.request.Route.Name, ReasonSlow)
 			}
 			continue
-		case <-c.turn:
-			c.turn = nil
-			if c.mayEndAnother() && start() {
-				c.countAgain(lastReason)
+		case <-c.retryTimer:
+			c.retryTimer = nil
+			if c.maySendToAnother() && start() {
+				c.countRetry(lastReason)
 			}
 		case a := <-c.results:
 			c.pending--
-			c.tell(a)
-			if a.ended || !errors.Is(a.err, ErrBroken) {
+			c.logBroken(a)
+			if a.crashed || !errors.Is(a.err, ErrBroken) {
 				delete(c.unanswered, a.to.Incarnation())
 			}
-			reason := c.judge(a)
+			reason := c.retryReason(a)
 			if reason == "" {
 				if a.answer.Stream != nil {
 					delete(cancels, a.to.Incarnation()) // its context ends with the stream
@@ -112,10 +112,10 @@
 			}
 			lastErr, lastReason = a.err, reason
 			if ctx.Err() != nil {
-				return nil, c.ended(ctx)
+				return nil, c.contextRefusal(ctx)
 			}
-			if c.again(reason) && c.mayEndAnother() && start() {
-				c.countAgain(reason)
+			if c.mayRetry(reason) && c.maySendToAnother() && start() {
+				c.countRetry(reason)
 			}
 		}
 	}
@@ -125,16 +125,16 @@
 	return nil, c.refusal(cmp.Or(lastReason, ReasonNoEndpoint), lastErr)
 }
 
-// countAgain counts a send after one that failed; an empty reason is the first.
-func (c *call) countAgain(reason string) {
+// countRetry counts a send after one that failed; an empty reason is the first.
+func (c *call) countRetry(reason string) {
 	if reason != "" {
 		c.Counters.Retry(c.request.Route.Name, reason)
 	}
 }
 
-// next takes the endpoint of the next send. A risky request, under which an endpoint
+// pickEndpoint takes the endpoint of the pickEndpoint send. A risky request, under which an endpoint
 // has ended, goes where no other such one from here is, or waits for its turn.
-func (c *call) next(risky bool) (fleet.Instance, bool) {
+func (c *call) pickEndpoint(risky bool) (fleet.Instance, bool) {
 	route := c.request.Route
 	if c.request.Reached+c.sent >= route.MaxAttempts {
 		return fleet.Instance{}, false
@@ -142,11 +142,11 @@
 	snap := c.View.Snapshot()
 	query := picker.Query{
 		Candidates: snap.OfService(route.Backend(c.request.ID)), Tried: c.tried, Zone: c.Zone, Request: c.request.ID, Now: time.Now(),
-		AvoidRisky: risky && c.waited < maxTurnWait,
+		AvoidRisky: risky && c.riskyWait < maxRiskyWait,
 	}
 	to, ok := c.picker.Take(query, risky)
 	if !ok && query.AvoidRisky {
-		c.awaitTurn(query)
+		c.awaitLowRisk(query)
 	}
 	return to, ok
 }
@@ -154,8 +154,8 @@
 // send sends the request to an endpoint that next has taken for it.
 func (c *call) send(ctx context.Context, to fleet.Instance, risky bool) context.CancelFunc {
 	ctx, cancel := context.WithCancel(ctx)
-	c.tried[to.Incarnation()], c.last, c.lastSent = true, to, time.Now()
-	c.unanswered[to.Incarnation()] = lostSend{to: to, sent: c.lastSent}
+	c.tried[to.Incarnation()], c.lastTo, c.lastSent = true, to, time.Now()
+	c.unanswered[to.Incarnation()] = abandonedSend{to: to, sent: c.lastSent}
 	c.sent++
 	c.pending++
 	left := c.request.Route.Timeout
@@ -174,7 +174,7 @@
 		settle(answer, err)
 		took := time.Since(began)
 		c.picker.End(to.Incarnation(), c.outcome(ctx, answer, err, took, risky), time.Now())
-		c.results <- attempt{to: to, answer: answer, err: err, took: took, ended: c.hasEnded(ctx, to, err, took)}
+		c.results <- attempt{to: to, answer: answer, err: err, took: took, crashed: c.reportIfCrashed(ctx, to, err, took)}
 	}()
 	return cancel
 }
@@ -189,31 +189,31 @@
 	}
 	if c.request.Route.Kind == fleet.KindStream {
 		return func(answer *Answer, err error) {
-			if ran(answer, err) {
-				c.OnRunStarted(c.request.Organisation, startOf(answer, sent))
+			if started(answer, err) {
+				c.OnRunStarted(c.request.Organisation, startTime(answer, sent))
 			}
 		}
 	}
 	withdraw := c.OnRunStarted(c.request.Organisation, sent)
 	return func(answer *Answer, err error) {
-		if !ran(answer, err) {
+		if !started(answer, err) {
 			withdraw()
 		}
 	}
 }
 
-// ran reports whether an endpoint began to work on a send, as far as is known: a
+// started reports whether an endpoint began to work on a send, as far as is known: a
 // send without an answer counts as begun.
-func ran(answer *Answer, err error) bool {
+func started(answer *Answer, err error) bool {
 	if err != nil {
 		return !errors.Is(err, ErrUnsent)
 	}
 	return !answer.Declined
 }
 
-// startOf is when an endpoint began a stream that was sent at a moment: with its
+// startTime is when an endpoint began a stream that was sent at a moment: with its
 // first event, or when it was sent if it has none.
-func startOf(answer *Answer, sent time.Time) time.Time {
+func startTime(answer *Answer, sent time.Time) time.Time {
 	if answer != nil && answer.Stream != nil {
 		return time.Now()
 	}
@@ -232,8 +232,8 @@
 	return o
 }
 
-// judge says why an attempt is not final; empty says that it is.
-func (c *call) judge(a attempt) string {
+// retryReason says why an attempt is not final; empty says that it is.
+func (c *call) retryReason(a attempt) string {
 	switch {
 	case errors.Is(a.err, ErrUnsent):
 		c.sent-- // it reached no endpoint
@@ -247,7 +247,7 @@
 	}
 	c.mayHaveRun = true
 	if a.answer.Stream == nil {
-		c.Quarantine.ReportServed(c.subject)
+		c.Quarantine.ReportServed(c.fingerprint)
 	}
 	if a.answer.Status == http.StatusInternalServerError {
 		c.failures++
@@ -262,8 +262,8 @@
 // repeatable reports whether the request may run more than once.
 func (c *call) repeatable() bool { return c.request.Route.Kind == fleet.KindSafe }
 
-// again reports whether the request may be sent once more after a failure.
-func (c *call) again(reason string) bool {
+// mayRetry reports whether the request may be sent once more after a failure.
+func (c *call) mayRetry(reason string) bool {
 	switch reason {
 	case ReasonUnsent, ReasonDeclined:
 		return !c.mayHaveRun || c.repeatable()
@@ -282,8 +282,8 @@
 	}
 }
 
-// ended is the final answer of a request whose time is up or whose client has gone.
-func (c *call) ended(ctx context.Context) *Refusal {
+// contextRefusal is the final answer of a request whose time is up or whose client has gone.
+func (c *call) contextRefusal(ctx context.Context) *Refusal {
 	if errors.Is(context.Cause(ctx), errTimeout) {
 		return c.refusal(ReasonTimeout, nil)
 	}
--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -28,8 +28,8 @@
 				t.Fatalf("attempt %d: %#v", i+2, err)
 			}
 		}
-		if r.endedSoFar() != 2 {
-			t.Fatalf("%d of 3 endpoints ended", r.endedSoFar())
+		if r.crashCount() != 2 {
+			t.Fatalf("%d of 3 endpoints ended", r.crashCount())
 		}
 		if err := r.ask(1, "other", "/p/other"); err != nil {
 			t.Fatalf("a request beside it: %v", err)
@@ -67,7 +67,7 @@
 		r.after = 2 * minHedge
 		q := request(fleet.KindSafe)
 		q.Target = crashTarget
-		r.entries[0].Quarantine.ReportCrash(quarantine.BrokenRun{Fingerprint: q.subject(), Endpoint: fleet.Incarnation{ID: "former"}})
+		r.entries[0].Quarantine.ReportCrash(quarantine.BrokenRun{Fingerprint: q.fingerprint(), Endpoint: fleet.Incarnation{ID: "former"}})
 		q.Route.Objective = 50 * time.Millisecond // a second send is due before the endpoint ends
 		if _, err := r.entries[0].Do(t.Context(), q); err == nil {
 			t.Fatal("served")
@@ -115,7 +115,7 @@
 			cancel()
 			time.Sleep(2 * crashDown)
 		}
-		if n := r.endedSoFar(); n > int(quarantine.RequestLimit)+2 { // two trials fall into the time
+		if n := r.crashCount(); n > int(quarantine.RequestLimit)+2 { // two trials fall into the time
 			t.Errorf("%d endpoints ended", n)
 		}
 	})
@@ -138,8 +138,8 @@
 			r.view.UpdateInstances(nil, []string{id})
 		}
 		time.Sleep(10 * time.Second)
-		if verdict, _ := r.entries[0].Quarantine.State(q.subject(), quarantine.RequestLimit); verdict != quarantine.Clear {
-			t.Errorf("verdict %v", verdict)
+		if state, _ := r.entries[0].Quarantine.State(q.fingerprint(), quarantine.RequestLimit); state != quarantine.Clear {
+			t.Errorf("state %v", state)
 		}
 	})
 }
@@ -149,14 +149,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newCrashRig(t, 2, 3, true)
 		q := request(fleet.KindSafe)
-		r.entries[0].Quarantine.ReportCrash(quarantine.BrokenRun{Fingerprint: q.subject(), Endpoint: fleet.Incarnation{ID: "former"}})
+		r.entries[0].Quarantine.ReportCrash(quarantine.BrokenRun{Fingerprint: q.fingerprint(), Endpoint: fleet.Incarnation{ID: "former"}})
 		if _, err := r.entries[1].Do(t.Context(), q); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
 		for i, f := range r.entries {
-			if verdict, _ := f.Quarantine.State(q.subject(), quarantine.RequestLimit); verdict != quarantine.Clear {
-				t.Errorf("entry %d: verdict %v", i, verdict)
+			if state, _ := f.Quarantine.State(q.fingerprint(), quarantine.RequestLimit); state != quarantine.Clear {
+				t.Errorf("entry %d: state %v", i, state)
 			}
 		}
 	})
@@ -190,7 +190,7 @@
 				}
 			}
 		}
-		if n := r.endedSoFar(); n != int(quarantine.RequestLimit) {
+		if n := r.crashCount(); n != int(quarantine.RequestLimit) {
 			t.Fatalf("%d endpoints ended", n)
 		}
 	})
--- a/forward/crashload_test.go
+++ b/forward/crashload_test.go
@@ -16,30 +16,30 @@
 // a minute, and every other request is served at its first or second attempt.
 func TestLoadWithAContentThatEndsEndpoints(t *testing.T) {
 	for seed := range uint64(5) {
-		blind := playCrashes(t, seed, false)
-		seeing := playCrashes(t, seed, true)
+		without := simulateCrashes(t, seed, false)
+		with := simulateCrashes(t, seed, true)
 		t.Logf("seed %d: %d ended and %d of %d others unserved without the quarantine, %d and %d with it",
-			seed, blind.ends, blind.unserved, blind.others, seeing.ends, seeing.unserved)
-		if seeing.ends > int(quarantine.RequestLimit)+1 || seeing.unserved > 0 {
-			t.Errorf("seed %d: %d endpoints ended, %d of %d others unserved", seed, seeing.ends, seeing.unserved, seeing.others)
+			seed, without.ends, without.unserved, without.others, with.ends, with.unserved)
+		if with.ends > int(quarantine.RequestLimit)+1 || with.unserved > 0 {
+			t.Errorf("seed %d: %d endpoints ended, %d of %d others unserved", seed, with.ends, with.unserved, with.others)
 		}
 	}
 }
 
-type crashPlay struct{ ends, others, unserved int }
+type crashResult struct{ ends, others, unserved int }
 
-// playCrashes plays a minute of the load with seven entries and three endpoints.
-func playCrashes(t *testing.T, seed uint64, sees bool) (p crashPlay) {
+// simulateCrashes plays a minute of the load with seven entries and three endpoints.
+func simulateCrashes(t *testing.T, seed uint64, quarantined bool) (p crashResult) {
 	synctest.Test(t, func(t *testing.T) {
 		const entries, length = 7, time.Minute
-		r := newCrashRig(t, entries, 3, sees)
+		r := newCrashRig(t, entries, 3, quarantined)
 		rng := rand.New(rand.NewPCG(seed, 0))
 		began := time.Now()
 		var all sync.WaitGroup
 		all.Go(func() {
 			own := rand.New(rand.NewPCG(seed, 1))
 			for n := 0; time.Since(began) < length; n++ {
-				_ = r.askTwice(own, fmt.Sprint("crash-", n), crashTarget) // nobody misses it
+				_ = r.askWithRetry(own, fmt.Sprint("crash-", n), crashTarget) // nobody misses it
 				time.Sleep(2*time.Second + time.Duration(own.Int64N(int64(2*time.Second))))
 			}
 		})
@@ -47,7 +47,7 @@
 		for n := 0; time.Since(began) < length; n++ {
 			own := rand.New(rand.NewPCG(seed, uint64(n+2)))
 			all.Go(func() {
-				err := r.askTwice(own, fmt.Sprint("other-", n), fmt.Sprint("/p/", n))
+				err := r.askWithRetry(own, fmt.Sprint("other-", n), fmt.Sprint("/p/", n))
 				mu.Lock()
 				defer mu.Unlock()
 				p.others++
@@ -58,14 +58,14 @@
 			time.Sleep(time.Duration(rng.ExpFloat64() * float64(time.Second) / 6))
 		}
 		all.Wait()
-		p.ends = r.endedSoFar()
+		p.ends = r.crashCount()
 		time.Sleep(time.Minute) // timers of the rig
 	})
 	return p
 }
 
-// askTwice asks at one entry and, after a failure, at another a fifth of a second later.
-func (r *crashRig) askTwice(rng *rand.Rand, id, target string) error {
+// askWithRetry asks at one entry and, after a failure, at another a fifth of a second later.
+func (r *crashRig) askWithRetry(rng *rand.Rand, id, target string) error {
 	order := rng.Perm(len(r.entries))
 	err := r.ask(order[0], id+"-1", target)
 	if err == nil {
--- a/forward/crashrig_test.go
+++ b/forward/crashrig_test.go
@@ -20,14 +20,14 @@
 // seconds. An endpoint is back after some seconds under a new id; the list of
 // instances hears late of its end.
 const (
-	crashWork    = 25 * time.Millisecond
-	longWork     = 80 * time.Millisecond // longer than an endpoint lives under the content
-	crashAfter   = 45 * time.Millisecond // from the begin of a run that ends its endpoint
-	crashDown    = 2500 * time.Millisecond
-	crashLapse   = 1500 * time.Millisecond // until the list hears of an end
-	crashTarget  = "/p/crash"
-	longTarget   = "/p/long"
-	crashService = "s"
+	crashWork        = 25 * time.Millisecond
+	longWork         = 80 * time.Millisecond // longer than an endpoint lives under the content
+	crashAfter       = 45 * time.Millisecond // from the begin of a run that ends its endpoint
+	crashDown        = 2500 * time.Millisecond
+	crashUnlistDelay = 1500 * time.Millisecond // until the list hears of an end
+	crashTarget      = "/p/crash"
+	longTarget       = "/p/long"
+	crashService     = "s"
 )
 
 // crashRig is such a service and the entries before it.
@@ -58,7 +58,7 @@
 
 // newCrashRig starts entries before endpoints. Entries that share tell each other
 // what they see; those that see nothing have no way to tell that an endpoint ended.
-func newCrashRig(t *testing.T, entries, endpoints int, sees bool) *crashRig {
+func newCrashRig(t *testing.T, entries, endpoints int, quarantined bool) *crashRig {
 	r := &crashRig{t: t, view: fleet.NewView(), alive: map[string]*crashEndpoint{}, after: crashAfter, streamAfter: -1}
 	r.view.SetConfig(&fleet.Config{Version: 1, Services: []fleet.Service{{Name: crashService}}})
 	for i := range endpoints {
@@ -67,7 +67,7 @@
 	rows := rowstore.New()
 	for i := range entries {
 		f := New(r.view, r, fmt.Sprint("zone-", i%3), observe.Discard(), observe.NewCounters())
-		if sees {
+		if quarantined {
 			k := quarantine.New()
 			k.Rows, k.Clock, k.Prober, k.Log, k.Counters = rows.Client(), rows.Now, r, observe.Discard(), f.Counters
 			f.Quarantine = k
@@ -101,7 +101,7 @@
 	r.ends++
 	delete(r.alive, addr)
 	e.end()
-	time.AfterFunc(crashLapse, func() { r.view.UpdateInstances(nil, []string{e.id}) })
+	time.AfterFunc(crashUnlistDelay, func() { r.view.UpdateInstances(nil, []string{e.id}) })
 	time.AfterFunc(crashDown, func() { r.start(addr) })
 }
 
@@ -187,7 +187,7 @@
 	return err
 }
 
-func (r *crashRig) endedSoFar() int {
+func (r *crashRig) crashCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ends
--- a/forward/fairness_test.go
+++ b/forward/fairness_test.go
@@ -20,12 +20,12 @@
 	running map[string]int
 }
 
-const sheddingPlaces = 6
+const sheddingSlots = 6
 
 func (s *sheddingSender) take(id string, n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n > 0 && s.running[id] == sheddingPlaces {
+	if n > 0 && s.running[id] == sheddingSlots {
 		return false
 	}
 	s.running[id] += n
@@ -34,7 +34,7 @@
 
 func (s *sheddingSender) Send(ctx context.Context, to fleet.Instance, _ *Request, _ time.Duration) (*Answer, error) {
 	if !s.take(to.ID, 1) {
-		return &Answer{Status: http.StatusServiceUnavailable, Declined: true, Load: &fleet.Load{Running: sheddingPlaces, Places: sheddingPlaces}}, nil
+		return &Answer{Status: http.StatusServiceUnavailable, Declined: true, Load: &fleet.Load{Running: sheddingSlots, Places: sheddingSlots}}, nil
 	}
 	defer s.take(to.ID, -1)
 	select {
@@ -56,11 +56,11 @@
 		view.SetConfig(&fleet.Config{Version: 1, Services: []fleet.Service{{Name: "s"}}})
 		var list []fleet.Instance
 		for i := range 3 {
-			list = append(list, fleet.Instance{ID: fmt.Sprint("e", i), Service: "s", Zone: "z", Addr: fmt.Sprintf("10.0.0.%d:1", i+1), Slots: sheddingPlaces})
+			list = append(list, fleet.Instance{ID: fmt.Sprint("e", i), Service: "s", Zone: "z", Addr: fmt.Sprintf("10.0.0.%d:1", i+1), Slots: sheddingSlots})
 		}
 		view.UpdateInstances(list, nil)
 		f := New(view, &sheddingSender{running: map[string]int{}}, "z", observe.Discard(), observe.NewCounters())
-		capacity := float64(len(list)*sheddingPlaces) / 0.025 // requests a second
+		capacity := float64(len(list)*sheddingSlots) / 0.025 // requests a second
 		rng := rand.New(rand.NewPCG(3, 3))
 		var mu sync.Mutex
 		var all sync.WaitGroup
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -38,8 +38,8 @@
 	Reached int
 }
 
-// subject names the request's content: who asks for what, whatever its id.
-func (r *Request) subject() quarantine.Fingerprint {
+// fingerprint names the request's content: who asks for what, whatever its id.
+func (r *Request) fingerprint() quarantine.Fingerprint {
 	return quarantine.FingerprintOf(r.Organisation, r.Host, r.Method, r.Target, string(r.Body))
 }
 
@@ -156,8 +156,8 @@
 	// before the first request by one that tells other processes.
 	Quarantine *quarantine.Tracker
 
-	picker *picker.Picker
-	lost   lostSends
+	picker    *picker.Picker
+	abandoned abandonedSends
 }
 
 // New returns a forwarder.
@@ -177,30 +177,30 @@
 		limit = min(limit, time.Until(r.Deadline)-answerSlack)
 	}
 	bounded, cancel := context.WithTimeoutCause(ctx, limit, errTimeout)
-	c := &call{Forwarder: f, request: r, subject: r.subject(), tried: map[fleet.Incarnation]bool{}, unanswered: map[fleet.Incarnation]lostSend{}, results: make(chan attempt, maxParallel)}
+	c := &call{Forwarder: f, request: r, fingerprint: r.fingerprint(), tried: map[fleet.Incarnation]bool{}, unanswered: map[fleet.Incarnation]abandonedSend{}, results: make(chan attempt, maxParallel)}
 	answer, err := c.admitAndRun(bounded)
 	r.Reached += c.sent
 	if err != nil {
-		c.keepLost()
+		c.keepAbandoned()
 	}
 	if answer != nil && answer.Stream != nil {
-		answer.Stream = &streamEnd{Events: answer.Stream, call: c, ctx: bounded, end: cancel}
+		answer.Stream = &observedStream{Events: answer.Stream, call: c, ctx: bounded, cancel: cancel}
 	} else {
 		cancel()
 	}
-	f.note(r, c, answer, err, time.Since(began))
+	f.logOutcome(r, c, answer, err, time.Since(began))
 	return answer, err
 }
 
 var errTimeout = errors.New("forward: route's timeout or client's deadline reached")
 
-// note logs and counts what became of a request.
-func (f *Forwarder) note(r *Request, c *call, answer *Answer, err error, took time.Duration) {
+// logOutcome logs and counts what became of a request.
+func (f *Forwarder) logOutcome(r *Request, c *call, answer *Answer, err error, took time.Duration) {
 	f.Counters.Observe(observe.NameForward, r.Route.Name, took)
 	log := f.Log.WithFields(logrus.Fields{
 		observe.FieldRequest: r.ID, "route": r.Route.Name, "attempts": c.sent, "took_ms": took.Milliseconds(),
-		"config": f.View.Snapshot().Config.Version, "engine": c.last.ID, observe.FieldOrganisation: r.Organisation,
-		observe.FieldContent: c.subject,
+		"config": f.View.Snapshot().Config.Version, "engine": c.lastTo.ID, observe.FieldOrganisation: r.Organisation,
+		observe.FieldContent: c.fingerprint,
 	})
 	if err == nil {
 		log.WithField("status", answer.Status).Info("request answered")
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -15,48 +15,48 @@
 
 // Rows of the counter of sends that endpoints broke off.
 const (
-	// rowEndpointEnded is for endpoints that refuse connections since,
-	// rowEndpointThere for all others.
-	rowEndpointEnded = "endpoint_ended"
-	rowEndpointThere = "endpoint_there"
+	// rowCrashed is for endpoints that refuse connections since,
+	// rowAlive for all others.
+	rowCrashed = "endpoint_ended"
+	rowAlive   = "endpoint_there"
 )
 
 // admitAndRun runs the request unless its content is known to end endpoints: such a
 // one is answered at once, so that all of a service's endpoints do not end under it.
 func (c *call) admitAndRun(ctx context.Context) (*Answer, error) {
-	verdict, wait := c.Quarantine.Admit(ctx, c.subject, quarantine.RequestLimit)
-	if verdict == quarantine.Quarantined {
+	state, wait := c.Quarantine.Admit(ctx, c.fingerprint, quarantine.RequestLimit)
+	if state == quarantine.Quarantined {
 		c.Quarantine.CountRefused()
 		refusal := c.refusal(ReasonQuarantined, nil)
 		refusal.RetryAfter = (wait + time.Second - 1).Truncate(time.Second) // whole seconds, not before its time
 		return nil, refusal
 	}
-	c.trial = verdict == quarantine.TrialDue
+	c.trial = state == quarantine.TrialDue
 	return c.run(ctx)
 }
 
-// hasEnded reports whether an endpoint broke a request off, which was not given up
+// reportIfCrashed reports whether an endpoint broke a request off, which was not given up
 // from here, and has ended though it was not leaving. The quarantine has heard of it
 // then.
-func (c *call) hasEnded(ctx context.Context, to fleet.Instance, err error, took time.Duration) bool {
+func (c *call) reportIfCrashed(ctx context.Context, to fleet.Instance, err error, took time.Duration) bool {
 	if !errors.Is(err, ErrBroken) || ctx.Err() != nil || c.View.Snapshot().Leaves(to) {
 		return false
 	}
-	return c.Quarantine.ReportBroken(ctx, quarantine.BrokenRun{Fingerprint: c.subject, Endpoint: to.Incarnation(), Addr: to.Addr, Took: took})
+	return c.Quarantine.ReportBroken(ctx, quarantine.BrokenRun{Fingerprint: c.fingerprint, Endpoint: to.Incarnation(), Addr: to.Addr, Took: took})
 }
 
 // suspected reports whether an endpoint has ended under the request's content.
 func (c *call) suspected() bool {
-	verdict, _ := c.Quarantine.State(c.subject, quarantine.RequestLimit)
-	return verdict != quarantine.Clear
+	state, _ := c.Quarantine.State(c.fingerprint, quarantine.RequestLimit)
+	return state != quarantine.Clear
 }
 
-// mayEndAnother reports whether the request may be sent to one more endpoint: one
+// maySendToAnother reports whether the request may be sent to one more endpoint: one
 // under which an endpoint has ended goes to one at a time, so that a second end tells
 // before a third endpoint has it.
-func (c *call) mayEndAnother() bool {
-	verdict, _ := c.Quarantine.State(c.subject, quarantine.RequestLimit)
-	switch verdict {
+func (c *call) maySendToAnother() bool {
+	state, _ := c.Quarantine.State(c.fingerprint, quarantine.RequestLimit)
+	switch state {
 	case quarantine.Clear:
 		return true
 	case quarantine.Suspect:
@@ -66,40 +66,40 @@
 }
 
 const (
-	// turnPause is the pause before a request that waits for its turn looks again,
+	// riskyWaitStep is the pause before a request that waits for its turn looks again,
 	// about the work of one request.
-	turnPause = 20 * time.Millisecond
-	// maxTurnWait bounds the wait where the route's timeout does not: as long as
+	riskyWaitStep = 20 * time.Millisecond
+	// maxRiskyWait bounds the wait where the route's timeout does not: as long as
 	// several such requests take one after the other.
-	maxTurnWait = 500 * time.Millisecond
+	maxRiskyWait = 500 * time.Millisecond
 )
 
-// awaitTurn has the request wait if all endpoints that are left have another one
+// awaitLowRisk has the request wait if all endpoints that are left have another one
 // under which an endpoint has ended: what was beside the culprit would meet it again.
-func (c *call) awaitTurn(q picker.Query) {
+func (c *call) awaitLowRisk(q picker.Query) {
 	q.AvoidRisky = false
 	if _, left := c.picker.Pick(q); !left {
 		return
 	}
-	c.turn = time.After(turnPause)
-	c.waited += turnPause
+	c.retryTimer = time.After(riskyWaitStep)
+	c.riskyWait += riskyWaitStep
 }
 
-// waits reports whether the request waits for its turn.
-func (c *call) waits() bool { return c.turn != nil }
+// waiting reports whether the request waiting for its turn.
+func (c *call) waiting() bool { return c.retryTimer != nil }
 
-// tell logs and counts a send that ended without an answer.
-func (c *call) tell(a attempt) {
+// logBroken logs and counts a send that ended without an answer.
+func (c *call) logBroken(a attempt) {
 	if !errors.Is(a.err, ErrBroken) {
 		return
 	}
-	row := rowEndpointThere
-	if a.ended {
-		row = rowEndpointEnded
+	row := rowAlive
+	if a.crashed {
+		row = rowCrashed
 	}
 	c.Counters.Add(observe.NameForwardBroken, row, 1)
 	c.Log.WithError(a.err).WithFields(logrus.Fields{
-		observe.FieldRequest: c.request.ID, observe.FieldContent: c.subject, "route": c.request.Route.Name,
-		"engine": a.to.ID, "addr": a.to.Addr, "attempts": c.sent, "took_ms": a.took.Milliseconds(), "engine_ended": a.ended,
+		observe.FieldRequest: c.request.ID, observe.FieldContent: c.fingerprint, "route": c.request.Route.Name,
+		"engine": a.to.ID, "addr": a.to.Addr, "attempts": c.sent, "took_ms": a.took.Milliseconds(), "engine_ended": a.crashed,
 	}).Warn("send broken off")
 }
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// streamEnd sees how a stream ends, and releases its context when it is closed.
-type streamEnd struct {
+// observedStream sees how a stream ends, and releases its context when it is closed.
+type observedStream struct {
 	Events
-	call *call
-	ctx  context.Context
-	end  context.CancelFunc
+	call   *call
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
 // Next implements Events.
-func (s *streamEnd) Next() (raw []byte, id string, err error) {
+func (s *observedStream) Next() (raw []byte, id string, err error) {
 	raw, id, err = s.Events.Next()
 	switch {
 	case err == nil:
 	case errors.Is(err, io.EOF):
-		s.call.Quarantine.ReportServed(s.call.subject)
+		s.call.Quarantine.ReportServed(s.call.fingerprint)
 	default:
-		a := attempt{to: s.call.last, err: err, took: time.Since(s.call.lastSent)}
-		a.ended = s.call.hasEnded(s.ctx, a.to, a.err, a.took)
-		s.call.tell(a)
+		a := attempt{to: s.call.lastTo, err: err, took: time.Since(s.call.lastSent)}
+		a.crashed = s.call.reportIfCrashed(s.ctx, a.to, a.err, a.took)
+		s.call.logBroken(a)
 	}
 	return raw, id, err
 }
 
 // Close implements Events.
-func (s *streamEnd) Close() {
+func (s *observedStream) Close() {
 	s.Events.Close()
-	s.end()
+	s.cancel()
 }
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -48,15 +48,15 @@
 }
 
 const (
-	// slowMemory is the time constant with which an instance's slowness is
+	// slowdownMemory is the time constant with which an instance's slowness is
 	// forgotten while nothing is sent to it: one that took five times as long is
 	// tried again after 17 s. With 3 s the trials themselves made 9 in 100
 	// interactive requests late (pattern slow-endpoint), with 10 s 5 in 100.
-	slowMemory = 10 * time.Second
-	// slowFrom is from how many times the usual time on an instance counts as
+	slowdownMemory = 10 * time.Second
+	// slowThreshold is from how many times the usual time on an instance counts as
 	// slow: work with a lognormal spread of 0.5 alone gives the mean of the
 	// newest answers a standard deviation of 0.2 (computed from ownWeight).
-	slowFrom = 1.7
+	slowThreshold = 1.7
 	// typicalWeight and ownWeight are the weights of the newest answer in the
 	// means over all instances and over one.
 	typicalWeight = 0.05
@@ -69,26 +69,26 @@
 	// risky counts those of them that may end the instance.
 	risky   int
 	suspect time.Time
-	// times is how many times as long as usual its answers take.
-	times   float64
-	timedAt time.Time
+	// slowdown is how many slowdown as long as usual its answers take.
+	slowdown   float64
+	slowdownAt time.Time
 }
 
 // slowness is how many times as long as elsewhere a request takes there, 1 for
 // what is not told from the usual.
 func (l *load) slowness(now time.Time) float64 {
-	if times := l.remembered(now); times >= slowFrom {
+	if times := l.decayedSlowdown(now); times >= slowThreshold {
 		return times
 	}
 	return 1
 }
 
-// remembered is what is left of the times by now.
-func (l *load) remembered(now time.Time) float64 {
-	if l.timedAt.IsZero() {
+// decayedSlowdown is what is left of the times by now.
+func (l *load) decayedSlowdown(now time.Time) float64 {
+	if l.slowdownAt.IsZero() {
 		return 1
 	}
-	return 1 + (l.times-1)*math.Exp(-float64(now.Sub(l.timedAt))/float64(slowMemory))
+	return 1 + (l.slowdown-1)*math.Exp(-float64(now.Sub(l.slowdownAt))/float64(slowdownMemory))
 }
 
 // Picker holds the loads of all instances by their incarnations. It is safe for
@@ -105,7 +105,7 @@
 	return &Picker{loads: map[fleet.Incarnation]*load{}, typical: map[string]time.Duration{}}
 }
 
-func (p *Picker) of(i fleet.Incarnation) *load {
+func (p *Picker) loadOf(i fleet.Incarnation) *load {
 	found, ok := p.loads[i]
 	if !ok {
 		found = &load{}
@@ -123,7 +123,7 @@
 
 // begin is called with p.mu held.
 func (p *Picker) begin(i fleet.Incarnation, risky bool) {
-	entry := p.of(i)
+	entry := p.loadOf(i)
 	entry.outstanding++
 	if risky {
 		entry.risky++
@@ -135,7 +135,7 @@
 func (p *Picker) End(i fleet.Incarnation, o Outcome, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	entry := p.of(i)
+	entry := p.loadOf(i)
 	entry.outstanding--
 	if o.Risky {
 		entry.risky--
@@ -145,12 +145,12 @@
 		entry.suspect = now
 	}
 	if o.Took > 0 {
-		p.timed(entry, o, now)
+		p.recordLatency(entry, o, now)
 	}
 }
 
-// timed takes how long an answer took. It is called with p.mu held.
-func (p *Picker) timed(entry *load, o Outcome, now time.Time) {
+// recordLatency takes how long an answer took. It is called with p.mu held.
+func (p *Picker) recordLatency(entry *load, o Outcome, now time.Time) {
 	typical, known := p.typical[o.Kind]
 	if !known {
 		p.typical[o.Kind] = o.Took
@@ -158,9 +158,9 @@
 	}
 	times := float64(o.Took) / float64(typical)
 	p.typical[o.Kind] += time.Duration(typicalWeight * float64(o.Took-typical))
-	entry.times = entry.remembered(now)
-	entry.times += ownWeight * (times - entry.times)
-	entry.timedAt = now
+	entry.slowdown = entry.decayedSlowdown(now)
+	entry.slowdown += ownWeight * (times - entry.slowdown)
+	entry.slowdownAt = now
 }
 
 // Prune forgets incarnations that are not in the list any more.
@@ -213,7 +213,7 @@
 func (p *Picker) pick(q Query) (fleet.Instance, bool) {
 	var fresh, atRisk, suspects []fleet.Instance
 	for _, c := range q.Candidates {
-		l := p.of(c.Incarnation())
+		l := p.loadOf(c.Incarnation())
 		switch {
 		case q.Tried[c.Incarnation()]:
 		case q.Now.Sub(l.suspect) < suspectTime:
@@ -234,14 +234,14 @@
 		return fleet.Instance{}, false
 	}
 	return slices.MinFunc(fresh, func(a, b fleet.Instance) int {
-		return cmp.Or(cmp.Compare(p.score(a, q), p.score(b, q)), cmp.Compare(tie(q.Request, a.ID), tie(q.Request, b.ID)))
+		return cmp.Or(cmp.Compare(p.score(a, q), p.score(b, q)), cmp.Compare(tieBreak(q.Request, a.ID), tieBreak(q.Request, b.ID)))
 	}), true
 }
 
 // score is the load of an instance in shares of its slots, as a fast one would
 // have it for the same time; lower is better.
 func (p *Picker) score(c fleet.Instance, q Query) float64 {
-	l := p.of(c.Incarnation())
+	l := p.loadOf(c.Incarnation())
 	busy := float64(l.outstanding) / float64(max(1, c.Slots))
 	s := l.slowness(q.Now)*(1+busy) - 1
 	if c.Zone != q.Zone {
@@ -250,5 +250,5 @@
 	return s
 }
 
-// tie spreads requests over instances of the same score.
-func tie(request, id string) uint64 { return xxhash.Sum64String(request + "\x00" + id) }
+// tieBreak spreads requests over instances of the same score.
+func tieBreak(request, id string) uint64 { return xxhash.Sum64String(request + "\x00" + id) }
--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -73,7 +73,7 @@
 	r := newRig(4)
 	r.serve(100, 1)
 	r.serve(100, 5)
-	r.now = r.now.Add(5 * slowMemory)
+	r.now = r.now.Add(5 * slowdownMemory)
 	r.serve(50, 1)
 	if n := r.serve(200, 1); n < 30 {
 		t.Errorf("got %d of 200 after it had recovered", n)
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -2,15 +2,13 @@
 
 import "mulberryscale.example/internal/digest"
 
-// Fingerprint names a content: requests of one content do the same to the endpoints
-// that run them, whatever their ids and whichever process they come to.
+// Fingerprint identifies a content: requests of the same content have the same effect on the
+// endpoints that run them, whatever their ids and whichever process receives them.
 type Fingerprint string
 
-// subjectLength is 128 bits in hexadecimal digits, so that no two contents of a
-// deployment share a name by chance.
-const subjectLength = 32
+// fpLength is 128 bits in hexadecimal digits, so that two contents of a deployment do
+// not collide by chance.
+const fpLength = 32
 
-// FingerprintOf names the content that parts make up, in their order.
-func FingerprintOf(parts ...string) Fingerprint {
-	return Fingerprint(digest.Of(parts...)[:subjectLength])
-}
+// FingerprintOf returns the fingerprint of the content that consists of the parts in their order.
+func FingerprintOf(parts ...string) Fingerprint { return Fingerprint(digest.Of(parts...)[:fpLength]) }
--- a/quarantine/follow.go
+++ b/quarantine/follow.go
@@ -12,118 +12,117 @@
 )
 
 const (
-	// newsBudget is what hearing of the table may cost, in bytes a second, and
-	// newsAge how late its news may be while there is much of it: the caller's second
-	// attempt comes a fifth of a second after the first.
-	newsBudget = 1000
-	newsAge    = time.Second
-	// newsSavings keeps the budget of quiet times: the ends of one crash come together.
-	newsSavings = 10 * time.Second
-	// quietWait is how long a call for news may wait: a feed that has gone silent is
-	// noticed within the time in which all processes are to know of an end.
-	quietWait = 2 * time.Second
-	// expiryInterval is how often a process looks for what is to be forgotten. Each
-	// waits up to that long again, so that few remove the same rows.
+	// feedBudget limits what following the table may cost, in bytes a second. feedMaxAge limits
+	// how late updates may be while there are many of them: a caller's second attempt comes a
+	// fifth of a second after its first.
+	feedBudget = 1000
+	feedMaxAge = time.Second
+	// feedSavings is how long unused budget accumulates: the rows of one crash come in a burst.
+	feedSavings = 10 * time.Second
+	// feedWait limits one long poll for updates, so that a silent feed is noticed within the time
+	// in which all processes should know of a crash.
+	feedWait = 2 * time.Second
+	// expiryInterval is how often a process looks for expired contents. Each process adds a
+	// random delay of up to the same length, so that few of them remove the same rows.
 	expiryInterval = time.Minute
 )
 
-// Run follows what other processes have seen and tells them what this one sees,
-// until ctx ends.
-func (k *Tracker) Run(ctx context.Context) {
+// Run follows the events of other processes and writes those of this one until ctx is cancelled.
+func (t *Tracker) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	pace := store.Pace{BytesPerSecond: newsBudget, MaxAge: newsAge, Savings: newsSavings}
-	wg.Go(func() { store.Follow(ctx, k.Rows, store.Source{Table: Table, Pace: pace, Wait: quietWait}, k) })
-	wg.Go(func() { k.write(ctx) })
-	wg.Go(func() { k.expire(ctx) })
+	pace := store.Pace{BytesPerSecond: feedBudget, MaxAge: feedMaxAge, Savings: feedSavings}
+	wg.Go(func() { store.Follow(ctx, t.Rows, store.Source{Table: Table, Pace: pace, Wait: feedWait}, t) })
+	wg.Go(func() { t.write(ctx) })
+	wg.Go(func() { t.expire(ctx) })
 	wg.Wait()
 }
 
-// Synced is closed once what others have seen has been read.
-func (k *Tracker) Synced() <-chan struct{} { return k.listed }
+// Synced is closed once the table has been read for the first time.
+func (t *Tracker) Synced() <-chan struct{} { return t.synced }
 
 // Replace implements store.Watcher.
-func (k *Tracker) Replace(s store.Snapshot) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (t *Tracker) Replace(s store.Snapshot) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	select {
-	case <-k.listed:
+	case <-t.synced:
 	default:
-		close(k.listed)
+		close(t.synced)
 	}
-	k.book = newBook()
-	k.apply(s.Rows)
-	k.keepUnwritten()
+	t.histories = newHistories()
+	t.apply(s.Rows)
+	t.reapplyOutbox()
 }
 
-// keepUnwritten takes over what was seen here and does not stand in the store yet.
-func (k *Tracker) keepUnwritten() {
-	for key, m := range k.outbox.rows {
+// reapplyOutbox applies this process's changes that are not in the store yet.
+func (t *Tracker) reapplyOutbox() {
+	for key, v := range t.outbox.rows {
 		e, err := decodeName(key.Name)
 		if err != nil {
-			k.Log.WithError(err).Error("quarantine: own row not readable")
+			t.Log.WithError(err).Error("quarantine: own row not readable")
 			continue
 		}
-		if m == nil {
-			k.book.undo(e)
+		if v == nil {
+			t.histories.remove(e)
 			continue
 		}
-		e.mark = *m
-		k.book.note(e)
+		e.value = *v
+		t.histories.record(e)
 	}
 }
 
 // Apply implements store.Watcher.
-func (k *Tracker) Apply(s store.Snapshot) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.apply(s.Rows)
+func (t *Tracker) Apply(s store.Snapshot) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.apply(s.Rows)
 }
 
-// apply takes rows in. It is called with k.mu held.
-func (k *Tracker) apply(rows []store.Row) {
+// apply records the events of rows. It is called with t.mu held.
+func (t *Tracker) apply(rows []store.Row) {
 	for _, row := range rows {
 		if row.Deleted {
-			k.undo(row.Name)
+			t.removeRow(row.Name)
 			continue
 		}
 		e, err := decode(row)
 		if err != nil {
-			k.Log.WithError(err).Error("quarantine: row not readable")
+			t.Log.WithError(err).Error("quarantine: row not readable")
 			continue
 		}
-		k.book.note(e)
+		t.histories.record(e)
 	}
 }
 
-// undo takes back what a removed row said. It is called with k.mu held.
-func (k *Tracker) undo(name string) {
+// removeRow removes the event of a deleted row. It is called with t.mu held.
+func (t *Tracker) removeRow(name string) {
 	e, err := decodeName(name)
 	if err != nil {
-		k.Log.WithError(err).Error("quarantine: removed row not readable")
+		t.Log.WithError(err).Error("quarantine: removed row not readable")
 		return
 	}
-	k.book.undo(e)
+	t.histories.remove(e)
 }
 
 // Lost implements store.Watcher.
-func (k *Tracker) Lost(err error) { store.LogLoss(k.Log, Table, err) }
+func (t *Tracker) Lost(err error) { store.LogLoss(t.Log, Table, err) }
 
 // Regained implements store.Watcher.
-func (k *Tracker) Regained(after time.Duration) { store.LogReturn(k.Log, Table, after) }
+func (t *Tracker) Regained(after time.Duration) { store.LogReturn(t.Log, Table, after) }
 
-// expire forgets what is old, until ctx ends.
-func (k *Tracker) expire(ctx context.Context) {
+// expire removes expired contents until ctx is cancelled.
+func (t *Tracker) expire(ctx context.Context) {
 	for ctx.Err() == nil {
-		_ = pause.Sleep(ctx, expiryInterval+time.Duration(rand.Int64N(int64(expiryInterval)))) // the end of ctx is looked at next
-		now, known := k.Clock()
+		_ = pause.Sleep(ctx, expiryInterval+time.Duration(rand.Int64N(int64(expiryInterval)))) // cancellation is checked next
+		now, known := t.Clock()
 		if !known {
 			continue
 		}
-		k.mu.Lock()
-		for _, s := range k.book.forgotten(now) {
-			k.drop(s)
+		t.mu.Lock()
+		for _, fp := range t.histories.expired(now) {
+			t.drop(fp)
 		}
-		k.mu.Unlock()
+		t.mu.Unlock()
 	}
 }
 
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -8,24 +8,25 @@
 	"mulberryscale.example/fleet"
 )
 
-// GossipEvent is what one process tells another that shares neither a store nor a clock
-// with it.
+// GossipEvent is an event that one process reports to another which shares neither a store nor a
+// clock with it.
 type GossipEvent struct {
 	Fingerprint Fingerprint
 	Kind        GossipKind
-	// Endpoint and Took are those of a run that an endpoint broke off as it ended.
+	// Endpoint and Took describe the run that the endpoint's crash broke off: its endpoint and
+	// how long it lasted.
 	Endpoint fleet.Incarnation
 	Took     time.Duration
-	// Trial is the number of a trial.
+	// Trial is the number of the trial.
 	Trial int
-	// Age is how long ago it happened.
+	// Age is the time since the event.
 	Age time.Duration
 }
 
-// GossipKind is what happened to a content.
+// GossipKind says what happened to a content.
 type GossipKind int
 
-// Kinds of news.
+// Kinds of gossip events.
 const (
 	GossipCrash GossipKind = iota + 1
 	GossipTrial
@@ -33,50 +34,50 @@
 )
 
 const (
-	// newsTime is how long after an event it is told: several times what gossip takes
-	// to reach every process.
-	newsTime = 30 * time.Second
-	// maxNews bounds one telling; the newest come first.
-	maxNews = 32
+	// gossipTTL is how long an event is gossiped: several times what gossip takes to reach every
+	// process.
+	gossipTTL = 30 * time.Second
+	// maxGossip limits the events of one message; the newest come first.
+	maxGossip = 32
 )
 
-// RecentEvents is what has happened lately.
-func (k *Tracker) RecentEvents() []GossipEvent {
-	now, _ := k.Clock()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// RecentEvents returns the events of the last gossipTTL, the newest first and at most maxGossip.
+func (t *Tracker) RecentEvents() []GossipEvent {
+	now, _ := t.Clock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var list []GossipEvent
-	for s, h := range k.book.subjects {
-		for of, run := range h.ends {
-			list = append(list, GossipEvent{Fingerprint: s, Kind: GossipCrash, Endpoint: of, Took: run.ended - run.began, Age: now - run.ended})
+	for fp, h := range t.histories.byFingerprint {
+		for endpoint, run := range h.crashes {
+			list = append(list, GossipEvent{Fingerprint: fp, Kind: GossipCrash, Endpoint: endpoint, Took: run.end - run.start, Age: now - run.end})
 		}
 		for number, at := range h.trials {
-			list = append(list, GossipEvent{Fingerprint: s, Kind: GossipTrial, Trial: number, Age: now - at})
+			list = append(list, GossipEvent{Fingerprint: fp, Kind: GossipTrial, Trial: number, Age: now - at})
 		}
 	}
-	for s, at := range k.book.cleared {
-		list = append(list, GossipEvent{Fingerprint: s, Kind: GossipCleared, Age: now - at})
+	for fp, at := range t.histories.cleared {
+		list = append(list, GossipEvent{Fingerprint: fp, Kind: GossipCleared, Age: now - at})
 	}
-	k.book.forgetCleared(now)
-	list = slices.DeleteFunc(list, func(n GossipEvent) bool { return n.Age > newsTime })
+	t.histories.expireCleared(now)
+	list = slices.DeleteFunc(list, func(n GossipEvent) bool { return n.Age > gossipTTL })
 	slices.SortFunc(list, func(a, b GossipEvent) int { return cmp.Compare(a.Age, b.Age) })
-	return list[:min(len(list), maxNews)]
+	return list[:min(len(list), maxGossip)]
 }
 
-// MergeEvents takes in what another process tells.
-func (k *Tracker) MergeEvents(list []GossipEvent) {
-	now, _ := k.Clock()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, n := range list[:min(len(list), maxNews)] {
+// MergeEvents records the events that another process reports.
+func (t *Tracker) MergeEvents(list []GossipEvent) {
+	now, _ := t.Clock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, n := range list[:min(len(list), maxGossip)] {
 		at := now - n.Age
 		switch n.Kind {
 		case GossipCleared:
-			k.book.clear(n.Fingerprint, at)
+			t.histories.clear(n.Fingerprint, at)
 		case GossipCrash:
-			k.book.note(event{subject: n.Fingerprint, endpoint: n.Endpoint, trial: -1, mark: mark{At: at, Ran: n.Took}})
+			t.histories.record(event{fingerprint: n.Fingerprint, endpoint: n.Endpoint, trial: -1, value: rowValue{At: at, Ran: n.Took}})
 		case GossipTrial:
-			k.book.note(event{subject: n.Fingerprint, trial: n.Trial, mark: mark{At: at}})
+			t.histories.record(event{fingerprint: n.Fingerprint, trial: n.Trial, value: rowValue{At: at}})
 		}
 	}
 }
--- a/quarantine/gossip_test.go
+++ b/quarantine/gossip_test.go
@@ -9,8 +9,8 @@
 	"mulberryscale.example/observe"
 )
 
-// local are processes that tell each other by news only.
-func local(n int) []*Tracker {
+// localTrackers returns the trackers of processes that share events by gossip only.
+func localTrackers(n int) []*Tracker {
 	list := make([]*Tracker, n)
 	for i := range list {
 		list[i] = Local(nil, observe.Discard(), observe.NewCounters())
@@ -18,86 +18,86 @@
 	return list
 }
 
-func TestNewsTellsWhatAnotherProcessSaw(t *testing.T) {
+func TestGossipSpreadsCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := local(3)
-		k[0].ReportCrashAtAgent(subject, "agent-1", 0)
+		trackers := localTrackers(3)
+		trackers[0].ReportCrashAtAgent(content, "agent-1", 0)
 		time.Sleep(time.Second)
-		k[0].ReportCrashAtAgent(subject, "agent-1", 0) // its endpoint was back meanwhile
+		trackers[0].ReportCrashAtAgent(content, "agent-1", 0) // the endpoint had restarted meanwhile
 		time.Sleep(3 * time.Second)
-		k[1].MergeEvents(k[0].RecentEvents())
-		k[1].MergeEvents(k[0].RecentEvents()) // told twice
-		k[2].MergeEvents(k[1].RecentEvents()) // passed on
-		for _, each := range k {
-			verdict, wait := each.State(subject, RequestLimit)
-			if verdict != Quarantined || wait != trialPauses[0]-3*time.Second {
-				t.Errorf("verdict %v for %v", verdict, wait)
+		trackers[1].MergeEvents(trackers[0].RecentEvents())
+		trackers[1].MergeEvents(trackers[0].RecentEvents()) // received twice
+		trackers[2].MergeEvents(trackers[1].RecentEvents()) // passed on
+		for _, each := range trackers {
+			state, wait := each.State(content, RequestLimit)
+			if state != Quarantined || wait != trialDelays[0]-3*time.Second {
+				t.Errorf("state %v for %v", state, wait)
 			}
 		}
 	})
 }
 
-// What was cleared stays cleared though a process that has not heard of it goes on
-// telling what it saw before; what happens after that counts.
+// A cleared content stays cleared although a process that does not know of it goes on gossiping
+// its older crash; a later crash counts.
 func TestOldNewsDoesNotUndoAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := local(2)
-		k[0].ReportCrashAtAgent(subject, "agent-1", 0)
+		trackers := localTrackers(2)
+		trackers[0].ReportCrashAtAgent(content, "agent-1", 0)
 		time.Sleep(time.Second)
-		k[1].MergeEvents(k[0].RecentEvents())
-		k[1].ReportServed(subject)
+		trackers[1].MergeEvents(trackers[0].RecentEvents())
+		trackers[1].ReportServed(content)
 		time.Sleep(time.Second)
-		k[1].MergeEvents(k[0].RecentEvents())
-		wantVerdict(t, k[1], subject, Clear)
-		k[0].MergeEvents(k[1].RecentEvents())
-		wantVerdict(t, k[0], subject, Clear)
+		trackers[1].MergeEvents(trackers[0].RecentEvents())
+		wantState(t, trackers[1], content, Clear)
+		trackers[0].MergeEvents(trackers[1].RecentEvents())
+		wantState(t, trackers[0], content, Clear)
 		time.Sleep(time.Second)
-		k[0].ReportCrashAtAgent(subject, "agent-2", 0)
-		k[1].MergeEvents(k[0].RecentEvents())
-		wantVerdict(t, k[1], subject, Suspect)
+		trackers[0].ReportCrashAtAgent(content, "agent-2", 0)
+		trackers[1].MergeEvents(trackers[0].RecentEvents())
+		wantState(t, trackers[1], content, Suspect)
 	})
 }
 
-func TestTrialsAreTold(t *testing.T) {
+func TestGossipSpreadsTrials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := local(2)
+		trackers := localTrackers(2)
 		for i := range 2 {
-			k[0].ReportCrashAtAgent(subject, "agent-1", 0)
+			trackers[0].ReportCrashAtAgent(content, "agent-1", 0)
 			time.Sleep(time.Duration(i+1) * time.Second)
 		}
-		k[1].MergeEvents(k[0].RecentEvents())
-		time.Sleep(trialPauses[0])
-		if verdict, _ := k[0].Admit(t.Context(), subject, RequestLimit); verdict != TrialDue {
-			t.Fatalf("verdict %v", verdict)
+		trackers[1].MergeEvents(trackers[0].RecentEvents())
+		time.Sleep(trialDelays[0])
+		if state, _ := trackers[0].Admit(t.Context(), content, RequestLimit); state != TrialDue {
+			t.Fatalf("state %v", state)
 		}
-		k[1].MergeEvents(k[0].RecentEvents())
-		wantVerdict(t, k[1], subject, Quarantined)
+		trackers[1].MergeEvents(trackers[0].RecentEvents())
+		wantState(t, trackers[1], content, Quarantined)
 	})
 }
 
-func TestNewsIsBounded(t *testing.T) {
+func TestGossipIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := local(1)[0]
-		for i := range 3 * maxNews {
-			k.ReportCrash(BrokenRun{Fingerprint: FingerprintOf(string(rune(i))), Endpoint: fleet.Incarnation{ID: "a"}})
+		tracker := localTrackers(1)[0]
+		for i := range 3 * maxGossip {
+			tracker.ReportCrash(BrokenRun{Fingerprint: FingerprintOf(string(rune(i))), Endpoint: fleet.Incarnation{ID: "a"}})
 		}
-		if n := len(k.RecentEvents()); n != maxNews {
-			t.Errorf("%d pieces", n)
+		if n := len(tracker.RecentEvents()); n != maxGossip {
+			t.Errorf("%d events", n)
 		}
-		time.Sleep(newsTime + 1)
-		if n := len(k.RecentEvents()); n != 0 {
-			t.Errorf("%d old pieces", n)
+		time.Sleep(gossipTTL + 1)
+		if n := len(tracker.RecentEvents()); n != 0 {
+			t.Errorf("%d expired events", n)
 		}
 	})
 }
 
-func TestWhatIsForgottenCountsNoMore(t *testing.T) {
+func TestExpiredCrashesDoNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := local(1)[0]
-		k.ReportCrashAtAgent(subject, "agent-1", 0)
-		time.Sleep(suspectMemory + time.Second)
-		wantVerdict(t, k, subject, Clear)
-		k.ReportCrashAtAgent(subject, "agent-1", 0)
-		wantVerdict(t, k, subject, Suspect)
+		tracker := localTrackers(1)[0]
+		tracker.ReportCrashAtAgent(content, "agent-1", 0)
+		time.Sleep(suspectTTL + time.Second)
+		wantState(t, tracker, content, Clear)
+		tracker.ReportCrashAtAgent(content, "agent-1", 0)
+		wantState(t, tracker, content, Suspect)
 	})
 }
--- a/quarantine/histories.go
+++ b/quarantine/histories.go
@@ -5,112 +5,113 @@
 	"time"
 )
 
-// maxSubjects bounds what one process remembers, some 300 bytes each. Beyond it the
-// contents whose last end is the longest ago are forgotten first.
-const maxSubjects = 4096
+// maxHistories bounds the contents that one process remembers, at some 300 bytes each. Beyond it
+// the content whose last crash or trial is the oldest is evicted first.
+const maxHistories = 4096
 
-// book is what a process knows of contents. It is not safe for concurrent use.
-type book struct {
-	subjects map[Fingerprint]*history
-	// cleared are contents that an endpoint ran and lived through lately: what is
-	// told of them from before that is old.
+// histories holds what a process knows of each content. It is not safe for concurrent use.
+type histories struct {
+	byFingerprint map[Fingerprint]*history
+	// cleared holds the contents that an endpoint has recently answered without crashing, with
+	// the time of the answer: older reports about them are ignored.
 	cleared map[Fingerprint]time.Duration
 }
 
-func newBook() *book {
-	return &book{subjects: map[Fingerprint]*history{}, cleared: map[Fingerprint]time.Duration{}}
+func newHistories() *histories {
+	return &histories{byFingerprint: map[Fingerprint]*history{}, cleared: map[Fingerprint]time.Duration{}}
 }
 
-// judge is the verdict on a content.
-func (b *book) judge(s Fingerprint, limit Limit, now time.Duration) (State, time.Duration) {
-	h, known := b.subjects[s]
-	if !known || h.forgotten(now) {
+// state returns the content's state and, for a quarantined one, how long it stays so.
+func (hs *histories) state(fp Fingerprint, limit Limit, now time.Duration) (State, time.Duration) {
+	h, known := hs.byFingerprint[fp]
+	if !known || h.expired(now) {
 		return Clear, 0
 	}
-	return h.judge(limit, now)
+	return h.state(limit, now)
 }
 
-// note takes an event in and reports whether it was news.
-func (b *book) note(e event) bool {
-	if at, cleared := b.cleared[e.subject]; cleared && e.mark.At <= at {
+// record adds an event and reports whether it was new.
+func (hs *histories) record(e event) bool {
+	if at, cleared := hs.cleared[e.fingerprint]; cleared && e.value.At <= at {
 		return false
 	}
-	h, known := b.subjects[e.subject]
-	if !known || h.forgotten(e.mark.At) {
-		b.makeRoom()
+	h, known := hs.byFingerprint[e.fingerprint]
+	if !known || h.expired(e.value.At) {
+		hs.evictOldest()
 		h = newHistory()
-		b.subjects[e.subject] = h
+		hs.byFingerprint[e.fingerprint] = h
 	}
 	if e.trial >= 0 {
 		_, known = h.trials[e.trial]
-		h.trials[e.trial] = e.mark.At
+		h.trials[e.trial] = e.value.At
 		return !known
 	}
-	if _, known = h.ends[e.endpoint]; !known {
-		h.ends[e.endpoint] = span{began: e.mark.At - e.mark.Ran, ended: e.mark.At}
+	if _, known = h.crashes[e.endpoint]; !known {
+		h.crashes[e.endpoint] = span{start: e.value.At - e.value.Ran, end: e.value.At}
 	}
 	return !known
 }
 
-// undo takes an event out again.
-func (b *book) undo(e event) {
-	h, known := b.subjects[e.subject]
+// remove removes an event.
+func (hs *histories) remove(e event) {
+	h, known := hs.byFingerprint[e.fingerprint]
 	if !known {
 		return
 	}
 	if e.trial >= 0 {
 		delete(h.trials, e.trial)
 	} else {
-		delete(h.ends, e.endpoint)
+		delete(h.crashes, e.endpoint)
 	}
 	if h.empty() {
-		delete(b.subjects, e.subject)
+		delete(hs.byFingerprint, e.fingerprint)
 	}
 }
 
-// forget forgets a content and returns its history; nil if nothing was known.
-func (b *book) forget(s Fingerprint) *history {
-	h := b.subjects[s]
-	delete(b.subjects, s)
+// take removes a content and returns its history; nil if it had none.
+func (hs *histories) take(fp Fingerprint) *history {
+	h := hs.byFingerprint[fp]
+	delete(hs.byFingerprint, fp)
 	return h
 }
 
-// clear forgets what was known of a content up to a moment.
-func (b *book) clear(s Fingerprint, at time.Duration) {
-	if former, known := b.cleared[s]; known && former >= at {
+// clear notes that the content was answered at the given time, and removes its history if no
+// event is later.
+func (hs *histories) clear(fp Fingerprint, at time.Duration) {
+	if former, known := hs.cleared[fp]; known && former >= at {
 		return
 	}
-	b.cleared[s] = at
-	if h, known := b.subjects[s]; known && h.last() <= at {
-		delete(b.subjects, s)
+	hs.cleared[fp] = at
+	if h, known := hs.byFingerprint[fp]; known && h.lastEvent() <= at {
+		delete(hs.byFingerprint, fp)
 	}
 }
 
-// forgetCleared forgets clearances of which no old news comes any more.
-func (b *book) forgetCleared(now time.Duration) {
-	maps.DeleteFunc(b.cleared, func(_ Fingerprint, at time.Duration) bool { return now-at > 2*newsTime })
+// expireCleared removes clearances that no outdated gossip can follow any more.
+func (hs *histories) expireCleared(now time.Duration) {
+	maps.DeleteFunc(hs.cleared, func(_ Fingerprint, at time.Duration) bool { return now-at > 2*gossipTTL })
 }
 
-// forgotten are the contents whose time is up.
-func (b *book) forgotten(now time.Duration) (list []Fingerprint) {
-	for s, h := range b.subjects {
-		if h.forgotten(now) {
-			list = append(list, s)
+// expired returns the contents whose histories have expired.
+func (hs *histories) expired(now time.Duration) (list []Fingerprint) {
+	for fp, h := range hs.byFingerprint {
+		if h.expired(now) {
+			list = append(list, fp)
 		}
 	}
 	return list
 }
 
-// makeRoom forgets the content that has been quiet the longest if there are too many.
-func (b *book) makeRoom() {
-	if len(b.subjects) < maxSubjects {
+// evictOldest removes the content whose last event is the oldest if the limit is reached.
+func (hs *histories) evictOldest() {
+	if len(hs.byFingerprint) < maxHistories {
 		return
 	}
 	var oldest Fingerprint
-	for s, h := range b.subjects {
-		if oldest == "" || h.last() < b.subjects[oldest].last() {
-			oldest = s
+	for fp, h := range hs.byFingerprint {
+		if oldest == "" || h.lastEvent() < hs.byFingerprint[oldest].lastEvent() {
+			oldest = fp
 		}
 	}
-	delete(b.subjects, oldest)
+	delete(hs.byFingerprint, oldest)
 }
--- a/quarantine/history.go
+++ b/quarantine/history.go
@@ -12,71 +12,72 @@
 // State says how a content may be sent.
 type State int
 
-// Verdicts.
+// States of a content.
 const (
-	// Clear contents are sent as any other.
+	// Clear contents are sent without restriction.
 	Clear State = iota
-	// Suspect contents have met the end of an endpoint, which may be the endpoint's
-	// own: they go on to one endpoint at a time.
+	// Suspect contents have been running while an endpoint crashed, perhaps by a fault of its
+	// own: they are sent to one endpoint at a time.
 	Suspect
 	// Quarantined contents are not sent.
 	Quarantined
-	// TrialDue contents are held, and one process may try them out once.
+	// TrialDue contents are quarantined, but one process may send them once as a trial.
 	TrialDue
 )
 
-// Limit is how many endpoints may end under a content before it is held.
+// Limit is the number of endpoint crashes at which a content is quarantined.
 type Limit int
 
 // Limits of the two kinds of work.
 const (
-	// RequestLimit holds a request at its second end. The end of one endpoint may be
-	// the endpoint's own, and a second send serves those that were beside it; a
-	// service may have no more than three.
+	// RequestLimit quarantines a request at the second crash. One crash may be the endpoint's own
+	// fault, and the requests that ran beside the culprit are served by a second send; a service
+	// may have no more than three endpoints.
 	RequestLimit Limit = 2
-	// ItemLimit holds an item of a batch job at its third: up to a dozen others run
-	// beside it, and some of them meet two ends with it.
+	// ItemLimit quarantines an item of a batch job at the third crash: up to a dozen other items
+	// run beside it, and some of them run beside it at two crashes.
 	ItemLimit Limit = 3
 )
 
-// trialPauses are the times without a send before each trial of a held content.
-// There are no more trials: a content that ends endpoints for good costs three more,
-// one whose service was mended is served again. The first pause is short for the
-// sake of contents that were beside another one twice.
-var trialPauses = [...]time.Duration{30 * time.Second, 5 * time.Minute, 30 * time.Minute}
+// trialDelays are the times for which a quarantined content is not sent before each of its
+// trials. There are no further trials: a content that keeps crashing endpoints costs three more
+// of them, and one whose service was fixed is served again. The first delay is short for contents
+// that twice merely ran beside another one at its crash.
+var trialDelays = [...]time.Duration{30 * time.Second, 5 * time.Minute, 30 * time.Minute}
 
 const (
-	// suspectMemory is how long after its last end a suspect is remembered.
-	suspectMemory = 10 * time.Minute
-	// togetherTime is how far apart entries see what happened at one moment.
-	togetherTime = 25 * time.Millisecond
-	// heldMemory is the same for a held content.
-	heldMemory = 24 * time.Hour
+	// suspectTTL is how long a suspect is remembered after its last crash.
+	suspectTTL = 10 * time.Minute
+	// simultaneousWindow is the greatest difference between the times at which entries see the
+	// same moment's events.
+	simultaneousWindow = 25 * time.Millisecond
+	// quarantineTTL is how long a quarantined content is remembered after its last event.
+	quarantineTTL = 24 * time.Hour
 )
 
-// span is the time of a run, from its sending to the end of its endpoint.
-type span struct{ began, ended time.Duration }
+// span is the time of a run, from its sending to the endpoint's crash.
+type span struct{ start, end time.Duration }
 
-// history is what is known of a content. Times are the clock's that all processes
+// history holds what is known of one content. Times are those of the clock that all processes
 // share.
 type history struct {
-	// ends are the runs under which endpoints ended.
-	ends map[fleet.Incarnation]span
-	// trials are the moments at which its trials were claimed, by number from 0.
+	// crashes are the runs during which endpoints crashed, by endpoint.
+	crashes map[fleet.Incarnation]span
+	// trials are the times at which trials were claimed, by number from 0.
 	trials map[int]time.Duration
 }
 
 func newHistory() *history {
-	return &history{ends: map[fleet.Incarnation]span{}, trials: map[int]time.Duration{}}
+	return &history{crashes: map[fleet.Incarnation]span{}, trials: map[int]time.Duration{}}
 }
 
-func (h *history) empty() bool { return len(h.ends) == 0 && len(h.trials) == 0 }
+func (h *history) empty() bool { return len(h.crashes) == 0 && len(h.trials) == 0 }
 
-// last is the moment of the last end or trial.
-func (h *history) last() time.Duration {
+// lastEvent returns the time of the last crash or trial.
+func (h *history) lastEvent() time.Duration {
 	var last time.Duration
-	for _, run := range h.ends {
-		last = max(last, run.ended)
+	for _, run := range h.crashes {
+		last = max(last, run.end)
 	}
 	for _, at := range h.trials {
 		last = max(last, at)
@@ -84,31 +85,31 @@
 	return last
 }
 
-// count is how many endpoints ended under the content, each by itself. Endpoints that
-// lose power together end under every content that several callers ask for at that
-// moment: ends of overlapping runs within togetherTime count once.
-func (h *history) count() (n int) {
+// crashCount returns the number of independent crashes. Endpoints that lose power together crash
+// under every content that several callers ask for at that moment, so crashes of overlapping runs
+// within simultaneousWindow count once.
+func (h *history) crashCount() (n int) {
 	var former time.Duration
-	for _, run := range slices.SortedFunc(maps.Values(h.ends), func(a, b span) int { return cmp.Compare(a.ended, b.ended) }) {
-		if n == 0 || run.began >= former || run.ended-former > togetherTime {
+	for _, run := range slices.SortedFunc(maps.Values(h.crashes), func(a, b span) int { return cmp.Compare(a.end, b.end) }) {
+		if n == 0 || run.start >= former || run.end-former > simultaneousWindow {
 			n++
 		}
-		former = run.ended
+		former = run.end
 	}
 	return n
 }
 
-// judge is the verdict, and for a held content how long it stays held.
-func (h *history) judge(limit Limit, now time.Duration) (verdict State, wait time.Duration) {
-	switch n := h.count(); {
+// state returns the content's state and, for a quarantined one, how long it stays so.
+func (h *history) state(limit Limit, now time.Duration) (state State, wait time.Duration) {
+	switch n := h.crashCount(); {
 	case n == 0:
 		return Clear, 0
 	case n < int(limit):
 		return Suspect, 0
 	}
-	wait = h.last() + heldMemory - now
-	if n := h.nextTrial(); n < len(trialPauses) {
-		wait = h.last() + trialPauses[n] - now
+	wait = h.lastEvent() + quarantineTTL - now
+	if n := h.nextTrial(); n < len(trialDelays) {
+		wait = h.lastEvent() + trialDelays[n] - now
 	}
 	if wait > 0 {
 		return Quarantined, wait
@@ -116,14 +117,14 @@
 	return TrialDue, 0
 }
 
-// nextTrial is the number of the next trial.
+// nextTrial returns the number of the next trial.
 func (h *history) nextTrial() int { return len(h.trials) }
 
-// forgotten reports whether it is so old that it says nothing any more.
-func (h *history) forgotten(now time.Duration) bool {
-	memory := suspectMemory
-	if h.count() >= int(RequestLimit) {
-		memory = heldMemory
+// expired reports whether the history is too old to matter.
+func (h *history) expired(now time.Duration) bool {
+	memory := suspectTTL
+	if h.crashCount() >= int(RequestLimit) {
+		memory = quarantineTTL
 	}
-	return now > h.last()+memory
+	return now > h.lastEvent()+memory
 }
--- a/quarantine/inspect.go
+++ b/quarantine/inspect.go
@@ -10,16 +10,17 @@
 	"mulberryscale.example/store"
 )
 
-// Record is what stands in the store about one content.
+// Record is what the store holds about one content.
 type Record struct {
 	Fingerprint Fingerprint
-	// Endpoints are the ids of those that ended under it.
+	// Endpoints are the ids of the endpoints that crashed while they ran it.
 	Endpoints []string
-	// Trials is how often it was tried out since.
+	// Trials is the number of trials made.
 	Trials int
-	// Since is how long ago the last end or trial was.
+	// Since is the time since the last crash or trial.
 	Since time.Duration
-	// State is the one on requests, Wait how long a held one stays held.
+	// State is the state for requests (RequestLimit), Wait how long a quarantined content stays
+	// so.
 	State State
 	Wait  time.Duration
 }
@@ -39,42 +40,42 @@
 	return fmt.Sprint(int(v))
 }
 
-// List reads what all processes have seen, in order of the contents' names.
+// List reads the events of all processes and returns the contents in order of their fingerprints.
 func List(ctx context.Context, rows store.Rows) ([]Record, error) {
 	s, err := store.ListAll(ctx, rows, store.Range{Table: Table})
 	if err != nil {
 		return nil, err
 	}
-	b := newBook()
+	hs := newHistories()
 	for _, row := range s.Rows {
 		e, err := decode(row)
 		if err != nil {
 			return nil, err
 		}
-		b.note(e)
+		hs.record(e)
 	}
 	var list []Record
-	for _, subject := range slices.Sorted(maps.Keys(b.subjects)) {
-		h := b.subjects[subject]
-		c := Record{Fingerprint: subject, Trials: len(h.trials), Since: s.Now - h.last()}
-		for of := range h.ends {
-			c.Endpoints = append(c.Endpoints, of.ID)
+	for _, fingerprint := range slices.Sorted(maps.Keys(hs.byFingerprint)) {
+		h := hs.byFingerprint[fingerprint]
+		c := Record{Fingerprint: fingerprint, Trials: len(h.trials), Since: s.Now - h.lastEvent()}
+		for endpoint := range h.crashes {
+			c.Endpoints = append(c.Endpoints, endpoint.ID)
 		}
 		slices.Sort(c.Endpoints)
-		c.State, c.Wait = h.judge(RequestLimit, s.Now)
+		c.State, c.Wait = h.state(RequestLimit, s.Now)
 		list = append(list, c)
 	}
 	return list, nil
 }
 
-// afterSlash follows a slash in the order of bytes.
+// afterSlash is the byte after the slash, so it ends the range of keys with a prefix and a slash.
 const afterSlash = "0"
 
-// Release removes all that is held against a content, and reports whether there was
-// anything.
-func Release(ctx context.Context, rows store.Rows, subject Fingerprint) (bool, error) {
-	prefix := string(subject) + "/"
-	s, err := store.ListAll(ctx, rows, store.Range{Table: Table, From: prefix, To: string(subject) + afterSlash})
+// Release removes all rows of a content and reports whether there were any. It removes up to
+// maxEntries rows.
+func Release(ctx context.Context, rows store.Rows, fingerprint Fingerprint) (bool, error) {
+	prefix := string(fingerprint) + "/"
+	s, err := store.ListAll(ctx, rows, store.Range{Table: Table, From: prefix, To: string(fingerprint) + afterSlash})
 	if err != nil || len(s.Rows) == 0 {
 		return false, err
 	}
--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -14,70 +14,71 @@
 )
 
 const (
-	// gatherTime is how long events gather before they are written: what met one end
-	// together is written together, and the caller's next attempt comes later.
-	gatherTime = 10 * time.Millisecond
-	// writePause is the pause after a write that failed.
-	writePause = 300 * time.Millisecond
-	// maxEntries bounds the entries of a transaction, as the store does.
+	// batchDelay is how long events are collected before they are written: contents that were
+	// running at the same crash are written together, and a caller's next attempt comes later
+	// than that.
+	batchDelay = 10 * time.Millisecond
+	// writeRetryDelay is the pause after a failed write.
+	writeRetryDelay = 300 * time.Millisecond
+	// maxEntries limits the entries of a transaction, as the store does.
 	maxEntries = 100
 )
 
-// outbox are rows that are still to be written, and to be removed (nil), by key. It
-// is not safe for concurrent use, but its channel is.
+// outbox holds the rows that are still to be written or, if nil, removed, by key. It is not safe
+// for concurrent use, except for its channel.
 type outbox struct {
-	rows    map[store.Key]*mark
+	rows    map[store.Key]*rowValue
 	changed chan struct{}
 }
 
 func newOutbox() outbox {
-	return outbox{rows: map[store.Key]*mark{}, changed: make(chan struct{}, 1)}
+	return outbox{rows: map[store.Key]*rowValue{}, changed: make(chan struct{}, 1)}
 }
 
-func (o *outbox) put(key store.Key, m mark) {
-	o.rows[key] = &m
-	o.wake()
+func (o *outbox) put(key store.Key, v rowValue) {
+	o.rows[key] = &v
+	o.notify()
 }
 
 func (o *outbox) remove(key store.Key) {
 	o.rows[key] = nil
-	o.wake()
+	o.notify()
 }
 
-func (o *outbox) wake() {
+func (o *outbox) notify() {
 	select {
 	case o.changed <- struct{}{}:
 	default:
 	}
 }
 
-// take takes out what one transaction holds.
-func (o *outbox) take() map[store.Key]*mark {
-	batch := map[store.Key]*mark{}
-	for key, m := range o.rows {
+// take removes and returns the rows of one transaction.
+func (o *outbox) take() map[store.Key]*rowValue {
+	batch := map[store.Key]*rowValue{}
+	for key, v := range o.rows {
 		if len(batch) == maxEntries {
-			o.wake()
+			o.notify()
 			break
 		}
-		batch[key] = m
+		batch[key] = v
 		delete(o.rows, key)
 	}
 	return batch
 }
 
-// putBack puts back what could not be written, unless there is newer word of it.
-func (o *outbox) putBack(batch map[store.Key]*mark) {
-	for key, m := range batch {
+// putBack returns a batch that could not be written, except for keys that have changed since.
+func (o *outbox) putBack(batch map[store.Key]*rowValue) {
+	for key, v := range batch {
 		if _, newer := o.rows[key]; !newer {
-			o.rows[key] = m
+			o.rows[key] = v
 		}
 	}
-	o.wake()
+	o.notify()
 }
 
-// transaction writes a batch; rows are never changed, so it needs no condition and
-// may be repeated.
-func transaction(batch map[store.Key]*mark) (tx store.Tx, err error) {
+// transaction builds the write of a batch; rows never change, so it needs no condition and may be
+// repeated.
+func transaction(batch map[store.Key]*rowValue) (tx store.Tx, err error) {
 	for _, key := range slices.SortedFunc(maps.Keys(batch), compareKeys) {
 		if batch[key] == nil {
 			tx.Delete = append(tx.Delete, key)
@@ -92,27 +93,28 @@
 	return tx, nil
 }
 
-// write writes what is to be told until ctx ends.
-func (k *Tracker) write(ctx context.Context) {
+// write writes the outbox until ctx is cancelled.
+func (t *Tracker) write(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.outbox.changed:
+		case <-t.outbox.changed:
 		}
-		_ = pause.Sleep(ctx, gatherTime) // the end of ctx is looked at next
-		if err := k.flush(ctx); err != nil && ctx.Err() == nil {
-			k.Log.WithError(err).WithField("dependency", "store").Warn("quarantine not written")
-			_ = pause.Sleep(ctx, writePause) // the end of ctx is looked at next
+		_ = pause.Sleep(ctx, batchDelay) // cancellation is checked next
+		if err := t.flush(ctx); err != nil && ctx.Err() == nil {
+			t.Log.WithError(err).WithField("dependency", "store").Warn("quarantine rows not written")
+			_ = pause.Sleep(ctx, writeRetryDelay) // cancellation is checked next
 		}
 	}
 }
 
-// flush writes one transaction.
-func (k *Tracker) flush(ctx context.Context) error {
-	k.mu.Lock()
-	batch := k.outbox.take()
-	k.mu.Unlock()
+// flush writes one transaction. It puts the batch back if the write failed, unless the store has
+// rejected it as invalid.
+func (t *Tracker) flush(ctx context.Context) error {
+	t.mu.Lock()
+	batch := t.outbox.take()
+	t.mu.Unlock()
 	if len(batch) == 0 {
 		return nil
 	}
@@ -120,12 +122,12 @@
 	if err != nil {
 		return err
 	}
-	_, err = k.Rows.Commit(ctx, tx)
+	_, err = t.Rows.Commit(ctx, tx)
 	if err == nil || errors.Is(err, store.ErrInvalid) {
 		return err
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.outbox.putBack(batch)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.outbox.putBack(batch)
 	return err
 }
--- a/quarantine/prober.go
+++ b/quarantine/prober.go
@@ -2,9 +2,9 @@
 
 import "context"
 
-// Prober tells an endpoint that has ended from one that only lost a connection.
+// Prober tells a crashed endpoint from one that only lost a connection.
 type Prober interface {
-	// Refuses reports whether an address refuses connections: nothing listens there
-	// any more. An address that does not answer in the prober's time refuses nothing.
+	// Refuses reports whether an address refuses connections, since nothing listens there any
+	// more. It returns false for an address that does not answer within the prober's timeout.
 	Refuses(ctx context.Context, addr string) bool
 }
--- a/quarantine/rows.go
+++ b/quarantine/rows.go
@@ -11,48 +11,48 @@
 	"mulberryscale.example/transport/codec"
 )
 
-// Table holds a row for each end of an endpoint under a content,
-// SUBJECT/end/BORN/ID, and one for each trial, SUBJECT/trial/NUMBER. A row is never
-// changed, so a write that got no answer is repeated as it is.
+// Table holds a row for each crash of an endpoint while it ran a content,
+// FINGERPRINT/end/BORN/ID, and one for each trial, FINGERPRINT/trial/NUMBER. A row never changes,
+// so a write without an answer is repeated as it is.
 const Table = "quarantine"
 
 const (
-	kindEnd   = "end"
+	kindCrash = "end"
 	kindTrial = "trial"
 )
 
-// mark is the value of a row.
-type mark struct {
-	// At is the moment by the store's clock, Ran how long the run had gone on that an
-	// end broke off; 0 for a trial.
+// rowValue is the value of a row. Its field names are part of the encoding.
+type rowValue struct {
+	// At is the time of the event by the store's clock, Ran how long the run that the crash broke
+	// off had lasted; 0 for a trial.
 	At, Ran time.Duration
-	// By names the process that wrote it.
+	// By is the name of the process that wrote the row.
 	By string
 }
 
-// event is a row's meaning.
+// event is a decoded row.
 type event struct {
-	subject Fingerprint
-	// endpoint is the one that ended; it is empty for a trial.
+	fingerprint Fingerprint
+	// endpoint is the one that crashed; it is empty for a trial.
 	endpoint fleet.Incarnation
-	// trial is its number; -1 for an end.
+	// trial is the number of the trial; -1 for a crash.
 	trial int
-	mark  mark
+	value rowValue
 }
 
-func endKey(s Fingerprint, of fleet.Incarnation) store.Key {
-	return store.Key{Table: Table, Name: strings.Join([]string{string(s), kindEnd, strconv.FormatInt(of.Born, 10), of.ID}, "/")}
+func crashKey(fp Fingerprint, endpoint fleet.Incarnation) store.Key {
+	return store.Key{Table: Table, Name: strings.Join([]string{string(fp), kindCrash, strconv.FormatInt(endpoint.Born, 10), endpoint.ID}, "/")}
 }
 
-func trialKey(s Fingerprint, number int) store.Key {
-	return store.Key{Table: Table, Name: strings.Join([]string{string(s), kindTrial, strconv.Itoa(number)}, "/")}
+func trialKey(fp Fingerprint, number int) store.Key {
+	return store.Key{Table: Table, Name: strings.Join([]string{string(fp), kindTrial, strconv.Itoa(number)}, "/")}
 }
 
-// decodeName reads a row's name.
+// decodeName decodes the name of a row into an event without its value.
 func decodeName(name string) (event, error) {
-	subject, rest, _ := strings.Cut(name, "/")
+	fingerprint, rest, _ := strings.Cut(name, "/")
 	kind, rest, _ := strings.Cut(rest, "/")
-	e := event{subject: Fingerprint(subject), trial: -1}
+	e := event{fingerprint: Fingerprint(fingerprint), trial: -1}
 	var err error
 	switch kind {
 	case kindTrial:
@@ -60,7 +60,7 @@
 		if err == nil && e.trial < 0 {
 			err = strconv.ErrRange
 		}
-	case kindEnd:
+	case kindCrash:
 		born, id, _ := strings.Cut(rest, "/")
 		e.endpoint.ID = id
 		e.endpoint.Born, err = strconv.ParseInt(born, 10, 64)
@@ -73,13 +73,13 @@
 	return e, nil
 }
 
-// decode reads a row that stands.
+// decode decodes a row that has not been deleted.
 func decode(row store.Row) (event, error) {
 	e, err := decodeName(row.Name)
 	if err != nil {
 		return event{}, err
 	}
-	if err := codec.Unmarshal(row.Value, &e.mark); err != nil {
+	if err := codec.Unmarshal(row.Value, &e.value); err != nil {
 		return event{}, fmt.Errorf("row %s of %s: %w", row.Name, Table, err)
 	}
 	return e, nil
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -12,162 +12,160 @@
 	"mulberryscale.example/store"
 )
 
-// Rows of the counter of what became of contents.
+// Rows of the counter of quarantine events.
 const (
-	rowEnded   = "endpoint_ended"
-	rowHeld    = "held"
+	rowCrash   = "endpoint_ended"
+	rowRefused = "held"
 	rowTrial   = "trial"
 	rowCleared = "cleared"
 )
 
-// Tracker is a process's part of the quarantine: what it and all others have seen
-// contents do to endpoints. Without rows it keeps to itself what it sees. It is safe
-// for concurrent use.
+// Tracker tracks which contents crash endpoints, as seen by this process and all others. Without
+// Rows it shares its events with no store. It is safe for concurrent use.
 type Tracker struct {
-	// Rows are where all processes tell each other; nil is nowhere.
+	// Rows is the store that all processes share; nil for none.
 	Rows store.Rows
-	// Clock is the clock that all processes share; false before it is known.
+	// Clock returns the time of the clock that all processes share; false until it is known.
 	Clock func() (time.Duration, bool)
-	// Prober tells whether an endpoint that broke off has ended.
+	// Prober checks whether an endpoint that broke a connection has crashed.
 	Prober Prober
-	// Process names this one.
+	// Process is the name of this process.
 	Process  string
 	Log      logrus.FieldLogger
 	Counters *observe.Counters
 
-	mu     sync.Mutex
-	book   *book
-	outbox outbox
-	listed chan struct{}
-	// claiming are the contents for which this process claims a trial now.
+	mu        sync.Mutex
+	histories *histories
+	outbox    outbox
+	synced    chan struct{}
+	// claiming are the contents for which this process is claiming a trial.
 	claiming map[Fingerprint]bool
 }
 
-// New returns a keeper that knows nothing yet. Its exported fields are set before it
-// is used.
+// New returns a tracker without any events. Its exported fields are set before it is used.
 func New() *Tracker {
-	return &Tracker{book: newBook(), outbox: newOutbox(), listed: make(chan struct{}), claiming: map[Fingerprint]bool{}}
+	return &Tracker{histories: newHistories(), outbox: newOutbox(), synced: make(chan struct{}), claiming: map[Fingerprint]bool{}}
 }
 
-// Local returns a keeper that keeps to itself what it sees.
+// Local returns a tracker that shares its events with no store.
 func Local(prober Prober, log logrus.FieldLogger, counters *observe.Counters) *Tracker {
-	k := New()
+	t := New()
 	began := time.Now()
-	k.Clock = func() (time.Duration, bool) { return time.Since(began), true }
-	k.Prober, k.Log, k.Counters = prober, log, counters
-	return k
+	t.Clock = func() (time.Duration, bool) { return time.Since(began), true }
+	t.Prober, t.Log, t.Counters = prober, log, counters
+	return t
 }
 
-// Empty reports whether nothing is known of any content.
-func (k *Tracker) Empty() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.book.subjects) == 0
+// Empty reports whether no content has any events.
+func (t *Tracker) Empty() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.histories.byFingerprint) == 0
 }
 
-// State says how a content may be sent, and how long a held one stays held.
-func (k *Tracker) State(s Fingerprint, limit Limit) (State, time.Duration) {
-	now, known := k.Clock()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	verdict, wait := k.book.judge(s, limit, now)
-	if verdict == TrialDue && !known {
-		return Quarantined, trialPauses[0]
+// State returns the state of a content and, for a quarantined one, how long it stays so.
+func (t *Tracker) State(fp Fingerprint, limit Limit) (State, time.Duration) {
+	now, known := t.Clock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	state, wait := t.histories.state(fp, limit, now)
+	if state == TrialDue && !known {
+		return Quarantined, trialDelays[0]
 	}
-	return verdict, wait
+	return state, wait
 }
 
-// Admit says whether a content may be sent now, and as what; a held one whose time
-// for a trial has come is claimed for this process. A content that is not admitted
-// may come back after wait.
-func (k *Tracker) Admit(ctx context.Context, s Fingerprint, limit Limit) (verdict State, wait time.Duration) {
-	verdict, wait = k.State(s, limit)
-	if verdict != TrialDue || k.claim(ctx, s, limit) {
-		return verdict, wait
+// Admit returns the state in which a content may be sent now. For a quarantined one whose trial
+// is due it claims the trial for this process, and returns TrialDue if it gets it. A content that
+// is not admitted may come back after wait.
+func (t *Tracker) Admit(ctx context.Context, fp Fingerprint, limit Limit) (state State, wait time.Duration) {
+	state, wait = t.State(fp, limit)
+	if state != TrialDue || t.claim(ctx, fp, limit) {
+		return state, wait
 	}
-	return Quarantined, trialPauses[0]
+	return Quarantined, trialDelays[0]
 }
 
-// BrokenRun is one that an endpoint broke off.
+// BrokenRun is a run that an endpoint broke off.
 type BrokenRun struct {
 	Fingerprint Fingerprint
 	Endpoint    fleet.Incarnation
 	Addr        string
 	// Took is the time from its sending to its end.
 	Took time.Duration
-	// Ago is how long ago it ended, for ends that are noticed late.
+	// Ago is how long ago it ended, for crashes that are noticed late.
 	Ago time.Duration
 }
 
-// ReportBroken takes in that an endpoint broke a run off just now, and reports whether it
-// has ended; only then does it count.
-func (k *Tracker) ReportBroken(ctx context.Context, r BrokenRun) bool {
-	now, _ := k.Clock()
-	if k.Prober == nil || !k.Prober.Refuses(ctx, r.Addr) {
+// ReportBroken reports that an endpoint broke off a run just now. It checks whether the endpoint
+// has crashed, records the crash only then, and returns the result.
+func (t *Tracker) ReportBroken(ctx context.Context, r BrokenRun) bool {
+	now, _ := t.Clock()
+	if t.Prober == nil || !t.Prober.Refuses(ctx, r.Addr) {
 		return false
 	}
-	k.ended(r, now)
+	t.recordCrash(r, now)
 	return true
 }
 
-// ReportCrash takes in that an endpoint ended under a run.
-func (k *Tracker) ReportCrash(r BrokenRun) {
-	now, _ := k.Clock()
-	k.ended(r, now-r.Ago)
+// ReportCrash records that an endpoint crashed during a run.
+func (t *Tracker) ReportCrash(r BrokenRun) {
+	now, _ := t.Clock()
+	t.recordCrash(r, now-r.Ago)
 }
 
-// ReportCrashAtAgent is Ended for an endpoint of which only the agent beside it is known.
-func (k *Tracker) ReportCrashAtAgent(s Fingerprint, agent string, took time.Duration) {
-	k.ReportCrash(BrokenRun{Fingerprint: s, Endpoint: fleet.Incarnation{ID: agent, Born: time.Now().UnixMilli()}, Took: took})
+// ReportCrashAtAgent is ReportCrash for an endpoint of which only the agent beside it is known.
+func (t *Tracker) ReportCrashAtAgent(fp Fingerprint, agent string, took time.Duration) {
+	t.ReportCrash(BrokenRun{Fingerprint: fp, Endpoint: fleet.Incarnation{ID: agent, Born: time.Now().UnixMilli()}, Took: took})
 }
 
-func (k *Tracker) ended(r BrokenRun, at time.Duration) {
-	e := event{subject: r.Fingerprint, endpoint: r.Endpoint, trial: -1, mark: mark{At: at, Ran: r.Took, By: k.Process}}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.book.note(e) {
+func (t *Tracker) recordCrash(r BrokenRun, at time.Duration) {
+	e := event{fingerprint: r.Fingerprint, endpoint: r.Endpoint, trial: -1, value: rowValue{At: at, Ran: r.Took, By: t.Process}}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.histories.record(e) {
 		return
 	}
-	k.Counters.Add(observe.NameQuarantine, rowEnded, 1)
-	k.Log.WithFields(logrus.Fields{
-		observe.FieldContent: r.Fingerprint, "engine": r.Endpoint.ID, "ends": k.book.subjects[r.Fingerprint].count(),
-	}).Warn("endpoint ended under a content")
-	if k.Rows != nil {
-		k.outbox.put(endKey(r.Fingerprint, r.Endpoint), e.mark)
+	t.Counters.Add(observe.NameQuarantine, rowCrash, 1)
+	t.Log.WithFields(logrus.Fields{
+		observe.FieldContent: r.Fingerprint, "engine": r.Endpoint.ID, "ends": t.histories.byFingerprint[r.Fingerprint].crashCount(),
+	}).Warn("endpoint crashed while running a content")
+	if t.Rows != nil {
+		t.outbox.put(crashKey(r.Fingerprint, r.Endpoint), e.value)
 	}
 }
 
-// ReportServed takes in that an endpoint answered a content and lived: it is no danger,
-// and what was held against it was another's doing.
-func (k *Tracker) ReportServed(s Fingerprint) {
-	now, _ := k.Clock()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.drop(s) {
+// ReportServed records that an endpoint answered a content without crashing: the content is
+// harmless, and the earlier crashes had another cause.
+func (t *Tracker) ReportServed(fp Fingerprint) {
+	now, _ := t.Clock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.drop(fp) {
 		return
 	}
-	if k.Rows == nil {
-		k.book.clear(s, now)
+	if t.Rows == nil {
+		t.histories.clear(fp, now)
 	}
-	k.Counters.Add(observe.NameQuarantine, rowCleared, 1)
-	k.Log.WithField(observe.FieldContent, s).Info("content cleared")
+	t.Counters.Add(observe.NameQuarantine, rowCleared, 1)
+	t.Log.WithField(observe.FieldContent, fp).Info("content cleared")
 }
 
-// drop forgets a content here and in the store, and reports whether it was known.
-// It is called with k.mu held.
-func (k *Tracker) drop(s Fingerprint) bool {
-	h := k.book.forget(s)
-	if h == nil || k.Rows == nil {
+// drop removes a content here and from the store, and reports whether it was known. It is called
+// with t.mu held.
+func (t *Tracker) drop(fp Fingerprint) bool {
+	h := t.histories.take(fp)
+	if h == nil || t.Rows == nil {
 		return h != nil
 	}
-	for of := range h.ends {
-		k.outbox.remove(endKey(s, of))
+	for endpoint := range h.crashes {
+		t.outbox.remove(crashKey(fp, endpoint))
 	}
 	for number := range h.trials {
-		k.outbox.remove(trialKey(s, number))
+		t.outbox.remove(trialKey(fp, number))
 	}
 	return true
 }
 
-// CountRefused counts a request or item that was held.
-func (k *Tracker) CountRefused() { k.Counters.Add(observe.NameQuarantine, rowHeld, 1) }
+// CountRefused counts a request or item that was refused because its content is quarantined.
+func (t *Tracker) CountRefused() { t.Counters.Add(observe.NameQuarantine, rowRefused, 1) }
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -11,37 +11,37 @@
 	"mulberryscale.example/store"
 )
 
-// newsAllowance is within what processes may take to hear of each other's ends.
-const newsAllowance = 2 * time.Second
+// propagationTime is enough for every process to learn of another's crashes.
+const propagationTime = 2 * time.Second
 
-// keepers are processes that share a stand-in store.
-func keepers(t *testing.T, s *rowstore.Store, n int) []*Tracker {
+// startTrackers starts trackers that share a stand-in store.
+func startTrackers(t *testing.T, s *rowstore.Store, n int) []*Tracker {
 	list := make([]*Tracker, n)
 	for i := range list {
-		list[i] = keeper(t.Context(), s)
+		list[i] = startTracker(t.Context(), s)
 	}
 	return list
 }
 
-func keeper(ctx context.Context, s *rowstore.Store) *Tracker {
-	k := New()
-	k.Rows, k.Clock, k.Log, k.Counters = s.Client(), s.Now, observe.Discard(), observe.NewCounters()
-	go k.Run(ctx)
-	return k
+func startTracker(ctx context.Context, s *rowstore.Store) *Tracker {
+	tracker := New()
+	tracker.Rows, tracker.Clock, tracker.Log, tracker.Counters = s.Client(), s.Now, observe.Discard(), observe.NewCounters()
+	go tracker.Run(ctx)
+	return tracker
 }
 
-func wantVerdict(t *testing.T, k *Tracker, s Fingerprint, want State) {
+func wantState(t *testing.T, tracker *Tracker, fp Fingerprint, want State) {
 	t.Helper()
-	if got, _ := k.State(s, RequestLimit); got != want {
-		t.Fatalf("verdict %v, want %v", got, want)
+	if got, _ := tracker.State(fp, RequestLimit); got != want {
+		t.Fatalf("state %v, want %v", got, want)
 	}
 }
 
-const subject = Fingerprint("content")
+const content = Fingerprint("content")
 
-// run is one of the content that an endpoint broke off. Runs do not overlap, though
-// the tests take them in at one moment.
-func run(n int) BrokenRun { return BrokenRun{Fingerprint: subject, Endpoint: end(n)} }
+// brokenRun returns the run of the content at endpoint n, broken off by its crash. Runs do not
+// overlap, though the tests report them at the same time.
+func brokenRun(n int) BrokenRun { return BrokenRun{Fingerprint: content, Endpoint: incarnation(n)} }
 
 func TestEndsAreKnownToAllProcesses(t *testing.T) {
 	for name, outcomes := range map[string][]rowstore.Outcome{
@@ -54,17 +54,17 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := rowstore.New()
-				k := keepers(t, s, 3)
+				trackers := startTrackers(t, s, 3)
 				time.Sleep(time.Second)
 				s.Next(outcomes...)
-				k[0].ReportCrash(run(0))
-				k[1].ReportCrash(run(1))
-				k[1].ReportCrash(run(1)) // seen by two sends at once
-				time.Sleep(newsAllowance)
-				for _, each := range k {
-					wantVerdict(t, each, subject, Quarantined)
+				trackers[0].ReportCrash(brokenRun(0))
+				trackers[1].ReportCrash(brokenRun(1))
+				trackers[1].ReportCrash(brokenRun(1)) // noticed by two sends at once
+				time.Sleep(propagationTime)
+				for _, each := range trackers {
+					wantState(t, each, content, Quarantined)
 				}
-				wantVerdict(t, k[2], Fingerprint("another"), Clear)
+				wantState(t, trackers[2], Fingerprint("another"), Clear)
 			})
 		})
 	}
@@ -73,113 +73,113 @@
 func TestProcessThatStartsKnowsWhatOthersHaveSeen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
-		k := keeper(t.Context(), s)
-		k.ReportCrash(run(0))
-		k.ReportCrash(run(1))
-		time.Sleep(newsAllowance)
-		late := keeper(t.Context(), s)
+		tracker := startTracker(t.Context(), s)
+		tracker.ReportCrash(brokenRun(0))
+		tracker.ReportCrash(brokenRun(1))
+		time.Sleep(propagationTime)
+		late := startTracker(t.Context(), s)
 		<-late.Synced()
-		wantVerdict(t, late, subject, Quarantined)
+		wantState(t, late, content, Quarantined)
 	})
 }
 
-// What a process has seen and could not write yet outlives a new reading of the table.
+// Crashes that a process could not write yet are kept when it reads the table anew.
 func TestUnwrittenEndsOutliveANewReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
-		k := keeper(t.Context(), s)
+		tracker := startTracker(t.Context(), s)
 		time.Sleep(time.Second)
 		s.Next(rowstore.Refused)
-		k.ReportCrash(run(0))
-		k.ReportCrash(run(1))
-		k.Replace(store.Snapshot{}) // read before they stood there
-		wantVerdict(t, k, subject, Quarantined)
-		time.Sleep(newsAllowance)
-		wantVerdict(t, k, subject, Quarantined)
+		tracker.ReportCrash(brokenRun(0))
+		tracker.ReportCrash(brokenRun(1))
+		tracker.Replace(store.Snapshot{}) // read before they were written
+		wantState(t, tracker, content, Quarantined)
+		time.Sleep(propagationTime)
+		wantState(t, tracker, content, Quarantined)
 	})
 }
 
 func TestAnswerClearsAContentEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
-		k := keepers(t, s, 2)
-		k[0].ReportCrash(run(0))
-		time.Sleep(newsAllowance)
-		wantVerdict(t, k[1], subject, Suspect)
-		k[1].ReportServed(subject)
-		time.Sleep(newsAllowance)
-		wantVerdict(t, k[0], subject, Clear)
+		trackers := startTrackers(t, s, 2)
+		trackers[0].ReportCrash(brokenRun(0))
+		time.Sleep(propagationTime)
+		wantState(t, trackers[1], content, Suspect)
+		trackers[1].ReportServed(content)
+		time.Sleep(propagationTime)
+		wantState(t, trackers[0], content, Clear)
 		if rows := s.Rows(Table); len(rows) != 0 {
 			t.Fatalf("%d rows left", len(rows))
 		}
 	})
 }
 
-// Of all processes one tries a held content out, once.
+// A quarantined content gets one trial from all processes together.
 func TestTrialIsClaimedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
-		k := keepers(t, s, 5)
-		k[0].ReportCrash(run(0))
-		k[0].ReportCrash(run(1))
-		time.Sleep(newsAllowance + trialPauses[0])
-		claims := make(chan State, 2*len(k))
-		for _, each := range k {
+		trackers := startTrackers(t, s, 5)
+		trackers[0].ReportCrash(brokenRun(0))
+		trackers[0].ReportCrash(brokenRun(1))
+		time.Sleep(propagationTime + trialDelays[0])
+		claims := make(chan State, 2*len(trackers))
+		for _, each := range trackers {
 			for range 2 {
 				go func() {
-					verdict, _ := each.Admit(t.Context(), subject, RequestLimit)
-					claims <- verdict
+					state, _ := each.Admit(t.Context(), content, RequestLimit)
+					claims <- state
 				}()
 			}
 		}
-		tried := 0
-		for range 2 * len(k) {
+		trials := 0
+		for range 2 * len(trackers) {
 			if <-claims == TrialDue {
-				tried++
+				trials++
 			}
 		}
-		if tried != 1 {
-			t.Fatalf("tried out by %d", tried)
+		if trials != 1 {
+			t.Fatalf("%d trials", trials)
 		}
-		time.Sleep(newsAllowance)
-		for _, each := range k {
-			wantVerdict(t, each, subject, Quarantined)
+		time.Sleep(propagationTime)
+		for _, each := range trackers {
+			wantState(t, each, content, Quarantined)
 		}
 	})
 }
 
-// A claim whose outcome nobody knows is no claim.
+// A claim with an unknown outcome does not count as won.
 func TestTrialWithoutAnAnswerIsNotMade(t *testing.T) {
 	for _, outcome := range []rowstore.Outcome{rowstore.Refused, rowstore.Lost, rowstore.Dropped, rowstore.Late} {
 		synctest.Test(t, func(t *testing.T) {
 			s := rowstore.New()
-			k := keeper(t.Context(), s)
-			k.ReportCrash(run(0))
-			k.ReportCrash(run(1))
-			time.Sleep(newsAllowance + trialPauses[0])
+			tracker := startTracker(t.Context(), s)
+			tracker.ReportCrash(brokenRun(0))
+			tracker.ReportCrash(brokenRun(1))
+			time.Sleep(propagationTime + trialDelays[0])
 			s.Next(outcome)
-			if verdict, wait := k.Admit(t.Context(), subject, RequestLimit); verdict != Quarantined || wait <= 0 {
-				t.Fatalf("outcome %v: verdict %v, wait %v", outcome, verdict, wait)
+			if state, wait := tracker.Admit(t.Context(), content, RequestLimit); state != Quarantined || wait <= 0 {
+				t.Fatalf("outcome %v: state %v, wait %v", outcome, state, wait)
 			}
 		})
 	}
 }
 
-// While the store does not answer, whoever asks for a held content is told at once.
+// While the store does not answer, requests of a quarantined content are refused at once.
 func TestNoTrialWhileTheStoreIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
-		k := keeper(t.Context(), s)
-		k.ReportCrash(run(0))
-		k.ReportCrash(run(1))
-		time.Sleep(newsAllowance + trialPauses[0])
+		tracker := startTracker(t.Context(), s)
+		tracker.ReportCrash(brokenRun(0))
+		tracker.ReportCrash(brokenRun(1))
+		time.Sleep(propagationTime + trialDelays[0])
 		s.Slow(time.Hour)
 		asked := time.Now()
-		if verdict, _ := k.Admit(t.Context(), subject, RequestLimit); verdict != Quarantined {
-			t.Fatalf("verdict %v", verdict)
+		if state, _ := tracker.Admit(t.Context(), content, RequestLimit); state != Quarantined {
+			t.Fatalf("state %v", state)
 		}
 		if took := time.Since(asked); took > claimTimeout {
-			t.Fatalf("told after %v", took)
+			t.Fatalf("refused after %v", took)
 		}
 	})
 }
@@ -187,14 +187,14 @@
 func TestOldRowsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
-		k := keepers(t, s, 3)
-		k[0].ReportCrash(run(0))
-		time.Sleep(suspectMemory + 3*expiryInterval)
+		trackers := startTrackers(t, s, 3)
+		trackers[0].ReportCrash(brokenRun(0))
+		time.Sleep(suspectTTL + 3*expiryInterval)
 		if rows := s.Rows(Table); len(rows) != 0 {
 			t.Fatalf("%d rows left", len(rows))
 		}
-		for _, each := range k {
-			wantVerdict(t, each, subject, Clear)
+		for _, each := range trackers {
+			wantState(t, each, content, Clear)
 		}
 	})
 }
@@ -202,31 +202,31 @@
 func TestUnreadableRowsChangeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
-		k := keeper(t.Context(), s)
+		tracker := startTracker(t.Context(), s)
 		for _, name := range []string{"", "x", "x/odd/1", "x/trial/-1", "x/trial/one", "x/end/", "x/end/a/b", "x/end/7/i-1"} {
 			key := store.Key{Table: Table, Name: name}
 			if _, err := s.Commit(t.Context(), store.Tx{Put: []store.Row{{Key: key, Value: []byte{0xff}}}}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		time.Sleep(newsAllowance)
-		wantVerdict(t, k, Fingerprint("x"), Clear)
+		time.Sleep(propagationTime)
+		wantState(t, tracker, Fingerprint("x"), Clear)
 	})
 }
 
-// refusing is a prober by address.
+// refusing is a Prober that says which addresses refuse connections.
 type refusing map[string]bool
 
 func (r refusing) Refuses(_ context.Context, addr string) bool { return r[addr] }
 
 func TestOnlyTheEndOfAnEndpointCounts(t *testing.T) {
-	k := Local(refusing{"gone:1": true}, observe.Discard(), observe.NewCounters())
-	if k.ReportBroken(t.Context(), BrokenRun{Fingerprint: subject, Endpoint: end(0), Addr: "there:1"}) {
-		t.Error("a lost connection counts as an end")
+	tracker := Local(refusing{"gone:1": true}, observe.Discard(), observe.NewCounters())
+	if tracker.ReportBroken(t.Context(), BrokenRun{Fingerprint: content, Endpoint: incarnation(0), Addr: "there:1"}) {
+		t.Error("a lost connection counts as a crash")
 	}
-	wantVerdict(t, k, subject, Clear)
-	if !k.ReportBroken(t.Context(), BrokenRun{Fingerprint: subject, Endpoint: end(1), Addr: "gone:1"}) {
-		t.Error("an end does not count")
+	wantState(t, tracker, content, Clear)
+	if !tracker.ReportBroken(t.Context(), BrokenRun{Fingerprint: content, Endpoint: incarnation(1), Addr: "gone:1"}) {
+		t.Error("a crash does not count")
 	}
-	wantVerdict(t, k, subject, Suspect)
+	wantState(t, tracker, content, Suspect)
 }
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -11,57 +11,57 @@
 	"mulberryscale.example/transport/codec"
 )
 
-// claimTimeout bounds a claim. While the store does not answer there are no trials,
-// and whoever asks is told at once.
+// claimTimeout limits a claim. While the store does not answer there are no trials, and callers
+// are refused at once.
 const claimTimeout = 100 * time.Millisecond
 
-// claim claims the next trial of a content: of all processes one gets it.
-func (k *Tracker) claim(ctx context.Context, s Fingerprint, limit Limit) bool {
-	e, ok := k.beginClaim(s, limit)
+// claim claims the next trial of a content; only one of all processes gets it.
+func (t *Tracker) claim(ctx context.Context, fp Fingerprint, limit Limit) bool {
+	e, ok := t.beginClaim(fp, limit)
 	if !ok {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	err := k.commitTrial(ctx, e)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.claiming, s)
+	err := t.commitTrial(ctx, e)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.claiming, fp)
 	if err != nil {
-		k.Log.WithError(err).WithField(observe.FieldContent, s).Info("trial not claimed")
+		t.Log.WithError(err).WithField(observe.FieldContent, fp).Info("trial not claimed")
 		return false
 	}
-	k.book.note(e)
-	k.Counters.Add(observe.NameQuarantine, rowTrial, 1)
-	k.Log.WithFields(logrus.Fields{observe.FieldContent: s, "trial": e.trial}).Warn("content is tried out")
+	t.histories.record(e)
+	t.Counters.Add(observe.NameQuarantine, rowTrial, 1)
+	t.Log.WithFields(logrus.Fields{observe.FieldContent: fp, "trial": e.trial}).Warn("trial of a quarantined content")
 	return true
 }
 
-// beginClaim returns the trial to claim, unless another request of this process
-// claims it or has, or the content was cleared meanwhile.
-func (k *Tracker) beginClaim(s Fingerprint, limit Limit) (event, bool) {
-	now, _ := k.Clock()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if verdict, _ := k.book.judge(s, limit, now); verdict != TrialDue || k.claiming[s] {
+// beginClaim returns the trial to claim, unless another request of this process is claiming it or
+// has claimed it, or the content was cleared meanwhile.
+func (t *Tracker) beginClaim(fp Fingerprint, limit Limit) (event, bool) {
+	now, _ := t.Clock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if state, _ := t.histories.state(fp, limit, now); state != TrialDue || t.claiming[fp] {
 		return event{}, false
 	}
-	k.claiming[s] = true
-	return event{subject: s, trial: k.book.subjects[s].nextTrial(), mark: mark{At: now, By: k.Process}}, true
+	t.claiming[fp] = true
+	return event{fingerprint: fp, trial: t.histories.byFingerprint[fp].nextTrial(), value: rowValue{At: now, By: t.Process}}, true
 }
 
-// commitTrial writes a trial's row unless another process has. One whose outcome is
-// not known counts as another's: it may stand yet.
-func (k *Tracker) commitTrial(ctx context.Context, e event) error {
-	if k.Rows == nil {
+// commitTrial writes the row of a trial unless another process has written it. A write with an
+// unknown outcome counts as failed, since it may still take effect.
+func (t *Tracker) commitTrial(ctx context.Context, e event) error {
+	if t.Rows == nil {
 		return nil
 	}
-	value, err := codec.Marshal(e.mark)
+	value, err := codec.Marshal(e.value)
 	if err != nil {
 		return err
 	}
-	key := trialKey(e.subject, e.trial)
-	_, err = k.Rows.Commit(ctx, store.Tx{
+	key := trialKey(e.fingerprint, e.trial)
+	_, err = t.Rows.Commit(ctx, store.Tx{
 		If:  []store.Condition{{Key: key}},
 		Put: []store.Row{{Key: key, Value: value}},
 	})
