--- a/admission/flow.go
+++ b/admission/flow.go
@@ -22,15 +22,15 @@
 	name    string
 	share   float64
 	start   float64 // start tag of the row's next request
-	waiting byOrder
+	waiting itemHeap
 	tokens  int // expected tokens that wait
 	running int
 }
 
 func (f *flow) backlogged() bool { return f.waiting.Len() > 0 }
 
-// arrive brings an idle row up to the virtual time: idleness earns no credit.
-func (f *flow) arrive(virtual float64) { f.start = max(f.start, virtual) }
+// catchUp brings an idle row up to the virtual time: idleness earns no credit.
+func (f *flow) catchUp(virtual float64) { f.start = max(f.start, virtual) }
 
 // charge moves the start tag by served tokens; negative ones are given back.
 func (f *flow) charge(tokens int) { f.start += float64(tokens) / f.share }
@@ -44,9 +44,9 @@
 	tokens  int // expected tokens that wait
 }
 
-// smallest is the backlogged row with the smallest start tag whose next
+// nextFlow is the backlogged row with the nextFlow start tag whose next
 // request's model is ready; the earlier row wins a tie.
-func (c *class) smallest(ready func(string) bool) *flow {
+func (c *class) nextFlow(ready func(string) bool) *flow {
 	var best *flow
 	for _, f := range c.flows {
 		if !f.backlogged() || !ready(f.waiting[0].Model) {
@@ -83,9 +83,9 @@
 	return f
 }
 
-// tidy forgets a class's rows when none of them waits or runs: the busy period
+// resetIfIdle forgets a class's rows when none of them waits or runs: the busy period
 // is over, and rows that left the table do not stay for ever.
-func (q *Queue) tidy(class wire.Class) {
+func (q *Queue) resetIfIdle(class wire.Class) {
 	c := q.class(class)
 	if c.waiting > 0 || c.running > 0 {
 		return
@@ -97,17 +97,17 @@
 	c.virtual = 0
 }
 
-// byOrder is a heap: longest expected work first for training, oldest first
+// itemHeap is a heap: longest expected work first for training, oldest first
 // for interactive requests.
-type byOrder []*Item
+type itemHeap []*Item
 
-var _ heap.Interface = (*byOrder)(nil)
+var _ heap.Interface = (*itemHeap)(nil)
 
 // Len implements heap.Interface.
-func (h byOrder) Len() int { return len(h) }
+func (h itemHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (h byOrder) Less(i, j int) bool {
+func (h itemHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
 	if a.Class == wire.ClassTraining && a.Tokens != b.Tokens {
 		return a.Tokens > b.Tokens
@@ -116,21 +116,21 @@
 }
 
 // Swap implements heap.Interface.
-func (h byOrder) Swap(i, j int) {
+func (h itemHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index = i
 	h[j].index = j
 }
 
 // Push implements heap.Interface.
-func (h *byOrder) Push(x any) {
+func (h *itemHeap) Push(x any) {
 	it := x.(*Item)
 	it.index = len(*h)
 	*h = append(*h, it)
 }
 
 // Pop implements heap.Interface.
-func (h *byOrder) Pop() any {
+func (h *itemHeap) Pop() any {
 	old := *h
 	last := len(old) - 1
 	it := old[last]
--- a/admission/load.go
+++ b/admission/load.go
@@ -70,9 +70,9 @@
 	return time.Duration(float64(tokens) / rate * float64(time.Second)), true
 }
 
-// drainTime is how long half of the waiting tokens take, unknownRetryAfter
+// retryAfter is how long half of the waiting tokens take, unknownRetryAfter
 // while nothing is known.
-func (q *Queue) drainTime(tokens int) time.Duration {
+func (q *Queue) retryAfter(tokens int) time.Duration {
 	wait, known := q.timeFor(tokens / 2)
 	if !known {
 		return unknownRetryAfter
--- a/admission/preempt.go
+++ b/admission/preempt.go
@@ -2,8 +2,8 @@
 
 import "mulberryscale.example/wire"
 
-// trainingFloor is the part of the slots that preemption leaves to training.
-const trainingFloor = 4 // one in four
+// trainingSlotDivisor is the part of the slots that preemption leaves to training.
+const trainingSlotDivisor = 4 // one in four
 
 // PreemptCount says how many running training requests must make room for the
 // waiting interactive ones. preempting counts those that were told already and
@@ -12,8 +12,8 @@
 func (q *Queue) PreemptCount(preempting int) int {
 	waiting := q.class(wire.ClassInteractive).waiting
 	free := max(q.slots-q.running, 0)
-	floor := max(q.slots/trainingFloor, 1)
+	reserved := max(q.slots/trainingSlotDivisor, 1)
 	needed := waiting - free - preempting
-	spare := q.trainingRunning - preempting - floor
+	spare := q.trainingRunning - preempting - reserved
 	return max(min(needed, spare), 0)
 }
--- a/admission/preempt_test.go
+++ b/admission/preempt_test.go
@@ -36,12 +36,12 @@
 			t.Fatalf("%d make room for %d that wait, with %d on their way", got, waiting, preempting)
 		}
 		left := training - preempting - got
-		floor := max(slots/trainingFloor, 1)
-		if got > 0 && left < floor {
-			t.Fatalf("training keeps %d slots, want %d", left, floor)
+		reserved := max(slots/trainingSlotDivisor, 1)
+		if got > 0 && left < reserved {
+			t.Fatalf("training keeps %d slots, want %d", left, reserved)
 		}
-		if waiting > preempting && left > floor && got < waiting-preempting {
-			t.Fatalf("%d make room although %d more could and %d wait", got, left-floor, waiting)
+		if waiting > preempting && left > reserved && got < waiting-preempting {
+			t.Fatalf("%d make room although %d more could and %d wait", got, left-reserved, waiting)
 		}
 	})
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -92,9 +92,9 @@
 	running              int
 	trainingRunning      int
 
-	lastInteractive time.Time // newest interactive arrival
-	trainingSince   time.Time // since when training waits without a start
-	speed           speedMeter
+	lastInteractive      time.Time // newest interactive arrival
+	trainingWaitingSince time.Time // since when training waits without a start
+	speed                speedMeter
 }
 
 // New makes an empty queue without slots; see SetSlots.
@@ -118,27 +118,27 @@
 	it.seq = q.seq
 	f := q.flow(it)
 	if !f.backlogged() {
-		f.arrive(q.class(it.Class).virtual)
+		f.catchUp(q.class(it.Class).virtual)
 	}
 	heap.Push(&f.waiting, it)
 	q.count(it, 1)
 	if it.Class == wire.ClassInteractive {
 		q.lastInteractive = now
 	} else if q.class(wire.ClassTraining).waiting == 1 {
-		q.trainingSince = now
+		q.trainingWaitingSince = now
 	}
 	return nil
 }
 
 func (q *Queue) check(now time.Time, it *Item) *api.Refusal {
 	if f, ok := q.rows[it.key()]; ok && it.MaxQueue > 0 && f.waiting.Len() >= it.MaxQueue {
-		return q.refuse(api.CodeQueueFull, "the row's queue is full", q.drainTime(f.tokens))
+		return q.refuse(api.CodeQueueFull, "the row's queue is full", q.retryAfter(f.tokens))
 	}
 	if q.items >= q.opts.MaxItems {
-		return q.refuse(api.CodeQueueFull, "the agent's queue is full", q.drainTime(q.tokens))
+		return q.refuse(api.CodeQueueFull, "the agent's queue is full", q.retryAfter(q.tokens))
 	}
 	if q.bytes+it.Bytes > q.opts.MaxBytes {
-		return q.refuse(api.CodeQueueFull, "the agent's queue is full of bytes", q.drainTime(q.tokens))
+		return q.refuse(api.CodeQueueFull, "the agent's queue is full of bytes", q.retryAfter(q.tokens))
 	}
 	if it.Deadline.IsZero() {
 		return nil
@@ -169,7 +169,7 @@
 	}
 	heap.Remove(&f.waiting, it.index)
 	q.count(it, -1)
-	q.tidy(it.Class)
+	q.resetIfIdle(it.Class)
 	return true
 }
 
@@ -202,7 +202,7 @@
 		q.count(it, -1)
 		if !it.Deadline.IsZero() && !now.Before(it.Deadline) {
 			expired = append(expired, it)
-			q.tidy(it.Class)
+			q.resetIfIdle(it.Class)
 			continue
 		}
 		q.start(now, f, it)
@@ -221,7 +221,7 @@
 	it.started = now
 	if it.Class == wire.ClassTraining {
 		q.trainingRunning++
-		q.trainingSince = now
+		q.trainingWaitingSince = now
 	}
 }
 
@@ -238,13 +238,13 @@
 	if tokens > 0 {
 		q.speed.observe(tokens, now.Sub(it.started))
 	}
-	q.tidy(it.Class)
+	q.resetIfIdle(it.Class)
 }
 
 // pick chooses the row to serve: the class first, then the smallest start tag.
 func (q *Queue) pick(now time.Time, ready func(string) bool) *flow {
-	interactive := q.class(wire.ClassInteractive).smallest(ready)
-	training := q.class(wire.ClassTraining).smallest(ready)
+	interactive := q.class(wire.ClassInteractive).nextFlow(ready)
+	training := q.class(wire.ClassTraining).nextFlow(ready)
 	if !q.trainingMayStart(now) {
 		training = nil
 	}
@@ -253,7 +253,7 @@
 		return interactive
 	case interactive == nil:
 		return training
-	case now.Sub(q.trainingSince) >= q.opts.TrainingMaxWait:
+	case now.Sub(q.trainingWaitingSince) >= q.opts.TrainingMaxWait:
 		return training
 	}
 	return interactive
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -69,8 +69,8 @@
 	})
 }
 
-// TestIdleRowEarnsNoCredit: a row that was idle does not push the others aside when it returns.
-func TestIdleRowEarnsNoCredit(t *testing.T) {
+// TestIdleRowGainsNoCredit: a row that was idle does not push the others aside when it returns.
+func TestIdleRowGainsNoCredit(t *testing.T) {
 	q := New(Options{})
 	q.SetSlots(1)
 	now := time.Unix(0, 0)
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestAccounts compares the queue's counts with a plain list under random use.
-func TestAccounts(t *testing.T) {
+// TestLoadCounts compares the queue's counts with a plain list under random use.
+func TestLoadCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Options{MaxItems: 12, Reserve: 1})
 		now := time.Unix(0, 0)
--- a/routing/baseline.go
+++ b/routing/baseline.go
@@ -7,8 +7,8 @@
 	"mulberryscale.example/membership"
 )
 
-// RoundRobin takes the agents in turn. It is the baseline that experiments
-// compare with, and looks at nothing but what an agent serves and its state.
+// RoundRobin picks the agents in turn, by nothing but what they serve and their
+// state. It is the baseline that experiments compare with.
 type RoundRobin struct{ next atomic.Uint64 }
 
 // Pick implements Picker.
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -11,7 +11,7 @@
 	"mulberryscale.example/wire"
 )
 
-// BenchmarkPick is the time of one choice, by watched agents.
+// BenchmarkPick measures one pick, by the number of watched agents.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{16, 64, 128, 256} {
 		b.Run(fmt.Sprintf("watched=%d", n), func(b *testing.B) {
--- a/routing/fallback_test.go
+++ b/routing/fallback_test.go
@@ -10,8 +10,8 @@
 	"mulberryscale.example/wire"
 )
 
-// floorView is an entry's view of six agents in three zones, all live.
-func floorView() (*membership.View, []platform.Instance) {
+// newTestView returns an entry's view of six agents in three zones, all live.
+func newTestView() (*membership.View, []platform.Instance) {
 	var list []platform.Instance
 	for i, zone := range []string{"patan", "patan", "bhaktapur", "bhaktapur", "kirtipur", "kirtipur"} {
 		list = append(list, platform.Instance{ID: string(rune('a' + i)), Role: platform.RoleAgent, Zone: zone, Addr: "10.0.0.1:1", State: platform.InstanceLive})
@@ -19,18 +19,19 @@
 	view := membership.NewView()
 	view.Listed(list)
 	for _, in := range list {
-		report(view, in.ID, 1)
+		sendReport(view, in.ID, 1)
 	}
 	return view, list
 }
 
-func report(view *membership.View, id string, seq uint64) {
+// sendReport records a report of a healthy agent in the view.
+func sendReport(view *membership.View, id string, seq uint64) {
 	r := wire.Report{Seq: seq, Zone: "patan", Healthy: true, Slots: 8, Capacity: 100, Models: []wire.ModelReport{{Model: "guide", Version: 1, Ready: true}}}
 	view.Reported(wire.Header{From: id, Incarnation: "first"}, r, time.Unix(1000, 0))
 }
 
-// picks are the agents that 200 requests go to.
-func picks(t *testing.T, view *membership.View) map[string]int {
+// countPicks picks an agent for 200 requests and counts the picks by agent id.
+func countPicks(t *testing.T, view *membership.View) map[string]int {
 	t.Helper()
 	router, rng := NewInteractive(), rand.New(rand.NewPCG(1, 2))
 	got := map[string]int{}
@@ -44,40 +45,41 @@
 	return got
 }
 
-// TestCutZone: the agents of a zone that is cut get nothing while others live.
-func TestCutZone(t *testing.T) {
-	view, _ := floorView()
+// TestPartitionedZoneGetsNoRequests: suspect agents of a zone that is partitioned off get no
+// requests while others are live.
+func TestPartitionedZoneGetsNoRequests(t *testing.T) {
+	view, _ := newTestView()
 	view.Suspect("a")
 	view.Suspect("b")
-	if got := picks(t, view); got["a"]+got["b"] > 0 || len(got) == 0 {
-		t.Errorf("picked %v with patan cut off", got)
+	if got := countPicks(t, view); got["a"]+got["b"] > 0 || len(got) == 0 {
+		t.Errorf("picked %v with patan partitioned off", got)
 	}
 }
 
-// TestAllSuspect: when all reports stop, all agents are still used, also when the
-// instance list shows nothing; the first that reports again gets the work.
+// TestAllSuspect: when all reports stop, all agents are still picked, even when the
+// instance list is empty; the first agent that reports again gets all requests.
 func TestAllSuspect(t *testing.T) {
-	view, list := floorView()
+	view, list := newTestView()
 	for _, in := range list {
 		view.Suspect(in.ID)
 	}
 	view.Listed(nil)
-	if got := picks(t, view); len(got) < 2 {
+	if got := countPicks(t, view); len(got) < 2 {
 		t.Errorf("picked %v when all are suspect", got)
 	}
-	report(view, "e", 2)
-	if got := picks(t, view); got["e"] != 200 {
+	sendReport(view, "e", 2)
+	if got := countPicks(t, view); got["e"] != 200 {
 		t.Errorf("picked %v when only e reports", got)
 	}
 }
 
-// TestLeavingIsNoFloor: an agent that leaves gets nothing even when it is the last.
-func TestLeavingIsNoFloor(t *testing.T) {
-	view, list := floorView()
+// TestLeavingAgentsAreNeverPicked: a leaving agent gets no requests even when no other is left.
+func TestLeavingAgentsAreNeverPicked(t *testing.T) {
+	view, list := newTestView()
 	for _, in := range list {
 		view.Leaving(in.ID)
 	}
 	if a, err := NewInteractive().Pick(&Request{Model: "guide"}, view.Snapshot(), rand.New(rand.NewPCG(1, 2))); err == nil {
-		t.Errorf("%s was picked while it leaves", a.ID)
+		t.Errorf("%s was picked while leaving", a.ID)
 	}
 }
--- a/routing/filters.go
+++ b/routing/filters.go
@@ -15,7 +15,7 @@
 	FilterAccept   = "accept"
 )
 
-// Serving keeps agents whose endpoint has the model, or is the plain service, of the request.
+// Serving keeps agents whose endpoint serves the request's model or plain service.
 type Serving struct{}
 
 // Name implements Filter.
@@ -30,7 +30,7 @@
 	return ok
 }
 
-// Healthy keeps agents whose endpoint answers.
+// Healthy keeps agents whose endpoint passes its health check.
 type Healthy struct{}
 
 // Name implements Filter.
@@ -41,7 +41,7 @@
 	return a.Report.Healthy
 }
 
-// Ready keeps agents whose weights are whole: no load runs, and none failed partway.
+// Ready keeps agents whose weights are complete: no load is running, and none failed partway.
 type Ready struct{}
 
 // Name implements Filter.
@@ -56,7 +56,7 @@
 	return ok && m.Ready
 }
 
-// Leaving drops agents that leave.
+// Leaving drops agents that are leaving or draining.
 type Leaving struct{}
 
 // Name implements Filter.
@@ -67,7 +67,7 @@
 	return a.State != membership.StateLeaving && !a.Report.Draining
 }
 
-// Suspect drops agents that are not heard from.
+// Suspect drops agents that are not live, such as those whose reports have stopped.
 type Suspect struct{}
 
 // Name implements Filter.
@@ -93,7 +93,7 @@
 	return ok && m.Version >= req.MinVersion
 }
 
-// Excluded drops agents that the request names.
+// Excluded drops agents that the request excludes by id.
 type Excluded struct{}
 
 // Name implements Filter.
@@ -104,7 +104,8 @@
 	return !req.Exclude[a.ID]
 }
 
-// Free drops agents without a free slot, for requests that can wait at the entry.
+// Free drops agents without a free slot when the request has NeedFree: such requests can
+// wait at the entry.
 type Free struct{}
 
 // Name implements Filter.
@@ -115,7 +116,7 @@
 	return !req.NeedFree || a.Free() > 0 || req.Unstarted[a.ID] < req.Backlog
 }
 
-// Accepted drops agents that the request's own demand does not accept.
+// Accepted drops agents for which the request's Accept function returns false.
 type Accepted struct{}
 
 // Name implements Filter.
--- a/routing/profiles.go
+++ b/routing/profiles.go
@@ -8,17 +8,18 @@
 	"mulberryscale.example/membership"
 )
 
-// Weights of the scorers. Load counts most: an affinity that fills one engine
-// costs more than the prefill that it saves.
+// Weights of the scorers. Load has the largest: an affinity that overloads one
+// engine costs more than the prefill that it saves.
 const (
 	weightLoad   = 1.0
 	weightZone   = 0.1
 	weightPrefix = 0.15
-	// powerOfTwo is the number of agents compared for an interactive request.
-	powerOfTwo = 2
+	// interactiveChoices is the number of agents compared for an interactive request:
+	// the power of two choices.
+	interactiveChoices = 2
 )
 
-// hardFilters hold always; softFilters give way when they would leave nothing.
+// hardFilters always apply; softFilters are dropped when they would leave no agent.
 var (
 	hardFilters = []Filter{Serving{}, Healthy{}, Ready{}, Leaving{}, Version{}, Accepted{}, Free{}}
 	softFilters = []Filter{Suspect{}, Excluded{}}
@@ -33,18 +34,20 @@
 	Pick(req *Request, snap *membership.Snapshot, rng *rand.Rand) (*membership.Agent, error)
 }
 
-// Router picks with a profile, and with a wider one when it finds nothing.
+// Router picks with a strict profile, and with a wider one when that finds no agent.
 type Router struct {
 	// Strict also drops agents that are suspect or excluded.
 	Strict Profile
-	// Fallback keeps those, so that a cut zone or stopped reports never empty the set.
+	// Fallback keeps those, so that a network partition or missing reports never
+	// leave a request without agents.
 	Fallback Profile
 }
 
-// NewInteractive routes interactive requests: power of two choices.
-func NewInteractive() *Router { return newRouter(powerOfTwo) }
+// NewInteractive returns a router for interactive requests: the better of two random agents.
+func NewInteractive() *Router { return newRouter(interactiveChoices) }
 
-// NewTraining routes samples: the best of all, since the entry holds them until a slot is free.
+// NewTraining returns a router for samples: the best of all agents, since the entry queues
+// samples until a slot is free.
 func NewTraining() *Router { return newRouter(0) }
 
 func newRouter(choices int) *Router {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,5 +1,6 @@
-// Package routing picks the agent for a request: filter, score, pick over an
-// immutable snapshot. All of it is pure; randomness is passed in.
+// Package routing picks the agent for a request from an immutable snapshot: it
+// filters the agents, scores the rest and picks the best. It has no state of its
+// own but RoundRobin's counter; the random source is passed in.
 package routing
 
 import (
@@ -10,13 +11,13 @@
 	"mulberryscale.example/membership"
 )
 
-// Request is what routing needs to know of a request.
+// Request describes a request to be routed.
 type Request struct {
 	// Model is the model to run; empty for a plain service.
 	Model string
-	// Service is the row of a plain service; empty for a model.
+	// Service is the row name of a plain service; empty for a model.
 	Service string
-	// Zone is the zone of the entry that routes.
+	// Zone is the zone of the entry that routes the request.
 	Zone string
 	// MinVersion is the oldest weight version allowed, 0 for any.
 	MinVersion uint64
@@ -29,29 +30,29 @@
 	NeedFree bool
 	// Backlog bounds Unstarted when there is no free slot.
 	Backlog int
-	// Accept is a further demand on the agent; nil for none.
+	// Accept is an additional condition on the agent; nil for none.
 	Accept func(*membership.Agent) bool
-	// Unstarted counts the step's own runs sent and not started, by agent id.
+	// Unstarted counts the step's own runs that were sent but have not started, by agent id.
 	Unstarted map[string]int
 }
 
 // Filter drops agents that cannot take a request.
 type Filter interface {
-	// Name names the filter in errors and counters.
+	// Name returns the name of the filter in errors and counters.
 	Name() string
-	// Keep says whether the agent can take the request.
+	// Keep reports whether the agent can take the request.
 	Keep(req *Request, a *membership.Agent) bool
 }
 
 // Scorer rates agents.
 type Scorer interface {
-	// Name names the scorer.
+	// Name returns the name of the scorer.
 	Name() string
-	// Score is between 0 (worst) and 1.
+	// Score returns a rating between 0 (worst) and 1.
 	Score(req *Request, a *membership.Agent) float64
 }
 
-// WeightedScorer is a scorer and its weight in the sum.
+// WeightedScorer is a scorer and the weight of its score in the sum.
 type WeightedScorer struct {
 	Scorer
 	Weight float64
@@ -65,13 +66,13 @@
 	Choices int
 }
 
-// NoEndpointError says that no agent passed the filters, and how many each filter dropped.
+// NoEndpointError reports that no agent passed the filters, and how many each filter dropped.
 type NoEndpointError struct {
 	Watched int
 	Dropped []DropCount
 }
 
-// DropCount is how many agents a filter dropped.
+// DropCount is the number of agents that a filter dropped.
 type DropCount struct {
 	Filter string
 	Count  int
@@ -87,7 +88,7 @@
 	return b.String()
 }
 
-// DroppedBy says how many agents the named filter dropped.
+// DroppedBy returns how many agents the named filter dropped.
 func (e *NoEndpointError) DroppedBy(filter string) int {
 	for _, d := range e.Dropped {
 		if d.Filter == filter {
--- a/routing/scorers.go
+++ b/routing/scorers.go
@@ -15,13 +15,13 @@
 	ScorerPrefix = "prefix"
 )
 
-// Load prefers agents with fewer runs for their slots.
+// Load prefers agents with fewer runs in relation to their slots.
 type Load struct{}
 
 // Name implements Scorer.
 func (Load) Name() string { return ScorerLoad }
 
-// Score implements Scorer: 1 when idle, 1/2 when the slots are just full.
+// Score implements Scorer: 1 when idle, 1/2 when all slots are used and none waits.
 func (Load) Score(_ *Request, a *membership.Agent) float64 {
 	slots := float64(max(a.Report.Slots, 1))
 	return slots / (slots + float64(a.Load()))
@@ -41,8 +41,8 @@
 	return 0
 }
 
-// Prefix prefers, by rendezvous hashing, the same agents for the same prompt,
-// without needing the engines' late and gapped cache events.
+// Prefix prefers the same agents for the same prompt, by rendezvous hashing. The
+// engines' cache events, which come late and with gaps, are not needed.
 type Prefix struct{}
 
 // Name implements Scorer.
@@ -61,5 +61,5 @@
 	return float64(d.Sum64()>>11) / (1 << 53)
 }
 
-// PrefixKey is the routing key of a prompt.
+// PrefixKey returns the routing key of a prompt.
 func PrefixKey(prompt string) uint64 { return xxhash.Sum64String(prompt) }
