--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -8,8 +8,8 @@
 	"mulberryscale.example/wire"
 )
 
-// BenchmarkQueue is the time of one push, pop and done, by waiting requests of
-// nine trainers and three interactive rows.
+// BenchmarkQueue measures one push, pop and done, by the number of waiting requests,
+// which belong to nine trainers and three interactive rows.
 func BenchmarkQueue(b *testing.B) {
 	for _, waiting := range []int{16, 64, 256, 1000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
--- a/admission/datadriven_test.go
+++ b/admission/datadriven_test.go
@@ -11,7 +11,7 @@
 	"mulberryscale.example/wire"
 )
 
-// script runs the commands of testdata/queue on one queue.
+// script runs the commands of testdata/queue against one queue.
 type script struct {
 	q       *Queue
 	now     time.Time
@@ -42,7 +42,7 @@
 	case "load":
 		return fmt.Sprintf("%+v\n", s.q.Load())
 	default:
-		d.Fatalf(t, "no command %s", d.Cmd)
+		d.Fatalf(t, "unknown command %s", d.Cmd)
 	}
 	return ""
 }
@@ -90,7 +90,7 @@
 				fmt.Sscan(v, &budget)
 				it.Deadline = s.now.Add(time.Duration(budget * float64(time.Second)))
 			default:
-				d.Fatalf(t, "what is %s?", word)
+				d.Fatalf(t, "unknown argument %s", word)
 			}
 		}
 		it.Value = name
@@ -121,7 +121,7 @@
 	for _, name := range strings.Fields(d.Input) {
 		it, ok := s.running[name]
 		if !ok {
-			d.Fatalf(t, "%s does not run", name)
+			d.Fatalf(t, "%s is not running", name)
 		}
 		delete(s.running, name)
 		s.q.Done(s.now, it, it.Tokens)
--- a/admission/flow.go
+++ b/admission/flow.go
@@ -6,10 +6,10 @@
 	"mulberryscale.example/wire"
 )
 
-// minShare keeps a row with a tiny share from an endless tag.
+// minShare bounds how far one request can advance the start tag of a row with a tiny share.
 const minShare = 1e-6
 
-// rowKey names a flow; a row keeps one for each class.
+// rowKey identifies a flow; a row has one for each class.
 type rowKey struct {
 	row   string
 	class wire.Class
@@ -17,7 +17,7 @@
 
 func (it *Item) key() rowKey { return rowKey{it.Row, it.Class} }
 
-// flow is one row's waiting requests and its place in the virtual time.
+// flow holds one row's waiting requests and its position in virtual time.
 type flow struct {
 	name    string
 	share   float64
@@ -29,13 +29,14 @@
 
 func (f *flow) backlogged() bool { return f.waiting.Len() > 0 }
 
-// catchUp brings an idle row up to the virtual time: idleness earns no credit.
+// catchUp advances the start tag of an idle row to the virtual time, so that a row
+// gains no credit while idle.
 func (f *flow) catchUp(virtual float64) { f.start = max(f.start, virtual) }
 
-// charge moves the start tag by served tokens; negative ones are given back.
+// charge advances the start tag by served tokens; negative tokens are a refund.
 func (f *flow) charge(tokens int) { f.start += float64(tokens) / f.share }
 
-// class is the rows of one class and their virtual time.
+// class holds the rows of one class and their virtual time.
 type class struct {
 	flows   []*flow
 	virtual float64
@@ -44,8 +45,8 @@
 	tokens  int // expected tokens that wait
 }
 
-// nextFlow is the backlogged row with the nextFlow start tag whose next
-// request's model is ready; the earlier row wins a tie.
+// nextFlow returns the backlogged row with the smallest start tag among those whose next
+// request's model is ready, nil for none; the row that was added first wins a tie.
 func (c *class) nextFlow(ready func(string) bool) *flow {
 	var best *flow
 	for _, f := range c.flows {
@@ -66,7 +67,7 @@
 	return &q.classes[1]
 }
 
-// flow finds or makes the item's row and takes over its newest share.
+// flow returns the flow of the item's row, creating it if needed, and updates its share.
 func (q *Queue) flow(it *Item) *flow {
 	f, ok := q.rows[it.key()]
 	if !ok {
@@ -83,8 +84,8 @@
 	return f
 }
 
-// resetIfIdle forgets a class's rows when none of them waits or runs: the busy period
-// is over, and rows that left the table do not stay for ever.
+// resetIfIdle deletes a class's rows and its virtual time when no request of the class waits
+// or runs: the busy period is over, and rows deleted from the table must not accumulate.
 func (q *Queue) resetIfIdle(class wire.Class) {
 	c := q.class(class)
 	if c.waiting > 0 || c.running > 0 {
@@ -97,8 +98,8 @@
 	c.virtual = 0
 }
 
-// itemHeap is a heap: longest expected work first for training, oldest first
-// for interactive requests.
+// itemHeap is a heap of the waiting requests of a row: longest expected work first for
+// training, oldest first for interactive requests.
 type itemHeap []*Item
 
 var _ heap.Interface = (*itemHeap)(nil)
--- a/admission/load.go
+++ b/admission/load.go
@@ -8,7 +8,7 @@
 	"mulberryscale.example/wire"
 )
 
-// Bounds of the advice when to come back.
+// Bounds of the RetryAfter in refusals, and its value while the speed is unknown.
 const (
 	minRetryAfter     = 100 * time.Millisecond
 	maxRetryAfter     = 30 * time.Second
@@ -17,14 +17,14 @@
 
 // Parameters of the speed estimate.
 const (
-	// minSpeedSamples is how many ended requests make the estimate usable.
+	// minSpeedSamples is how many completed requests the estimate needs to be usable.
 	minSpeedSamples = 8
 	// speedWeight is the weight of the newest request in the moving average.
 	speedWeight = 0.1
 )
 
-// speedMeter estimates the tokens a second of one slot, as a ratio of moving
-// averages so that long requests count by their length.
+// speedMeter estimates the tokens a second of one slot. It is a ratio of two moving
+// averages, so that requests are weighted by their length.
 type speedMeter struct {
 	samples         int
 	tokens, seconds float64
@@ -43,7 +43,7 @@
 	m.seconds += speedWeight * (took.Seconds() - m.seconds)
 }
 
-// perSecond is 0 while the estimate is not usable.
+// perSecond returns the estimate in tokens a second, 0 while it is not usable.
 func (m *speedMeter) perSecond() float64 {
 	if m.samples < minSpeedSamples || m.seconds <= 0 {
 		return 0
@@ -51,8 +51,8 @@
 	return m.tokens / m.seconds
 }
 
-// EstimateWait estimates how long a new request of the class would wait; the second
-// result is false, and the wait 0, while nothing is known.
+// EstimateWait estimates how long a new request of the class would wait. While the
+// speed is unknown the wait is 0 and the second result false.
 func (q *Queue) EstimateWait(c wire.Class) (time.Duration, bool) {
 	ahead := q.class(wire.ClassInteractive).tokens
 	if c == wire.ClassTraining {
@@ -61,7 +61,8 @@
 	return q.timeFor(ahead)
 }
 
-// timeFor is how long all slots together take for some tokens.
+// timeFor returns how long all slots together take for some tokens; false while the speed
+// is unknown.
 func (q *Queue) timeFor(tokens int) (time.Duration, bool) {
 	rate := q.speed.perSecond() * float64(q.slots)
 	if rate <= 0 {
@@ -70,8 +71,8 @@
 	return time.Duration(float64(tokens) / rate * float64(time.Second)), true
 }
 
-// retryAfter is how long half of the waiting tokens take, unknownRetryAfter
-// while nothing is known.
+// retryAfter returns the time for half of the waiting tokens, or unknownRetryAfter
+// while the speed is unknown.
 func (q *Queue) retryAfter(tokens int) time.Duration {
 	wait, known := q.timeFor(tokens / 2)
 	if !known {
@@ -84,17 +85,17 @@
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
-// Load is what a queue holds.
+// Load is the number of requests and tokens in a queue.
 type Load struct {
-	// Running and Queued count requests, QueuedTokens the expected tokens that wait.
+	// Running and Queued count requests, QueuedTokens the expected tokens of queued ones.
 	Running, Queued, QueuedTokens int
-	// Capacity is how many more requests the queue would take.
+	// Capacity is how many more requests the queue would accept.
 	Capacity int
 	// Rows are sorted by name; rows without requests are left out.
 	Rows []wire.RowLoad
 }
 
-// Load counts what the queue holds now.
+// Load returns the current load of the queue.
 func (q *Queue) Load() Load {
 	l := Load{
 		Running:      q.running,
--- a/admission/preempt_test.go
+++ b/admission/preempt_test.go
@@ -9,9 +9,9 @@
 	"mulberryscale.example/wire"
 )
 
-// TestPreemptNeedsAndFloor: as many samples make room as interactive requests
-// wait for, and never those that training's floor keeps.
-func TestPreemptNeedsAndFloor(t *testing.T) {
+// TestPreemptCount: as many training requests are preempted as interactive requests
+// need slots, but never so many that training keeps less than its part of the slots.
+func TestPreemptCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		slots := rapid.IntRange(1, 16).Draw(t, "slots")
@@ -33,7 +33,7 @@
 		got := q.PreemptCount(preempting)
 		waiting := interactive - started
 		if got > max(waiting-preempting, 0) {
-			t.Fatalf("%d make room for %d that wait, with %d on their way", got, waiting, preempting)
+			t.Fatalf("%d preempted for %d waiting, with %d being preempted already", got, waiting, preempting)
 		}
 		left := training - preempting - got
 		reserved := max(slots/trainingSlotDivisor, 1)
@@ -41,7 +41,7 @@
 			t.Fatalf("training keeps %d slots, want %d", left, reserved)
 		}
 		if waiting > preempting && left > reserved && got < waiting-preempting {
-			t.Fatalf("%d make room although %d more could and %d wait", got, left-reserved, waiting)
+			t.Fatalf("%d preempted although %d more could be and %d wait", got, left-reserved, waiting)
 		}
 	})
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -16,24 +16,25 @@
 	DefaultActiveWindow    = time.Minute
 )
 
-// stepEnqueue is the processing step that refusals of the queue name.
+// stepEnqueue is the processing step in refusals of the queue.
 const stepEnqueue = "agent.enqueue"
 
 // Options are the bounds of a queue; the zero value of a field means its default.
 type Options struct {
-	// Peer is the id that refusals carry.
+	// Peer is the id of the agent, reported in refusals.
 	Peer string
-	// MaxItems bounds the waiting requests of all rows, MaxBytes their size.
+	// MaxItems bounds the waiting requests of all rows, MaxBytes their total size.
 	MaxItems int
 	MaxBytes int
 	// Reserve is how many slots training leaves free, besides those that
 	// interactive requests use, while interactive rows are active. At least
 	// one slot is always open to training.
 	Reserve int
-	// TrainingMaxWait is how long training may wait behind interactive
-	// requests without a start.
+	// TrainingMaxWait is how long interactive requests may keep waiting training
+	// requests from starting; after it the next free slot goes to training.
 	TrainingMaxWait time.Duration
-	// ActiveWindow is how long after its last request an interactive row counts as active.
+	// ActiveWindow is how long interactive rows count as active after the last
+	// interactive request.
 	ActiveWindow time.Duration
 }
 
@@ -58,25 +59,25 @@
 	Row   string
 	Class wire.Class
 	Model string
-	// Share is the row's weight against the other rows of its class; 0 counts as 1.
+	// Share is the row's weight relative to the other rows of its class; 0 counts as 1.
 	Share float64
-	// MaxQueue bounds the row's waiting requests; 0 means no bound of its own.
+	// MaxQueue bounds the row's waiting requests; 0 means no bound per row.
 	MaxQueue int
 	// Tokens is the expected remaining work; less than 1 counts as 1.
 	Tokens int
-	// Bytes is the memory that the request holds while it waits.
+	// Bytes is the memory that the request uses while it waits.
 	Bytes int
-	// Deadline is when the answer is due; zero means never.
+	// Deadline is when the answer is due; zero means no deadline.
 	Deadline time.Time
-	// Value is the caller's own.
+	// Value is opaque to the queue.
 	Value any
 
 	seq     uint64
-	index   int // place in the row's heap, -1 when not queued
+	index   int // index in the row's heap, -1 when not queued
 	started time.Time
 }
 
-// Queued says whether the item waits in a queue.
+// Queued reports whether the item waits in a queue.
 func (it *Item) Queued() bool { return it.seq > 0 && it.index >= 0 }
 
 // Queue holds an agent's waiting requests and counts its running ones. It is
@@ -93,22 +94,22 @@
 	trainingRunning      int
 
 	lastInteractive      time.Time // newest interactive arrival
-	trainingWaitingSince time.Time // since when training waits without a start
+	trainingWaitingSince time.Time // last start of training, or when it began to wait
 	speed                speedMeter
 }
 
-// New makes an empty queue without slots; see SetSlots.
+// New returns an empty queue without slots; see SetSlots.
 func New(opts Options) *Queue {
 	return &Queue{opts: opts.withDefaults(), rows: make(map[rowKey]*flow)}
 }
 
-// SetSlots says how many requests the endpoint runs at once.
+// SetSlots sets how many requests the endpoint runs at once; negative counts as 0.
 func (q *Queue) SetSlots(n int) { q.slots = max(n, 0) }
 
-// Slots is what SetSlots said last.
+// Slots returns the value of the last SetSlots.
 func (q *Queue) Slots() int { return q.slots }
 
-// Push queues an item, or refuses it with not_run true and leaves it unqueued.
+// Push queues an item. If it returns a refusal, with not_run true, the item is not queued.
 func (q *Queue) Push(now time.Time, it *Item) *api.Refusal {
 	if refusal := q.check(now, it); refusal != nil {
 		return refusal
@@ -161,7 +162,7 @@
 	}
 }
 
-// Remove takes a waiting item out; false says that it was not waiting.
+// Remove removes a waiting item; it returns false when the item was not waiting.
 func (q *Queue) Remove(it *Item) bool {
 	f, ok := q.rows[it.key()]
 	if !ok || !it.Queued() {
@@ -173,7 +174,7 @@
 	return true
 }
 
-// RemoveMatching takes the waiting items that match out, in no particular order.
+// RemoveMatching removes and returns the waiting items that match, in no particular order.
 func (q *Queue) RemoveMatching(match func(*Item) bool) []*Item {
 	var matching []*Item
 	for _, f := range q.rows {
@@ -189,9 +190,9 @@
 	return matching
 }
 
-// Pop takes the item that starts next, or nil when none may start now. Ready
-// says whether a model may take new requests. Expired are items that were
-// taken out because their deadline has passed; they never start.
+// Pop removes and starts the next item; next is nil when none may start now. ready
+// reports whether a model accepts new requests. expired holds items that were
+// removed because their deadline has passed; they must not be run.
 func (q *Queue) Pop(now time.Time, ready func(model string) bool) (next *Item, expired []*Item) {
 	for q.running < q.slots {
 		f := q.pick(now, ready)
@@ -225,7 +226,8 @@
 	}
 }
 
-// Done frees the slot of a started item; tokens is the work that it truly was.
+// Done frees the slot of a started item; tokens is its actual work, which replaces the
+// expected one in the row's account and, if positive, updates the speed estimate.
 func (q *Queue) Done(now time.Time, it *Item, tokens int) {
 	f := q.rows[it.key()]
 	f.charge(tokens - it.Tokens)
@@ -241,7 +243,7 @@
 	q.resetIfIdle(it.Class)
 }
 
-// pick chooses the row to serve: the class first, then the smallest start tag.
+// pick chooses the row to serve next, first by class, then by smallest start tag.
 func (q *Queue) pick(now time.Time, ready func(string) bool) *flow {
 	interactive := q.class(wire.ClassInteractive).nextFlow(ready)
 	training := q.class(wire.ClassTraining).nextFlow(ready)
@@ -259,8 +261,8 @@
 	return interactive
 }
 
-// trainingMayStart keeps the reserve free, for the interactive requests to
-// come, while interactive rows are active.
+// trainingMayStart reports whether training may take a slot. While interactive rows are
+// active, Reserve slots stay free for the next interactive requests.
 func (q *Queue) trainingMayStart(now time.Time) bool {
 	if !q.interactiveActive(now) {
 		return q.trainingRunning < q.slots
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -13,8 +13,9 @@
 
 func always(string) bool { return true }
 
-// TestShares keeps several rows of a class saturated on an engine with random
-// slots and lengths, whose true lengths differ from the expected ones.
+// TestShares keeps several rows of a class backlogged on an engine with random slots
+// and request lengths that differ from the expected ones: each row must be served in
+// proportion to its share.
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rows := rapid.SliceOfN(rapid.IntRange(1, 5), 2, 4).Draw(t, "shares")
@@ -47,7 +48,7 @@
 		var running []*Item
 		for sum < float64(30*(slots+1)*long*total) {
 			it, _ := q.Pop(now, always)
-			if it == nil { // full: the oldest ends
+			if it == nil { // all slots are used: complete the oldest request
 				it = running[0]
 				running = running[1:]
 				actual := 1 + (it.Tokens*7)%long
@@ -69,7 +70,7 @@
 	})
 }
 
-// TestIdleRowGainsNoCredit: a row that was idle does not push the others aside when it returns.
+// TestIdleRowGainsNoCredit: a row that was idle does not starve the others when it returns.
 func TestIdleRowGainsNoCredit(t *testing.T) {
 	q := New(Options{})
 	q.SetSlots(1)
@@ -98,7 +99,7 @@
 	}
 }
 
-// TestLoadCounts compares the queue's counts with a plain list under random use.
+// TestLoadCounts compares the counts of Load with plain lists under random operations.
 func TestLoadCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Options{MaxItems: 12, Reserve: 1})
@@ -139,7 +140,7 @@
 				}
 				it := rapid.SampledFrom(waiting).Draw(t, "item")
 				if !q.Remove(it) || q.Remove(it) {
-					t.Fatal("a waiting item is removed once")
+					t.Fatal("a waiting item must be removed exactly once")
 				}
 				waiting = without(t, waiting, it)
 			},
@@ -165,6 +166,6 @@
 			return append(list[:i:i], list[i+1:]...)
 		}
 	}
-	t.Fatal("the queue gave out an item that it did not have")
+	t.Fatal("the queue returned an item that it did not hold")
 	return nil
 }
