--- a/service/agent/distribution_test.go
+++ b/service/agent/distribution_test.go
@@ -24,7 +24,7 @@
 	spread "mulberryscale.example/weights"
 )
 
-// fleetOptions say what a fleet is made of.
+// fleetOptions configure a fleet.
 type fleetOptions struct {
 	agents, zones int
 	policy        table.SwapPolicy
@@ -33,7 +33,7 @@
 	change        func(*Config)
 }
 
-// fleet is a number of agents on a network with 1 ms one way, with their engines.
+// fleet is a number of agents with their engines, on a network with a latency of 1 ms one way.
 type fleet struct {
 	t       *testing.T
 	o       fleetOptions
@@ -54,8 +54,8 @@
 	ended  sync.WaitGroup
 }
 
-// inFleet runs f with a fleet whose engines all have version 3.
-func inFleet(t *testing.T, o fleetOptions, f func(*fleet)) {
+// withFleet runs f with a fleet whose engines all have version 3 loaded.
+func withFleet(t *testing.T, o fleetOptions, f func(*fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		fl := &fleet{
@@ -71,14 +71,14 @@
 			fl.nodes = append(fl.nodes, n)
 			fl.list.Register(platform.Instance{ID: n.id, Role: platform.RoleAgent, Zone: fl.zone(i), Addr: fl.start(n, i)})
 		}
-		time.Sleep(max(time.Minute, 3*spread.ListInterval(o.agents))) // until all have read the whole list
+		time.Sleep(max(time.Minute, 3*spread.ListInterval(o.agents))) // until all agents have read the whole instance list
 		f(fl)
 	})
 }
 
 func (f *fleet) zone(i int) string { return fmt.Sprintf("zone-%d", i%f.o.zones) }
 
-// start starts a node's agent, again after a kill, and returns its address.
+// start starts a node's agent, also after a kill, and returns its address.
 func (f *fleet) start(n *node, i int) string {
 	l, err := f.net.Listen(transport.PeerID(n.id), "127.0.0.1:0")
 	if err != nil {
@@ -108,7 +108,7 @@
 	return l.Addr()
 }
 
-// kill ends a node's agent; the list goes on naming it.
+// kill crashes a node's agent; the instance list still names it afterwards.
 func (f *fleet) kill(n *node) {
 	f.net.Kill(transport.PeerID(n.id))
 	n.stop()
@@ -121,10 +121,10 @@
 		n.engine.Thaw()
 		f.kill(n)
 	}
-	time.Sleep(2 * time.Minute) // until the engines' loads have ended
+	time.Sleep(2 * time.Minute) // until the engines' loads have finished
 }
 
-// publish publishes a version of so many parts.
+// publish publishes a version with the given number of parts.
 func (f *fleet) publish(version uint64, parts int) {
 	var specs []weights.PartSpec
 	for i := range parts {
@@ -138,9 +138,9 @@
 
 const partBytes = 4 << 10
 
-// until waits until the nodes report the newest version as ready, and returns
-// how long each took in ascending order.
-func (f *fleet) until(bound time.Duration, nodes ...*node) []time.Duration {
+// waitReady waits until the nodes report the newest version as ready, and returns
+// how long each took, in ascending order. It fails after bound.
+func (f *fleet) waitReady(bound time.Duration, nodes ...*node) []time.Duration {
 	f.t.Helper()
 	began := time.Now()
 	var took []time.Duration
@@ -154,15 +154,15 @@
 			return true
 		})
 		if time.Since(began) > bound {
-			f.t.Fatalf("after %s %d of %d engines have not got version %d, among them %s: %+v",
+			f.t.Fatalf("after %s %d of %d engines do not have version %d, among them %s: %+v",
 				bound, len(waiting), len(nodes), f.version, waiting[0].id, waiting[0].agent.Report())
 		}
 	}
 	return took
 }
 
-// relays sums up what the nodes fetched and served.
-func (f *fleet) relays() (peer, store int64) {
+// partCounts returns how many parts the nodes fetched from peers and from the store.
+func (f *fleet) partCounts() (peer, store int64) {
 	for _, n := range f.nodes {
 		s := n.agent.distribution.relay.Stats()
 		peer += s.PeerParts
@@ -171,12 +171,14 @@
 	return peer, store
 }
 
-// spreadSizes are the fleets of TestWeightsSpread; docs/WEIGHTS.md names those of its figures.
+// spreadSizes lists the fleet sizes of TestWeightsSpread; docs/WEIGHTS.md names those of
+// its figures.
 var spreadSizes = flag.String("spread.sizes", "8,64", "numbers of agents of TestWeightsSpread")
 
 // TestWeightsSpread: all engines get each new version, while the parts are read
-// from the store about once and the store is asked for news at a bounded rate.
-// The times are those of the network alone: 1 ms one way, no bound of bytes.
+// from the store about once and the store is polled for new versions at a bounded rate.
+// The logged times include only the network's latency, 1 ms one way, and no bandwidth
+// limit.
 func TestWeightsSpread(t *testing.T) {
 	const parts, rounds = 24, 5
 	for _, size := range strings.Split(*spreadSizes, ",") {
@@ -185,22 +187,22 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			inFleet(t, fleetOptions{agents: agents, zones: 3}, func(f *fleet) {
-				began, asked := time.Now(), f.store.Counts().Reads
+			withFleet(t, fleetOptions{agents: agents, zones: 3}, func(f *fleet) {
+				began, readsBefore := time.Now(), f.store.Counts().Reads
 				var slowest, sum time.Duration
 				for range rounds {
 					f.publish(f.version+1, parts)
-					f.until(time.Minute, f.nodes...)
+					f.waitReady(time.Minute, f.nodes...)
 					took := f.spreadTime()
 					slowest, sum = max(slowest, took), sum+took
 					time.Sleep(20 * time.Second)
 				}
-				peer, store := f.relays()
-				reads := float64(f.store.Counts().Reads-asked) / time.Since(began).Seconds()
+				peer, store := f.partCounts()
+				reads := float64(f.store.Counts().Reads-readsBefore) / time.Since(began).Seconds()
 				t.Logf("%d agents: on all engines after mean %s, worst %s; store: %.2f parts of %d, %.1f reads/s",
 					agents, sum/rounds, slowest, float64(store)/rounds, parts, reads)
 				if store < rounds*parts || store > 2*rounds*parts || peer+store != int64(agents*parts*rounds) {
-					t.Fatalf("%d parts came from the store and %d from peers, want %d of them once from the store", store, peer, rounds*parts)
+					t.Fatalf("%d parts came from the store and %d from peers, want each of %d parts about once from the store", store, peer, rounds*parts)
 				}
 				if bound := 1.5*spread.DefaultStoreReads + rounds*2*parts/time.Since(began).Seconds(); reads > bound {
 					t.Fatalf("%.1f reads/s of the store, want at most %.1f", reads, bound)
@@ -210,8 +212,8 @@
 	}
 }
 
-// spreadTime is the time from the first agent's knowledge of the newest version
-// until now, when all have it.
+// spreadTime returns the time since the first agent learned of the newest version. It is
+// called when all engines have that version.
 func (f *fleet) spreadTime() time.Duration {
 	first := time.Now()
 	for _, n := range f.nodes {
--- a/service/agent/distributionfaults_test.go
+++ b/service/agent/distributionfaults_test.go
@@ -8,7 +8,8 @@
 	spread "mulberryscale.example/weights"
 )
 
-// byRank are the nodes by their place in the tree of a version, the root first.
+// byRank returns the nodes in the order of their ranks in the distribution tree of a
+// version, the root first.
 func (f *fleet) byRank(version uint64) []*node {
 	ranked := make([]*node, len(f.nodes))
 	for _, n := range f.nodes {
@@ -17,22 +18,24 @@
 	return ranked
 }
 
-// untilHalf waits until a node has fetched half of the parts from the store.
-func (f *fleet) untilHalf(n *node, parts int64) {
+// waitHalfFetched waits until a node has fetched half of the parts from the store.
+func (f *fleet) waitHalfFetched(n *node, parts int64) {
 	for n.agent.distribution.relay.Stats().StoreParts < parts/2 {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// TestWeightsSpreadUnderFaults: whatever fails, the engines that are left get
-// the version within the bound, and the store is not overrun.
+// TestWeightsSpreadUnderFaults: when agents crash or the store fails, the engines of the
+// remaining agents get the version within the bound, and the store serves a limited
+// number of parts.
 func TestWeightsSpreadUnderFaults(t *testing.T) {
 	const agents, parts, next = 24, 32, 4
 	cases := []struct {
 		name string
-		// fail brings the fault about and returns the nodes that are left.
+		// fail publishes the version, injects the fault and returns the remaining nodes.
 		fail func(f *fleet, ranked []*node) []*node
-		// bound is the longest time, storeParts the most parts from the store.
+		// bound is the time limit, and storeParts the largest number of parts that may be
+		// read from the store.
 		bound      time.Duration
 		storeParts int64
 		store      weights.Options
@@ -57,14 +60,14 @@
 		{name: "root dies halfway", bound: time.Minute, storeParts: 8 * parts, store: weights.Options{BytesPerSecond: 4 * partBytes},
 			fail: func(f *fleet, ranked []*node) []*node {
 				f.publish(next, parts)
-				f.untilHalf(ranked[0], parts)
+				f.waitHalfFetched(ranked[0], parts)
 				f.kill(ranked[0])
 				return ranked[1:]
 			}},
 		{name: "outage of the store", bound: time.Minute, storeParts: 8 * parts, store: weights.Options{BytesPerSecond: 4 * partBytes},
 			fail: func(f *fleet, ranked []*node) []*node {
 				f.publish(next, parts)
-				f.untilHalf(ranked[0], parts)
+				f.waitHalfFetched(ranked[0], parts)
 				f.store.Outage(true)
 				time.Sleep(time.Minute)
 				f.store.Outage(false)
@@ -78,17 +81,17 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inFleet(t, fleetOptions{agents: agents, zones: 3, store: c.store}, func(f *fleet) {
+			withFleet(t, fleetOptions{agents: agents, zones: 3, store: c.store}, func(f *fleet) {
 				left := c.fail(f, f.byRank(next))
-				took := f.until(c.bound, left...)
-				peer, store := f.relays()
-				t.Logf("last after %s, %d parts from the store, %d from peers", took[len(took)-1], store, peer)
+				took := f.waitReady(c.bound, left...)
+				peer, store := f.partCounts()
+				t.Logf("last engine after %s, %d parts from the store, %d from peers", took[len(took)-1], store, peer)
 				if store > c.storeParts {
 					t.Fatalf("%d parts came from the store, want at most %d", store, c.storeParts)
 				}
 				for _, n := range left {
 					if s := n.agent.distribution.relay.Stats(); s.PeakBytes > spread.DefaultWindow*partBytes {
-						t.Fatalf("%s held %d bytes", n.id, s.PeakBytes)
+						t.Fatalf("%s buffered %d bytes at its peak", n.id, s.PeakBytes)
 					}
 				}
 			})
--- a/service/agent/drain_test.go
+++ b/service/agent/drain_test.go
@@ -14,13 +14,13 @@
 	"mulberryscale.example/wire"
 )
 
-// watch collects an agent's reports with their arrival times until the stream ends.
+// watch collects an agent's reports, with their arrival times, until the stream ends.
 type watch struct {
 	s  transport.Stream
-	ch chan arrived
+	ch chan timedReport
 }
 
-type arrived struct {
+type timedReport struct {
 	*wire.Report
 	at time.Time
 }
@@ -28,7 +28,7 @@
 func (r *rig) watch(shortest, longest time.Duration) *watch {
 	w := &watch{
 		s:  r.open(wire.Request{Watch: &wire.Watch{MinInterval: shortest, MaxInterval: longest}}),
-		ch: make(chan arrived, 1000),
+		ch: make(chan timedReport, 1000),
 	}
 	go func() {
 		defer close(w.ch)
@@ -37,7 +37,7 @@
 			if w.s.Recv(&reply) != nil {
 				return
 			}
-			w.ch <- arrived{reply.Report, time.Now()}
+			w.ch <- timedReport{reply.Report, time.Now()}
 		}
 	}()
 	return w
@@ -56,7 +56,7 @@
 		if beat := <-w.ch; beat.at.Sub(began) != time.Second || beat.Seq <= first.Seq {
 			t.Fatalf("heartbeat %+v after %s", beat.Report, beat.at.Sub(began))
 		}
-		for i := range 20 { // changes come every 10 ms
+		for i := range 20 { // the report changes every 10 ms
 			go r.run(generation(string(rune('a' + i))))
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -72,7 +72,7 @@
 			n++
 		}
 		if n < 5 {
-			t.Fatalf("%d reports of a busy second", n)
+			t.Fatalf("%d reports in the second with changes", n)
 		}
 	})
 }
@@ -95,22 +95,22 @@
 			t.Fatalf("the waiting run was refused %s after the drain began: %v", time.Since(began), a.refusal())
 		}
 		if rep := <-w.ch; !rep.Draining || !rep.at.Equal(began) {
-			t.Fatalf("the watcher learned %+v after %s", rep.Report, rep.at.Sub(began))
+			t.Fatalf("the watcher got %+v after %s", rep.Report, rep.at.Sub(began))
 		}
 		wantRefusal(t, r.run(generation("new")), api.CodeDraining, api.NotRunTrue)
 		attached := r.async(&wire.Run{Key: "row/running", AttachOnly: true})
 		if err := <-drained; err != nil {
 			t.Fatal(err)
 		}
-		r.stop() // as the daemon does; what was answered must still arrive
+		r.stop() // as the daemon does; replies sent before must still arrive
 		if a := <-running; a.final.Done == nil || a.final.Done.Text != r.record("running").Text {
 			t.Fatalf("the running run got %+v", a)
 		}
 		if a := <-attached; a.final.Done == nil {
 			t.Fatalf("the attached reader got %+v", a)
 		}
-		r.never("queued")
-		r.never("new")
+		r.wantNotRun("queued")
+		r.wantNotRun("new")
 	})
 }
 
@@ -153,7 +153,7 @@
 	})
 }
 
-// document is a table of one trainer's row, made of the given one.
+// document returns a table with a single row for trainers, made from the given one.
 func document(version uint64, row table.Row) wire.TableDocument {
 	row.Name, row.Kind, row.Model = "trainer", table.KindTrainer, model
 	row.Share, row.Deadline, row.WaitShare = 1, time.Minute, 1
@@ -208,7 +208,7 @@
 	})
 }
 
-// TestRowsQueueIsBounded: the table's max_queue holds at the agent.
+// TestRowsQueueIsBounded: the agent enforces the max_queue of a table's row.
 func TestRowsQueueIsBounded(t *testing.T) {
 	var holder *tablesync.Holder
 	inBubble(t, engine.Options{Slots: 1}, func(c *Config) {
--- a/service/agent/fence_test.go
+++ b/service/agent/fence_test.go
@@ -15,191 +15,194 @@
 	"mulberryscale.example/wire"
 )
 
-// heldEngine holds orders up, as a frozen process or a slow connection does,
-// and lets them through later whatever has become of their sender.
-type heldEngine struct {
+// blockingEngine can block orders, like a frozen process or a slow connection, and
+// later passes them on to the engine even if their sender was replaced meanwhile.
+type blockingEngine struct {
 	endpoint.Engine
 	mu       sync.Mutex
-	hold     bool
+	block    bool
 	released chan struct{}
 	orders   int
 }
 
-func (h *heldEngine) Load(ctx context.Context, o endpoint.Order) error {
-	h.mu.Lock()
-	h.orders++
-	hold := h.hold
-	h.mu.Unlock()
-	if hold {
-		<-h.released
+func (b *blockingEngine) Load(ctx context.Context, o endpoint.Order) error {
+	b.mu.Lock()
+	b.orders++
+	block := b.block
+	b.mu.Unlock()
+	if block {
+		<-b.released
 		ctx = context.Background()
 	}
-	return h.Engine.Load(ctx, o)
+	return b.Engine.Load(ctx, o)
 }
 
-// twoAgents runs f with two agents, the older one's orders held up on demand,
-// beside one engine that obeys orders with any fencing number or checks it.
-func twoAgents(t *testing.T, ignoreFence bool, f func(t *testing.T, fl *fleet, held *heldEngine, older, newer *node)) {
+// twoAgents runs f with two agents of one engine, which ignores or checks fencing
+// numbers. The older agent runs, and its orders go through a blockingEngine; f starts
+// the newer one if it needs it.
+func twoAgents(t *testing.T, ignoreFence bool, f func(t *testing.T, fl *fleet, blocking *blockingEngine, older, newer *node)) {
 	t.Helper()
-	held := &heldEngine{released: make(chan struct{})}
+	blocking := &blockingEngine{released: make(chan struct{})}
 	o := fleetOptions{agents: 1, zones: 1, policy: table.SwapAtOnce, engine: engine.Options{IgnoreFence: ignoreFence, LoadTime: 100 * time.Millisecond}}
 	o.change = func(c *Config) {
-		if held.Engine == nil {
-			held.Engine = c.Engine
-			c.Engine = held
+		if blocking.Engine == nil {
+			blocking.Engine = c.Engine
+			c.Engine = blocking
 		}
 		c.TargetInterval = time.Second
 	}
-	inFleet(t, o, func(fl *fleet) {
-		held.released = make(chan struct{})
+	withFleet(t, o, func(fl *fleet) {
+		blocking.released = make(chan struct{})
 		older := fl.nodes[0]
 		newer := &node{id: older.id, engine: older.engine}
-		f(t, fl, held, older, newer)
+		f(t, fl, blocking, older, newer)
 		if newer.agent != nil {
 			fl.kill(newer)
 		}
 	})
 }
 
-// rigOf is a caller of a node's agent.
+// rigOf returns a rig whose requests go to a node's agent.
 func (f *fleet) rigOf(n *node) *rig {
 	return &rig{t: f.t, net: f.net, engine: n.engine, agent: n.agent, dialer: f.net.Dialer(entryID)}
 }
 
-// TestSupersededAgentGivesNoOrders: the engine would obey, and nobody told the
-// agent that another one had taken its place.
+// TestSupersededAgentGivesNoOrders: an agent must send no orders once another one of its
+// engine has drawn a fencing number. It is not notified of that, and the engine may
+// ignore fencing numbers.
 func TestSupersededAgentGivesNoOrders(t *testing.T) {
 	for _, ignoreFence := range []bool{true, false} {
 		t.Run(fmt.Sprintf("ignoreFence=%v", ignoreFence), func(t *testing.T) {
-			twoAgents(t, ignoreFence, func(t *testing.T, f *fleet, held *heldEngine, older, _ *node) {
+			twoAgents(t, ignoreFence, func(t *testing.T, f *fleet, blocking *blockingEngine, older, _ *node) {
 				if _, err := NewTableFencer(f.table, older.id).Next(t.Context()); err != nil {
 					t.Fatal(err)
 				}
-				if held.count() > 0 {
+				if blocking.orderCount() > 0 {
 					t.Fatal("orders before anything was published")
 				}
 				f.publish(4, 2)
 				time.Sleep(time.Minute)
-				if m := older.agent.Report().Models[0]; held.count() > 0 || m != (wire.ModelReport{Model: model, Version: 3, Ready: true}) {
-					t.Fatalf("the superseded agent gave %d orders and reports %+v", held.count(), m)
+				if m := older.agent.Report().Models[0]; blocking.orderCount() > 0 || m != (wire.ModelReport{Model: model, Version: 3, Ready: true}) {
+					t.Fatalf("the superseded agent gave %d orders and reports %+v", blocking.orderCount(), m)
 				}
 			})
 		})
 	}
 }
 
-// TestNoUnconfirmedOrders: with the table service down, an engine that does not
-// check fencing numbers keeps its weights and goes on serving.
+// TestNoUnconfirmedOrders: while the table service is down, an engine that does not
+// check fencing numbers gets no orders and stays in service with its old weights.
 func TestNoUnconfirmedOrders(t *testing.T) {
-	twoAgents(t, true, func(t *testing.T, f *fleet, held *heldEngine, older, _ *node) {
+	twoAgents(t, true, func(t *testing.T, f *fleet, blocking *blockingEngine, older, _ *node) {
 		f.table.Outage(true)
 		f.publish(4, 2)
 		for began := time.Now(); time.Since(began) < time.Minute; time.Sleep(50 * time.Millisecond) {
-			if m := older.agent.Report().Models[0]; held.count() > 0 || !m.Ready {
-				t.Fatalf("%d orders, %+v", held.count(), m)
+			if m := older.agent.Report().Models[0]; blocking.orderCount() > 0 || !m.Ready {
+				t.Fatalf("%d orders, %+v", blocking.orderCount(), m)
 			}
 		}
 		f.table.Outage(false)
-		f.until(30*time.Second, older)
+		f.waitReady(30*time.Second, older)
 	})
 }
 
-// TestLateOrderOfAFrozenAgent: an order is held up on its way, its sender is
-// replaced, newer weights are loaded, and then it reaches an engine that obeys.
-// While the table service is down nobody may order, and the engine stays out.
+// TestLateOrderOfAFrozenAgent: an order is delayed, its sender is replaced, the newer
+// agent loads newer weights, and then the order reaches an engine that ignores fencing
+// numbers. The newer agent must load its version again; while the table service is down
+// it may send no orders, so the engine must stay out of service.
 func TestLateOrderOfAFrozenAgent(t *testing.T) {
 	for _, outage := range []bool{false, true} {
 		t.Run(fmt.Sprintf("outage=%v", outage), func(t *testing.T) {
-			twoAgents(t, true, func(t *testing.T, f *fleet, held *heldEngine, older, newer *node) {
-				f.holdAnOrder(held)
+			twoAgents(t, true, func(t *testing.T, f *fleet, blocking *blockingEngine, older, newer *node) {
+				f.blockOrder(blocking)
 				f.start(newer, 0)
 				f.publish(5, 2)
-				f.until(30*time.Second, newer)
-				stop := f.keepAsking(newer, 5)
+				f.waitReady(30*time.Second, newer)
+				stop := f.keepRequesting(newer, 5)
 				time.Sleep(time.Second)
 				f.table.Outage(outage)
-				held.release() // version 4 arrives
+				blocking.release() // version 4 arrives
 				time.Sleep(150 * time.Millisecond)
-				f.wantVersion(newer, 4)
+				f.wantEngineVersion(newer, 4)
 				if outage {
 					time.Sleep(30 * time.Second)
-					f.wantVersion(newer, 4)
+					f.wantEngineVersion(newer, 4)
 					if m := newer.agent.Report().Models[0]; m.Ready {
 						t.Fatalf("with weights that nobody ordered the agent reports %+v", m)
 					}
 					f.table.Outage(false)
 				}
-				f.until(20*time.Second, newer)
+				f.waitReady(20*time.Second, newer)
 				time.Sleep(time.Minute)
-				f.wantVersion(newer, 5)
-				f.until(time.Second, newer)
+				f.wantEngineVersion(newer, 5)
+				f.waitReady(time.Second, newer)
 				stop()
 			})
 		})
 	}
 }
 
-// holdAnOrder lets the only agent's order for version 4 get stuck.
-func (f *fleet) holdAnOrder(held *heldEngine) {
-	held.mu.Lock()
-	held.hold = true
-	held.mu.Unlock()
+// blockOrder publishes version 4 and blocks the only agent's order for it.
+func (f *fleet) blockOrder(blocking *blockingEngine) {
+	blocking.mu.Lock()
+	blocking.block = true
+	blocking.mu.Unlock()
 	f.publish(4, 2)
 	time.Sleep(10 * time.Second)
-	if n := held.count(); n != 1 {
-		f.t.Fatalf("%d orders are held up, want 1", n)
+	if n := blocking.orderCount(); n != 1 {
+		f.t.Fatalf("%d orders were sent, want 1", n)
 	}
 }
 
-// count is how many orders were sent.
-func (h *heldEngine) count() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.orders
+// orderCount returns how many orders were sent, blocked ones included.
+func (b *blockingEngine) orderCount() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.orders
 }
 
-// release lets held orders through.
-func (h *heldEngine) release() {
-	h.mu.Lock()
-	h.hold = false
-	h.mu.Unlock()
-	close(h.released)
+// release passes the blocked orders on and blocks no more.
+func (b *blockingEngine) release() {
+	b.mu.Lock()
+	b.block = false
+	b.mu.Unlock()
+	close(b.released)
 }
 
-// wantVersion checks what a node's engine truly has.
-func (f *fleet) wantVersion(n *node, version uint64) {
+// wantEngineVersion checks the version that a node's engine itself reports.
+func (f *fleet) wantEngineVersion(n *node, version uint64) {
 	f.t.Helper()
 	if s, err := n.engine.Status(f.t.Context()); err != nil || s.Models[0].Version != version {
 		f.t.Fatalf("the engine has %+v (%v), want version %d", s.Models, err, version)
 	}
 }
 
-// keepAsking runs generations that need at least a version, until stop is
-// called, and checks what is delivered against the engine's records.
-func (f *fleet) keepAsking(n *node, least uint64) (stop func()) {
+// keepRequesting runs generations that need at least minVersion until stop is called,
+// and checks the delivered answers against the engine's records.
+func (f *fleet) keepRequesting(n *node, minVersion uint64) (stop func()) {
 	r := f.rigOf(n)
 	ended := make(chan struct{})
-	var asking sync.WaitGroup
-	asking.Go(func() {
+	var requests sync.WaitGroup
+	requests.Go(func() {
 		defer r.dialer.Close()
 		for i := 0; ; i++ {
 			select {
 			case <-ended:
 				return
 			case <-time.After(20 * time.Millisecond):
-				f.askOnce(r, fmt.Sprint("g-", i), least)
+				f.requestOnce(r, fmt.Sprint("g-", i), minVersion)
 			}
 		}
 	})
 	return func() {
 		close(ended)
-		asking.Wait()
+		requests.Wait()
 	}
 }
 
-func (f *fleet) askOnce(r *rig, id string, least uint64) {
+func (f *fleet) requestOnce(r *rig, id string, minVersion uint64) {
 	req := generation(id)
-	req.MinVersion = least
+	req.MinVersion = minVersion
 	a := r.run(req)
 	if a.final.Done == nil {
 		return
@@ -208,19 +211,19 @@
 		f.t.Errorf("delivered as %v, the engine used %v", a.final.Done.Spans, rec.Spans)
 	}
 	for _, s := range a.final.Done.Spans {
-		if s.Version < least {
-			f.t.Errorf("version %d was delivered, want at least %d", s.Version, least)
+		if s.Version < minVersion {
+			f.t.Errorf("version %d was delivered, want at least %d", s.Version, minVersion)
 		}
 	}
 }
 
-// TestRollingSwapTakesTurns: at most a share of the engines loads at a time,
-// and a request that needs newer weights brings the turn forward.
+// TestRollingSwapTakesTurns: in a rolling swap only a few engines load at the same time,
+// and a request that needs newer weights makes its engine swap early.
 func TestRollingSwapTakesTurns(t *testing.T) {
 	const agents, load = 12, 2 * time.Second
 	o := fleetOptions{agents: agents, zones: 3, policy: table.SwapRolling, engine: engine.Options{LoadTime: load}}
 	o.change = func(c *Config) { c.SwapWindow = 24 * time.Second }
-	inFleet(t, o, func(f *fleet) {
+	withFleet(t, o, func(f *fleet) {
 		f.publish(4, 2)
 		most := 0
 		for began := time.Now(); time.Since(began) < time.Minute; time.Sleep(100 * time.Millisecond) {
@@ -232,11 +235,12 @@
 			}
 			most = max(most, loading)
 		}
-		// One engine after another would do; the polls' interval adds one.
+		// Turns are 2 s apart and a load takes 2 s, so one engine would load at a time; the
+		// interval of the status polls adds one.
 		if most == 0 || most > 3 {
-			t.Fatalf("%d of %d engines were loading at a time", most, agents)
+			t.Fatalf("%d of %d engines were loading at the same time", most, agents)
 		}
-		f.until(time.Second, f.nodes...)
+		f.waitReady(time.Second, f.nodes...)
 		f.publish(5, 2)
 		time.Sleep(5 * time.Second)
 		last := f.byRank(5)[agents-1]
--- a/service/agent/fuzz_test.go
+++ b/service/agent/fuzz_test.go
@@ -15,53 +15,54 @@
 	"mulberryscale.example/wire"
 )
 
-// asked is a request on its way and the stream that an impatient entry closes.
-type asked struct {
-	key string
-	s   transport.Stream
-	ch  chan answer
-	cut bool
-	// known is how many runs of the key the engine had when the answer ended.
-	known int
+// pendingRun is a request with its stream, which the entry may close early.
+type pendingRun struct {
+	key    string
+	s      transport.Stream
+	ch     chan answer
+	closed bool
+	// engineRuns is how many runs of the key the engine had recorded when the stream ended.
+	engineRuns int
 }
 
-// fuzz is one agent under random use and faults, with what it answered.
-type fuzz struct {
+// fuzzer drives one agent with random requests and faults.
+type fuzzer struct {
 	*rig
-	p     *publisher
-	asked []*asked
-	// fenced are the keys that never ran, as their fences said.
+	p       *publisher
+	pending []*pendingRun
+	// fenced are the keys that never ran according to the replies to their fences.
 	fenced map[string]bool
 	n      int
 }
 
-// bubbleTB hides the test's Deadline, which may not be asked in a bubble.
+// bubbleTB hides the test's Deadline method, which must not be called in a synctest
+// bubble.
 type bubbleTB struct{ testing.TB }
 
-// TestAgentFuzz drives an agent at random; its oracle is what the stand-in
-// engine records.
+// TestAgentFuzz drives an agent with random requests and faults, and compares its replies
+// with the records of the stand-in engine.
 func TestAgentFuzz(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(bubbleTB{t}, func(rt *rapid.T) {
-			f := &fuzz{p: &publisher{}, fenced: make(map[string]bool)}
+			f := &fuzzer{p: &publisher{}, fenced: make(map[string]bool)}
 			f.rig = newRig(t, engine.Options{Slots: 2, LoadTime: 300 * time.Millisecond}, func(c *Config) {
 				c.Targets, c.Fencer, c.TargetInterval = f.p, countingFencer{}, time.Second
 			})
 			defer func() {
 				f.engine.Thaw()
 				f.close()
-				time.Sleep(time.Second) // until the engine's loads have ended
+				time.Sleep(time.Second) // until the engine's loads have finished
 			}()
 			f.run(rt)
 			f.engine.Thaw()
-			for _, a := range f.asked {
+			for _, a := range f.pending {
 				f.check(rt, a, <-a.ch)
 			}
 		})
 	})
 }
 
-func (f *fuzz) run(rt *rapid.T) {
+func (f *fuzzer) run(rt *rapid.T) {
 	version := uint64(3)
 	key := func(t *rapid.T) string { return rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "key") }
 	rt.Repeat(map[string]func(*rapid.T){
@@ -73,18 +74,18 @@
 			req.Budget = time.Duration(rapid.IntRange(1, 4000).Draw(t, "budget")) * time.Millisecond
 			req.Linger = time.Duration(rapid.IntRange(0, 2).Draw(t, "linger")) * time.Second
 			req.MinVersion = version - uint64(rapid.IntRange(0, 1).Draw(t, "behind"))
-			a := &asked{key: k, s: f.open(wire.Request{Run: req}), ch: make(chan answer, 1)}
+			a := &pendingRun{key: k, s: f.open(wire.Request{Run: req}), ch: make(chan answer, 1)}
 			go func() {
 				got := read(a.s)
-				a.known = len(f.records(k))
+				a.engineRuns = len(f.records(k))
 				a.ch <- got
 			}()
-			f.asked = append(f.asked, a)
+			f.pending = append(f.pending, a)
 		},
 		"leave": func(t *rapid.T) {
-			if len(f.asked) > 0 {
-				a := rapid.SampledFrom(f.asked).Draw(t, "asked")
-				a.cut = true
+			if len(f.pending) > 0 {
+				a := rapid.SampledFrom(f.pending).Draw(t, "asked")
+				a.closed = true
 				a.s.Close()
 			}
 		},
@@ -122,18 +123,18 @@
 			synctest.Wait()
 			for k := range f.fenced {
 				if len(f.records(k)) > 0 {
-					t.Fatalf("%s never ran, says its fence, and the engine has it", k)
+					t.Fatalf("the fence said that %s never ran, but the engine has a run of it", k)
 				}
 			}
 			if rep := f.agent.Report(); rep.Running > 2 {
-				t.Fatalf("report %+v of an engine with two slots", rep)
+				t.Fatalf("an engine with two slots is reported as %+v", rep)
 			}
 		},
 	})
 }
 
-// records are the engine's runs of a key.
-func (f *fuzz) records(key string) []engine.Record {
+// records returns the engine's records of a key's runs.
+func (f *fuzzer) records(key string) []engine.Record {
 	var found []engine.Record
 	for _, rec := range f.engine.Records() {
 		if rec.Prompt == "prompt of "+key {
@@ -143,8 +144,8 @@
 	return found
 }
 
-// check compares an answer with the engine's records.
-func (f *fuzz) check(t *rapid.T, a *asked, got answer) {
+// check compares a received answer with the engine's records.
+func (f *fuzzer) check(t *rapid.T, a *pendingRun, got answer) {
 	switch {
 	case got.final.Done != nil:
 		rec := f.record(got.final.Done.RunID)
@@ -152,10 +153,10 @@
 			t.Fatalf("%s got %+v, the engine made %+v", a.key, got.final.Done, rec)
 		}
 	case got.final.Refusal == nil:
-		if !a.cut {
-			t.Fatalf("%s got no end: %v", a.key, got.err)
+		if !a.closed {
+			t.Fatalf("%s got no final reply: %v", a.key, got.err)
 		}
-	case got.final.Refusal.NotRun == api.NotRunTrue && a.known > 0:
-		t.Fatalf("%s ran %d times and got %v", a.key, a.known, got.final.Refusal)
+	case got.final.Refusal.NotRun == api.NotRunTrue && a.engineRuns > 0:
+		t.Fatalf("%s ran %d times, but was refused as not run: %v", a.key, a.engineRuns, got.final.Refusal)
 	}
 }
--- a/service/agent/interactive_test.go
+++ b/service/agent/interactive_test.go
@@ -16,21 +16,21 @@
 
 const lookups = 150
 
-// lookupTimes are in microseconds.
+// lookupTimes holds the measured times of lookups, in microseconds.
 type lookupTimes struct {
-	first, whole *hdrhistogram.Histogram
-	// training is the tokens a second that trainers got beside the lookups.
+	first, whole *hdrhistogram.Histogram // until the first chunk and until the final reply
+	// training is the tokens per second generated for trainers meanwhile.
 	training float64
 }
 
-func newTimes() *hdrhistogram.Histogram {
+func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 }
 
-// measureLookups sends lookups at random times, beside trainers that keep
-// their queues full, and measures each until its first and its last chunk.
+// measureLookups sends interactive lookups at random times, while trainers keep their
+// queues full, and measures the time of each until its first chunk and its final reply.
 func measureLookups(t *testing.T, setting func(*Config), trainers int) lookupTimes {
-	times := lookupTimes{first: newTimes(), whole: newTimes()}
+	times := lookupTimes{first: newHistogram(), whole: newHistogram()}
 	inBubble(t, engine.Options{Slots: 8, ChunkTokens: 16}, setting, func(t *testing.T, r *rig) {
 		stop := make(chan struct{})
 		var all sync.WaitGroup
@@ -53,10 +53,10 @@
 		began := time.Now()
 		rng := rand.New(rand.NewPCG(1, 2))
 		var mu sync.Mutex
-		var asked sync.WaitGroup
+		var requests sync.WaitGroup
 		for i := range lookups {
 			time.Sleep(time.Duration(rng.ExpFloat64() * float64(200*time.Millisecond)))
-			asked.Go(func() {
+			requests.Go(func() {
 				req := generation(fmt.Sprint("lookup", i))
 				req.Row, req.Class, req.Key = "web", wire.ClassInteractive, ""
 				a := r.run(req)
@@ -69,7 +69,7 @@
 				times.whole.RecordValue(a.took.Microseconds())
 			})
 		}
-		asked.Wait()
+		requests.Wait()
 		times.training = float64(r.trainingTokens()) / time.Since(began).Seconds()
 		close(stop)
 		all.Wait()
@@ -89,10 +89,10 @@
 	return n
 }
 
-// TestInteractiveBesideTraining: saturated trainers lengthen the lookups' p99
-// to no more than 1.5 times what it is alone, until the first chunk and in
-// whole, and the mean time to the first chunk to no more than 1.2 times.
-// Without a reserve and preemption that is over 1.3 times.
+// TestInteractiveBesideTraining compares lookups that share the engine with saturated
+// trainers to lookups alone. With preemption, the p99 until the first chunk and until
+// the end may be at most 1.5 times as long, and the mean until the first chunk at most
+// 1.2 times. Without a reserve and preemption that mean is over 1.3 times as long.
 func TestInteractiveBesideTraining(t *testing.T) {
 	measure := func(name string, trainers int, setting func(*Config)) lookupTimes {
 		m := measureLookups(t, setting, trainers)
@@ -106,10 +106,10 @@
 	measure("with both", 3, func(c *Config) { c.InteractiveReserve = 1 })
 	without := measure("without either", 3, func(c *Config) { c.NoPreemption = true })
 	if 2*p99(beside.whole) > 3*p99(alone.whole) || 2*p99(beside.first) > 3*p99(alone.first) || beside.first.Mean() > 1.2*alone.first.Mean() {
-		t.Error("beside trainers the lookups take too long")
+		t.Error("lookups take too long beside trainers")
 	}
 	if without.first.Mean() <= 1.3*alone.first.Mean() {
-		t.Error("without the mechanisms nothing changes: this test shows nothing")
+		t.Error("without preemption and a reserve the lookups take no longer: this test shows nothing")
 	}
 }
 
--- a/service/agent/poll.go
+++ b/service/agent/poll.go
@@ -78,7 +78,7 @@
 	}
 	a.mu.Unlock()
 	if wasHealthy {
-		a.log.WithError(err).Warn("engine does not answer status requests")
+		a.log.WithError(err).Warn("engine does not answer")
 		a.urgent.Fire()
 	}
 	for _, j := range running {
@@ -147,7 +147,7 @@
 	if version != m.version {
 		m.version = version
 		m.newestReported = max(m.newestReported, version)
-		a.logModel(m).Info("engine reports a new version")
+		a.logModel(m).Info("model version changed")
 		a.changed.Fire()
 		a.urgent.Fire()
 	}
--- a/service/agent/rig_test.go
+++ b/service/agent/rig_test.go
@@ -22,7 +22,7 @@
 	model   = "guide"
 )
 
-// TestMain fixes rapid's seed; -rapid.seed on the command line wins.
+// TestMain sets a fixed default for rapid's seed; -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// rig is an agent beside a stand-in engine on a network in memory.
+// rig is an agent with a stand-in engine on an in-memory network.
 type rig struct {
 	t      testing.TB
 	net    *memtransport.Network
@@ -41,7 +41,7 @@
 	ended  chan struct{}
 }
 
-// newRig starts an agent; change may adapt its configuration.
+// newRig starts an agent; change, if not nil, may modify its configuration.
 func newRig(t testing.TB, o engine.Options, change func(*Config)) *rig {
 	t.Helper()
 	if o.Models == nil {
@@ -78,14 +78,14 @@
 	r.dialer.Close()
 }
 
-// answer is what a call received.
+// answer is the reply to a request, as received.
 type answer struct {
-	text    string // of the chunks
+	text    string // text of the chunks
 	chunks  int
 	final   wire.Reply
 	err     error
-	started time.Duration // until the first chunk
-	took    time.Duration
+	started time.Duration // time until the first chunk
+	took    time.Duration // time until the final reply
 }
 
 func (a answer) refusal() *api.Refusal {
@@ -95,7 +95,7 @@
 	return a.final.Refusal
 }
 
-// open sends a request; the caller closes the stream.
+// open sends a request and returns its stream, which the caller closes.
 func (r *rig) open(req wire.Request) transport.Stream {
 	r.t.Helper()
 	s, err := r.dialer.Open(context.Background(), r.agent.Addr())
@@ -108,7 +108,7 @@
 	return s
 }
 
-// read takes an answer to its end.
+// read receives an answer until its final reply or an error, and closes the stream.
 func read(s transport.Stream) answer {
 	defer s.Close()
 	var a answer
@@ -139,7 +139,7 @@
 
 func (r *rig) run(req *wire.Run) answer { return r.call(wire.Request{Run: req}) }
 
-// async reads an answer in the background.
+// async starts a run and reads its answer in the background.
 func (r *rig) async(req *wire.Run) <-chan answer {
 	s := r.open(wire.Request{Run: req})
 	ch := make(chan answer, 1)
@@ -147,7 +147,8 @@
 	return ch
 }
 
-// generation asks for a text; the stand-in ends it at about 64 tokens.
+// generation returns a run that generates a text; the stand-in engine finishes it after
+// about 64 tokens.
 func generation(id string) *wire.Run {
 	return &wire.Run{
 		RunID: id, Key: "row/" + id, Row: "trainer", Class: wire.ClassTraining, Budget: time.Minute,
@@ -155,7 +156,7 @@
 	}
 }
 
-// record is the engine's truth about a run; it fails unless there is one.
+// record returns the engine's record of a run, and fails unless there is exactly one.
 func (r *rig) record(id string) engine.Record {
 	r.t.Helper()
 	var found []engine.Record
@@ -165,28 +166,29 @@
 		}
 	}
 	if len(found) != 1 {
-		r.t.Fatalf("run %s was begun %d times on the engine", id, len(found))
+		r.t.Fatalf("run %s was started %d times on the engine", id, len(found))
 	}
 	return found[0]
 }
 
-func (r *rig) never(id string) {
+// wantNotRun checks that a run was not started on the engine.
+func (r *rig) wantNotRun(id string) {
 	r.t.Helper()
 	for _, rec := range r.engine.Records() {
 		if rec.RunID == id {
-			r.t.Fatalf("run %s was begun on the engine", id)
+			r.t.Fatalf("run %s was started on the engine", id)
 		}
 	}
 }
 
-// wantRefusal checks a refused answer.
+// wantRefusal checks that an answer is this refusal and names its peer and step.
 func wantRefusal(t testing.TB, a answer, code api.Code, notRun api.NotRun) {
 	t.Helper()
 	if ref := a.refusal(); ref.Code != code || ref.NotRun != notRun {
 		t.Fatalf("got %+v (%v), want %s with not_run %s", a.final, a.err, code, notRun)
 	}
 	if a.refusal().Peer != agentID || !strings.HasPrefix(a.refusal().Step, "agent.") {
-		t.Fatalf("the refusal %v names no peer and step", a.final.Refusal)
+		t.Fatalf("the refusal %v lacks its peer or step", a.final.Refusal)
 	}
 }
 
--- a/service/agent/run_test.go
+++ b/service/agent/run_test.go
@@ -25,7 +25,7 @@
 			t.Fatalf("labelled %v, the engine used %v", done.Spans, rec.Spans)
 		}
 		if a.chunks < 2 || a.final.Report == nil || a.final.Header.Incarnation != r.agent.Incarnation() {
-			t.Fatalf("want chunks as they come and a report at the end, got %+v", a)
+			t.Fatalf("want several chunks and a report in the final reply, got %+v", a)
 		}
 	})
 }
@@ -44,7 +44,7 @@
 		req.MinVersion = 3
 		req.Generate.Prefix, req.Generate.PrefixSpans = "old ", []api.VersionSpan{{Version: 2, Tokens: 1}}
 		wantRefusal(t, r.run(req), api.CodeStale, api.NotRunTrue)
-		r.never("h")
+		r.wantNotRun("h")
 	})
 }
 
@@ -61,7 +61,7 @@
 		if a.final.Done == nil || a.final.Done.Text != r.record("g").Text || !strings.HasPrefix(a.final.Done.Text, a.text) {
 			t.Fatalf("the attached reader got %+v", a)
 		}
-		r.never("other")
+		r.wantNotRun("other")
 		time.Sleep(30 * time.Second)
 		late := r.run(&wire.Run{Key: req.Key, AttachOnly: true})
 		if late.final.Done == nil || late.final.Done.Text != a.final.Done.Text {
@@ -79,13 +79,13 @@
 		waiting := r.open(wire.Request{Run: generation("waiting")})
 		time.Sleep(30 * time.Millisecond)
 		waiting.Close()
-		synctest.Wait() // else the slot may be free before the agent sees that nobody waits
+		synctest.Wait() // otherwise the slot may become free before the agent sees the closed stream
 		s.Close()
 		time.Sleep(10 * time.Millisecond)
 		if rec := r.record("running"); !rec.Cancelled {
 			t.Fatalf("the engine still runs %+v", rec)
 		}
-		r.never("waiting")
+		r.wantNotRun("waiting")
 		if rep := r.agent.Report(); rep.Running != 0 || rep.Queued != 0 {
 			t.Fatalf("report %+v", rep)
 		}
@@ -101,7 +101,7 @@
 		short := generation("short")
 		short.Budget = 20 * time.Millisecond
 		wantRefusal(t, r.run(short), api.CodeDeadline, api.NotRunTrue)
-		r.never("short")
+		r.wantNotRun("short")
 		a := <-running
 		wantRefusal(t, a, api.CodeDeadline, api.NotRunFalse)
 		if rec := r.record("long"); !rec.Cancelled || a.text == "" || a.text != rec.Text {
@@ -128,12 +128,12 @@
 		a := r.run(req)
 		wantRefusal(t, a, api.CodeStale, api.NotRunTrue)
 		if a.refusal().Step != stepAdmit {
-			t.Fatalf("what can be foreseen was refused late: %v", a.refusal())
+			t.Fatalf("the run was not refused on admission: %v", a.refusal())
 		}
-		r.never("before")
-		r.agent.LearnTarget(model, 4) // published, and no order has gone out
+		r.wantNotRun("before")
+		r.agent.LearnTarget(model, 4) // published, but not ordered yet
 		wantRefusal(t, r.run(req), api.CodeStale, api.NotRunTrue)
-		r.never("before")
+		r.wantNotRun("before")
 
 		req = generation("during")
 		req.MinVersion = 3
@@ -179,11 +179,11 @@
 		if a.err == nil {
 			wantRefusal(t, a, api.CodeTooLarge, api.NotRunTrue)
 		}
-		r.never("g")
+		r.wantNotRun("g")
 	})
 }
 
-// plainRig is an agent beside a plain service.
+// plainRig runs f with an agent of a stand-in plain service.
 func plainRig(t *testing.T, f func(t *testing.T, r *rig, s *plain.Service)) {
 	var s *plain.Service
 	inBubble(t, engine.Options{}, func(c *Config) {
@@ -257,6 +257,6 @@
 		if a := <-running; a.final.Done == nil {
 			t.Fatalf("the running run got %+v", a)
 		}
-		r.never("queued")
+		r.wantNotRun("queued")
 	})
 }
--- a/service/agent/weights_test.go
+++ b/service/agent/weights_test.go
@@ -18,7 +18,7 @@
 	"mulberryscale.example/wire"
 )
 
-// publisher is a Targets that a test sets.
+// publisher is a Targets whose version is set by a test.
 type publisher struct {
 	mu      sync.Mutex
 	version uint64
@@ -63,7 +63,7 @@
 	})
 }
 
-// report is what the agent reports of the model now.
+// report returns the agent's current report of the model.
 func (r *weightsRig) report() wire.ModelReport {
 	for _, m := range r.agent.Report().Models {
 		if m.Model == model {
@@ -73,8 +73,9 @@
 	return wire.ModelReport{}
 }
 
-// until sleeps until the model is reported as ready at the version.
-func (r *weightsRig) until(version uint64, bound time.Duration) time.Duration {
+// waitReady waits until the version is reported as ready, and returns how long that
+// took. It fails after bound.
+func (r *weightsRig) waitReady(version uint64, bound time.Duration) time.Duration {
 	r.t.Helper()
 	began := time.Now()
 	for time.Since(began) < bound {
@@ -87,8 +88,9 @@
 	return 0
 }
 
-// truth checks that what is reported as ready is what the engine has.
-func (r *weightsRig) truth() {
+// wantReportedVersion checks that a version reported as ready is the one that the engine
+// has.
+func (r *weightsRig) wantReportedVersion() {
 	r.t.Helper()
 	s, err := r.engine.Status(context.Background())
 	rep := r.report()
@@ -103,7 +105,7 @@
 		running := r.async(generation("g"))
 		synctest.Wait()
 		r.p.publish(4)
-		r.until(4, 5*time.Second)
+		r.waitReady(4, 5*time.Second)
 		a := <-running
 		rec := r.record("g")
 		if a.final.Done == nil || a.final.Done.Text != rec.Text || len(a.final.Done.Spans) != 2 {
@@ -125,11 +127,11 @@
 		r.p.publish(4)
 		time.Sleep(2 * time.Second)
 		if r.report().Ready {
-			t.Fatal("a model that is to be swapped is reported as ready")
+			t.Fatal("a model that drains for a swap is reported as ready")
 		}
 		queued := r.async(generation("new"))
 		synctest.Wait()
-		r.never("new")
+		r.wantNotRun("new")
 		if a := <-running; len(a.final.Done.Spans) != 1 || a.final.Done.Spans[0].Version != 3 {
 			t.Fatalf("the running stream got %v", a.final.Done.Spans)
 		}
@@ -146,9 +148,9 @@
 		began := time.Now()
 		for time.Since(began) < 3*time.Second {
 			time.Sleep(10 * time.Millisecond)
-			r.truth()
+			r.wantReportedVersion()
 		}
-		r.until(4, time.Minute)
+		r.waitReady(4, time.Minute)
 	})
 }
 
@@ -156,13 +158,13 @@
 	weightsTest(t, engine.Options{LoadTime: 200 * time.Millisecond}, table.SwapAtOnce, func(t *testing.T, r *weightsRig) {
 		r.engine.LoseNextLoadReplies(1)
 		r.p.publish(4)
-		r.until(4, 3*time.Second)
-		r.truth()
+		r.waitReady(4, 3*time.Second)
+		r.wantReportedVersion()
 	})
 }
 
-// TestLaggingStatusIsNotBelieved: a status from before an order's end does not
-// bring the old weights back into service, nor a second order.
+// TestLaggingStatusIsNotBelieved: a status from before an order's completion must neither
+// put the old weights back into service nor cause a second order.
 func TestLaggingStatusIsNotBelieved(t *testing.T) {
 	weightsTest(t, engine.Options{LoadTime: 100 * time.Millisecond}, table.SwapAtOnce, func(t *testing.T, r *weightsRig) {
 		r.engine.StatusLag(time.Second)
@@ -183,7 +185,8 @@
 	})
 }
 
-// TestBrokenWeightsAreTakenOut: somebody else's load fails partway.
+// TestBrokenWeightsAreTakenOut: a load that this agent did not order fails halfway. The
+// model must leave service and its queued runs must be refused.
 func TestBrokenWeightsAreTakenOut(t *testing.T) {
 	weightsTest(t, engine.Options{Slots: 1}, table.SwapAtOnce, func(t *testing.T, r *weightsRig) {
 		r.engine.SlowBy(100)
@@ -200,8 +203,8 @@
 		}
 		wantRefusal(t, <-queued, api.CodeNoEndpoint, api.NotRunTrue)
 		wantRefusal(t, r.run(generation("new")), api.CodeNoEndpoint, api.NotRunTrue)
-		r.never("queued")
-		r.never("new")
+		r.wantNotRun("queued")
+		r.wantNotRun("new")
 		r.engine.Crash()
 		<-running
 	})
@@ -213,11 +216,11 @@
 		time.Sleep(50 * time.Millisecond)
 		r.engine.Crash()
 		wantRefusal(t, <-running, api.CodeEndpointFailed, api.NotRunFalse)
-		synctest.Wait() // the broken stream makes the agent ask at once
+		synctest.Wait() // the broken stream makes the agent request a status at once
 		if r.report().Ready {
 			t.Fatal("an engine without weights is reported as ready")
 		}
-		r.until(3, 5*time.Second)
+		r.waitReady(3, 5*time.Second)
 	})
 }
 
@@ -230,7 +233,7 @@
 		if err := r.engine.Load(t.Context(), endpoint.Order{Fence: next, Model: model, Version: 5}); err != nil {
 			t.Fatal(err)
 		}
-		r.p.publish(6) // this agent's number is older
+		r.p.publish(6) // this agent's fencing number is smaller
 		time.Sleep(30 * time.Second)
 		if rep := r.report(); rep != (wire.ModelReport{Model: model, Version: 5, Ready: true}) {
 			t.Fatalf("the older agent reports %+v", rep)
@@ -240,7 +243,7 @@
 
 func TestNoOrdersWithoutFencingNumber(t *testing.T) {
 	weightsTest(t, engine.Options{}, table.SwapAtOnce, func(t *testing.T, r *weightsRig) {
-		r.until(3, time.Second) // the first number was drawn before
+		r.waitReady(3, time.Second) // by then the agent has drawn its fencing number
 		r.agent.mu.Lock()
 		r.agent.fence = 0
 		r.agent.mu.Unlock()
@@ -270,8 +273,8 @@
 		if a := r.run(generation("after")); a.final.Done == nil {
 			t.Fatalf("after the thaw: %+v", a)
 		}
-		r.never("queued")
-		r.never("new")
+		r.wantNotRun("queued")
+		r.wantNotRun("new")
 	})
 }
 
@@ -298,11 +301,11 @@
 			last = max(last, n)
 		}
 		if last < 8 {
-			t.Fatalf("numbers lost with their replies were given out again: %d", last)
+			t.Fatalf("numbers whose replies were lost were drawn again: %d", last)
 		}
 		store.StaleReads(true)
 		if n, err := one.Next(t.Context()); err != nil || n <= last {
-			t.Fatalf("before anything is stale: %d, %v", n, err)
+			t.Fatalf("before a read is stale: %d, %v", n, err)
 		}
 		if n, err := two.Next(t.Context()); !errors.Is(err, platform.ErrPrecondition) {
 			t.Fatalf("on a stale read: %d, %v", n, err)
@@ -314,7 +317,7 @@
 	})
 }
 
-// countingFencer always gives the first number.
+// countingFencer always returns 1.
 type countingFencer struct{}
 
 func (countingFencer) Next(context.Context) (uint64, error) { return 1, nil }
