--- a/forward/abandoned.go
+++ b/forward/abandoned.go
@@ -10,25 +10,25 @@
 	"mulberryscale.example/quarantine"
 )
 
-// unlistTime is how long after the end of an endpoint the list of instances has
-// dropped it: three heartbeats and what the news takes.
+// unlistTime is how long after an endpoint's crash the list of instances has dropped it: three
+// heartbeats and the propagation of the change.
 const unlistTime = 5 * time.Second
 
-// maxAbandoned bounds the sends that are kept, the newest of them.
+// maxAbandoned limits the sends that are kept; the oldest are dropped.
 const maxAbandoned = 256
 
-// abandonedSend is a send that got no answer.
+// abandonedSend is a send without an answer.
 type abandonedSend struct {
 	to   fleet.Instance
 	sent time.Time
-	// fingerprint is its request's, abandonedAt when that was given up.
+	// fingerprint is that of the request's content, abandonedAt when the request was given up.
 	fingerprint quarantine.Fingerprint
 	abandonedAt time.Time
 }
 
-// abandonedSends are the sends of requests that were given up: a caller that leaves, or a
-// timeout, hides that an endpoint ends under its request, and the list of instances
-// tells it seconds later. It is safe for concurrent use.
+// abandonedSends holds the unanswered sends of requests that were given up. If the caller leaves
+// or a timeout passes, nobody sees that the endpoint crashes under the request; the list of
+// instances shows it seconds later. It is safe for concurrent use.
 type abandonedSends struct {
 	mu   sync.Mutex
 	list []abandonedSend
@@ -41,30 +41,30 @@
 	l.list = l.list[max(0, len(l.list)-maxAbandoned):]
 }
 
-// takeCrashed takes out those whose endpoints have gone from the list without notice, and
-// forgets those that say nothing any more.
-func (l *abandonedSends) takeCrashed(snap *fleet.Snapshot, now time.Time) (ended []abandonedSend) {
+// takeCrashed removes and returns the sends whose endpoints have left the list without announcing
+// it. It also drops sends whose endpoints are shutting down and those older than unlistTime.
+func (l *abandonedSends) takeCrashed(snap *fleet.Snapshot, now time.Time) (crashed []abandonedSend) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.list = slices.DeleteFunc(l.list, func(s abandonedSend) bool {
 		gone := !snap.Lists(s.to)
 		if gone {
-			ended = append(ended, s)
+			crashed = append(crashed, s)
 		}
 		return gone || snap.Leaves(s.to) || now.Sub(s.abandonedAt) > unlistTime
 	})
-	return ended
+	return crashed
 }
 
-// keepAbandoned keeps the sends of a call that was given up.
+// keepAbandoned keeps the unanswered sends of a call that was given up.
 func (c *call) keepAbandoned() {
-	for _, lost := range c.unanswered {
-		lost.fingerprint, lost.abandonedAt = c.fingerprint, time.Now()
-		c.abandoned.add(lost)
+	for _, send := range c.unanswered {
+		send.fingerprint, send.abandonedAt = c.fingerprint, time.Now()
+		c.abandoned.add(send)
 	}
 }
 
-// reportAbandonedCrashes tells the quarantine of the ends that the list of instances has told.
+// reportAbandonedCrashes reports to the quarantine the crashes that the list of instances shows.
 func (f *Forwarder) reportAbandonedCrashes() {
 	now := time.Now()
 	for _, s := range f.abandoned.takeCrashed(f.View.Snapshot(), now) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// WatchCrashes looks out for the ends of endpoints that left requests without an answer,
-// until ctx ends.
+// WatchCrashes watches the list of instances for crashes of endpoints that left requests without
+// an answer, until ctx is cancelled.
 func (f *Forwarder) WatchCrashes(ctx context.Context) {
 	for {
 		changed := f.View.Changed()
--- a/forward/call.go
+++ b/forward/call.go
@@ -12,16 +12,16 @@
 	"mulberryscale.example/quarantine"
 )
 
-// maxParallel is how many endpoints may work at one request at once.
+// maxParallel is the number of endpoints that may work on one request at the same time.
 const maxParallel = 2
 
-// call is one request on its way. Its methods are called by one goroutine, but
-// hasEnded, which reads what does not change.
+// call is the forwarding of one request. Its methods are called by one goroutine, except for
+// reportIfCrashed, which reads only what does not change.
 type call struct {
 	*Forwarder
 	request     *Request
 	fingerprint quarantine.Fingerprint
-	// trial says that the content is held and this call tries it out.
+	// trial is set if the content is quarantined and this call is its trial.
 	trial   bool
 	tried   map[fleet.Incarnation]bool
 	results chan attempt
@@ -29,35 +29,34 @@
 	// sent counts the endpoints that the request may have reached.
 	sent   int
 	lastTo fleet.Instance
-	// lastSent is when it was sent there.
+	// lastSent is when the request was sent to lastTo.
 	lastSent time.Time
-	// unanswered are the endpoints that have it and gave no answer, with when it was
-	// sent there.
+	// unanswered holds the sends without an answer so far, by endpoint.
 	unanswered map[fleet.Incarnation]abandonedSend
-	// retryTimer fires when a request that waits for its retryTimer is to try again; waited is
-	// how long it has waited so far.
+	// retryTimer fires when a risky request that waits for an endpoint without another one is to
+	// try again; riskyWait is how long it has waited so far.
 	retryTimer <-chan time.Time
 	riskyWait  time.Duration
-	// failures counts the endpoints' own failures.
+	// failures counts the endpoints that answered with a failure of their own.
 	failures int
-	// mayHaveRun says that an endpoint may have run it.
+	// mayHaveRun is set if an endpoint may have run the request.
 	mayHaveRun bool
 }
 
-// attempt is what came of one send.
+// attempt is the result of one send.
 type attempt struct {
 	to     fleet.Instance
 	answer *Answer
 	err    error
 	took   time.Duration
-	// crashed says that the endpoint broke off and has crashed.
+	// crashed is set if the endpoint broke off the request because it crashed.
 	crashed bool
 }
 
 // run sends the request until an answer is final.
 func (c *call) run(ctx context.Context) (*Answer, error) {
-	// Attempts that lost the race are given up once there is an answer. They are
-	// kept by incarnation, each of which is sent to once.
+	// The other attempts are cancelled once there is an answer. They are kept by incarnation,
+	// since the request is sent to each incarnation at most once.
 	cancels := map[fleet.Incarnation]context.CancelFunc{}
 	defer func() {
 		for _, cancel := range cancels {
@@ -103,7 +102,7 @@
 			reason := c.retryReason(a)
 			if reason == "" {
 				if a.answer.Stream != nil {
-					delete(cancels, a.to.Incarnation()) // its context ends with the stream
+					delete(cancels, a.to.Incarnation()) // the stream still needs its context
 				}
 				return a.answer, nil
 			}
@@ -125,15 +124,17 @@
 	return nil, c.refusal(cmp.Or(lastReason, ReasonNoEndpoint), lastErr)
 }
 
-// countRetry counts a send after one that failed; an empty reason is the first.
+// countRetry counts a send that follows a failed one; reason is empty for the first send, which
+// is not counted.
 func (c *call) countRetry(reason string) {
 	if reason != "" {
 		c.Counters.Retry(c.request.Route.Name, reason)
 	}
 }
 
-// pickEndpoint takes the endpoint of the pickEndpoint send. A risky request, under which an endpoint
-// has ended, goes where no other such one from here is, or waits for its turn.
+// pickEndpoint picks the endpoint of the next send and counts the send in the picker. A risky
+// request, under which an endpoint has crashed, goes to an endpoint that has no other risky one
+// from this process, or waits for one.
 func (c *call) pickEndpoint(risky bool) (fleet.Instance, bool) {
 	route := c.request.Route
 	if c.request.Reached+c.sent >= route.MaxAttempts {
@@ -151,7 +152,8 @@
 	return to, ok
 }
 
-// send sends the request to an endpoint that next has taken for it.
+// send sends the request to an endpoint that pickEndpoint has returned, and returns the function
+// that cancels the send.
 func (c *call) send(ctx context.Context, to fleet.Instance, risky bool) context.CancelFunc {
 	ctx, cancel := context.WithCancel(ctx)
 	c.tried[to.Incarnation()], c.lastTo, c.lastSent = true, to, time.Now()
@@ -162,12 +164,12 @@
 	if !c.request.Deadline.IsZero() {
 		left = time.Until(c.request.Deadline)
 	}
-	ended := func() {}
+	meterEnd := func() {}
 	if c.Meter != nil {
-		ended = c.Meter(to)
+		meterEnd = c.Meter(to)
 	}
 	go func() {
-		defer ended()
+		defer meterEnd()
 		began := time.Now()
 		settle := c.countRun(began)
 		answer, err := c.Sender.Send(ctx, to, c.request, left)
@@ -179,10 +181,10 @@
 	return cancel
 }
 
-// countRun counts a run that is about to be sent as begun, and takes that back by
-// what it returns if the endpoint did not begin it: the answer may come long after
-// the counts of that moment are due. A stream is not counted before its answer,
-// whose first event is when it began.
+// countRun counts a run as started when it is sent, since the answer may come long after the
+// counts of that moment are due. The function that it returns withdraws the count if the endpoint
+// did not start the run. A stream is counted only when its answer comes, since it starts with its
+// first event.
 func (c *call) countRun(sent time.Time) (settle func(*Answer, error)) {
 	if c.OnRunStarted == nil {
 		return func(*Answer, error) {}
@@ -202,8 +204,8 @@
 	}
 }
 
-// started reports whether an endpoint began to work on a send, as far as is known: a
-// send without an answer counts as begun.
+// started reports whether an endpoint started to work on a send, as far as is known: a send
+// without an answer counts as started.
 func started(answer *Answer, err error) bool {
 	if err != nil {
 		return !errors.Is(err, ErrUnsent)
@@ -211,8 +213,8 @@
 	return !answer.Declined
 }
 
-// startTime is when an endpoint began a stream that was sent at a moment: with its
-// first event, or when it was sent if it has none.
+// startTime returns when an endpoint started a stream that was sent at a given time: with its
+// first event, or when it was sent if it has no events.
 func startTime(answer *Answer, sent time.Time) time.Time {
 	if answer != nil && answer.Stream != nil {
 		return time.Now()
@@ -220,7 +222,7 @@
 	return sent
 }
 
-// outcome is what a send tells of its endpoint.
+// outcome returns what a send says about its endpoint.
 func (c *call) outcome(ctx context.Context, answer *Answer, err error, took time.Duration, risky bool) picker.Outcome {
 	o := picker.Outcome{Answered: err == nil || ctx.Err() != nil, Kind: c.request.Route.Name, Risky: risky}
 	if err != nil {
@@ -232,7 +234,7 @@
 	return o
 }
 
-// retryReason says why an attempt is not final; empty says that it is.
+// retryReason returns why an attempt is not final; empty if it is.
 func (c *call) retryReason(a attempt) string {
 	switch {
 	case errors.Is(a.err, ErrUnsent):
@@ -242,7 +244,7 @@
 		c.mayHaveRun = true
 		return ReasonBroken
 	case a.answer.Declined:
-		c.sent-- // the endpoint says that it did not run it
+		c.sent-- // the endpoint did not run it
 		return ReasonDeclined
 	}
 	c.mayHaveRun = true
@@ -262,7 +264,7 @@
 // repeatable reports whether the request may run more than once.
 func (c *call) repeatable() bool { return c.request.Route.Kind == fleet.KindSafe }
 
-// mayRetry reports whether the request may be sent once more after a failure.
+// mayRetry reports whether the request may be sent again after a failure.
 func (c *call) mayRetry(reason string) bool {
 	switch reason {
 	case ReasonUnsent, ReasonDeclined:
@@ -275,14 +277,15 @@
 	return max(minHedge, time.Duration(hedgeShare*float64(c.request.Route.Objective)))
 }
 
-// refusal is the final answer of a request that no endpoint answered.
+// refusal returns the final answer to a request that no endpoint answered.
 func (c *call) refusal(reason string, cause error) *Refusal {
 	return &Refusal{
 		NotRun: !c.mayHaveRun && c.pending == 0, Reason: reason, RetryAfter: retryAfter, Cause: cause, Failures: c.failures,
 	}
 }
 
-// contextRefusal is the final answer of a request whose time is up or whose client has gone.
+// contextRefusal returns the final answer to a request that has timed out or whose client has
+// gone.
 func (c *call) contextRefusal(ctx context.Context) *Refusal {
 	if errors.Is(context.Cause(ctx), errTimeout) {
 		return c.refusal(ReasonTimeout, nil)
--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -21,7 +21,7 @@
 		if err := r.ask(0, "r0", crashTarget); !errors.As(err, &refusal) || refusal.NotRun || refusal.Reason != ReasonBroken {
 			t.Fatalf("first attempt: %v", err)
 		}
-		time.Sleep(200 * time.Millisecond) // until its caller asks again
+		time.Sleep(200 * time.Millisecond) // until the caller retries
 		for i := range 6 {
 			err := r.ask(i%3, fmt.Sprint("r", i+1), crashTarget)
 			if !errors.As(err, &refusal) || !refusal.NotRun || refusal.Reason != ReasonQuarantined || refusal.RetryAfter <= 0 {
@@ -29,16 +29,16 @@
 			}
 		}
 		if r.crashCount() != 2 {
-			t.Fatalf("%d of 3 endpoints ended", r.crashCount())
+			t.Fatalf("%d of 3 endpoints crashed", r.crashCount())
 		}
 		if err := r.ask(1, "other", "/p/other"); err != nil {
-			t.Fatalf("a request beside it: %v", err)
+			t.Fatalf("a request of another content: %v", err)
 		}
 	})
 }
 
-// A request that was beside the content when an endpoint ended is served by another
-// one, and does not meet the content there again.
+// A request that ran beside the content when an endpoint crashed is served by another endpoint,
+// and does not run beside the content there again.
 func TestRequestsBesideACrashAreServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for seed := range uint64(20) {
@@ -54,13 +54,13 @@
 				})
 			}
 			all.Wait()
-			time.Sleep(time.Minute) // timers of the rig
+			time.Sleep(time.Minute) // the rig's timers
 		}
 	})
 }
 
-// A request that is slow is sent to a second endpoint as well; not so one under
-// which an endpoint has ended.
+// A slow request is hedged with a second endpoint, but not one under which an endpoint has
+// crashed.
 func TestSuspectGoesToOneEndpointAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newCrashRig(t, 1, 3, true)
@@ -68,9 +68,9 @@
 		q := request(fleet.KindSafe)
 		q.Target = crashTarget
 		r.entries[0].Quarantine.ReportCrash(quarantine.BrokenRun{Fingerprint: q.fingerprint(), Endpoint: fleet.Incarnation{ID: "former"}})
-		q.Route.Objective = 50 * time.Millisecond // a second send is due before the endpoint ends
+		q.Route.Objective = 50 * time.Millisecond // hedging is due before the endpoint crashes
 		if _, err := r.entries[0].Do(t.Context(), q); err == nil {
-			t.Fatal("served")
+			t.Fatal("request was answered")
 		}
 		if len(r.reached) != 1 {
 			t.Fatalf("sent to %v", r.reached)
@@ -78,9 +78,9 @@
 	})
 }
 
-// A content that many ask for is in flight at endpoints that lose power together; it
-// is not what ended them.
-func TestEndpointsThatEndTogetherHoldNothing(t *testing.T) {
+// A content that many clients ask for is running at endpoints that lose power together; it did
+// not cause their crashes.
+func TestSimultaneousCrashesQuarantineNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newCrashRig(t, 6, 3, true)
 		var all sync.WaitGroup
@@ -102,8 +102,8 @@
 	})
 }
 
-// A caller that leaves before its answer hears no end; the list of instances tells
-// seconds later that the endpoint has ended under its request.
+// A caller that leaves before its answer does not see the crash; the list of instances shows
+// seconds later that the endpoint crashed under its request.
 func TestCallersThatLeaveEndNoMoreEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newCrashRig(t, 3, 3, true)
@@ -115,13 +115,13 @@
 			cancel()
 			time.Sleep(2 * crashDown)
 		}
-		if n := r.crashCount(); n > int(quarantine.RequestLimit)+2 { // two trials fall into the time
-			t.Errorf("%d endpoints ended", n)
+		if n := r.crashCount(); n > int(quarantine.RequestLimit)+2 { // two trials are due in that time
+			t.Errorf("%d endpoints crashed", n)
 		}
 	})
 }
 
-// An endpoint that leaves as planned ends nothing.
+// A planned shutdown of an endpoint does not count as a crash.
 func TestPlannedEndsDoNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newCrashRig(t, 1, 3, true)
@@ -144,7 +144,7 @@
 	})
 }
 
-// An answer shows that the request was not what ended the endpoint before.
+// An answer shows that the request did not cause the endpoint's earlier crash.
 func TestAnswerClearsASuspect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newCrashRig(t, 2, 3, true)
@@ -162,7 +162,7 @@
 	})
 }
 
-// Streams end their endpoints midway; what resumes them counts as well.
+// Streams crash their endpoints midway; sends that resume a stream count as well.
 func TestStreamThatEndsEndpointsIsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newCrashRig(t, 1, 4, true)
@@ -182,7 +182,7 @@
 					continue
 				}
 				if errors.Is(err, io.EOF) {
-					t.Fatal("whole")
+					t.Fatal("the stream was complete")
 				}
 				events.Close()
 				if events, err = f.Resume(t.Context(), q, "1"); err != nil {
@@ -191,26 +191,26 @@
 			}
 		}
 		if n := r.crashCount(); n != int(quarantine.RequestLimit) {
-			t.Fatalf("%d endpoints ended", n)
+			t.Fatalf("%d endpoints crashed", n)
 		}
 	})
 }
 
-// breakingStream gives one event and breaks off; its endpoint lives.
-type breakingStream struct{ given bool }
+// breakingStream returns one event and breaks off; its endpoint stays alive.
+type breakingStream struct{ sentEvent bool }
 
 func (s *breakingStream) Next() (raw []byte, id string, err error) {
-	if s.given {
+	if s.sentEvent {
 		return nil, "", fmt.Errorf("%w: reset", ErrBroken)
 	}
-	s.given = true
+	s.sentEvent = true
 	return []byte("event"), "1", nil
 }
 
 func (s *breakingStream) Close() {}
 
-// A stream that breaks off again and again, though its endpoints live, reaches no
-// more of them than its route allows: what it has reached is remembered with it.
+// A stream that breaks off several times while its endpoints stay alive reaches no more of them
+// than its route allows: the request keeps the count.
 func TestResumedStreamKeepsItsCountOfEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		breaks := func(context.Context) (*Answer, error) {
--- a/forward/crashload_test.go
+++ b/forward/crashload_test.go
@@ -11,24 +11,24 @@
 	"mulberryscale.example/quarantine"
 )
 
-// TestLoadWithAContentThatEndsEndpoints plays a minute of the load of this file. At
-// most two endpoints end before the content is known and one by its trial after half
-// a minute, and every other request is served at its first or second attempt.
+// TestLoadWithAContentThatEndsEndpoints simulates a minute of the load of crashrig_test.go. At
+// most two endpoints crash before the content is quarantined and one in its trial after half a
+// minute, and every other request is served at its first or second attempt.
 func TestLoadWithAContentThatEndsEndpoints(t *testing.T) {
 	for seed := range uint64(5) {
 		without := simulateCrashes(t, seed, false)
 		with := simulateCrashes(t, seed, true)
-		t.Logf("seed %d: %d ended and %d of %d others unserved without the quarantine, %d and %d with it",
-			seed, without.ends, without.unserved, without.others, with.ends, with.unserved)
-		if with.ends > int(quarantine.RequestLimit)+1 || with.unserved > 0 {
-			t.Errorf("seed %d: %d endpoints ended, %d of %d others unserved", seed, with.ends, with.unserved, with.others)
+		t.Logf("seed %d: %d crashes and %d of %d other requests unserved without the quarantine, %d and %d with it",
+			seed, without.crashes, without.unserved, without.others, with.crashes, with.unserved)
+		if with.crashes > int(quarantine.RequestLimit)+1 || with.unserved > 0 {
+			t.Errorf("seed %d: %d endpoints crashed, %d of %d other requests unserved", seed, with.crashes, with.unserved, with.others)
 		}
 	}
 }
 
-type crashResult struct{ ends, others, unserved int }
+type crashResult struct{ crashes, others, unserved int }
 
-// simulateCrashes plays a minute of the load with seven entries and three endpoints.
+// simulateCrashes runs a minute of the load with seven entries and three endpoints.
 func simulateCrashes(t *testing.T, seed uint64, quarantined bool) (p crashResult) {
 	synctest.Test(t, func(t *testing.T) {
 		const entries, length = 7, time.Minute
@@ -39,7 +39,7 @@
 		all.Go(func() {
 			own := rand.New(rand.NewPCG(seed, 1))
 			for n := 0; time.Since(began) < length; n++ {
-				_ = r.askWithRetry(own, fmt.Sprint("crash-", n), crashTarget) // nobody misses it
+				_ = r.askWithRetry(own, fmt.Sprint("crash-", n), crashTarget) // may fail
 				time.Sleep(2*time.Second + time.Duration(own.Int64N(int64(2*time.Second))))
 			}
 		})
@@ -58,8 +58,8 @@
 			time.Sleep(time.Duration(rng.ExpFloat64() * float64(time.Second) / 6))
 		}
 		all.Wait()
-		p.ends = r.crashCount()
-		time.Sleep(time.Minute) // timers of the rig
+		p.crashes = r.crashCount()
+		time.Sleep(time.Minute) // the rig's timers
 	})
 	return p
 }
--- a/forward/crashrig_test.go
+++ b/forward/crashrig_test.go
@@ -14,23 +14,22 @@
 	"mulberryscale.example/quarantine"
 )
 
-// The load: a service of a few endpoints, some requests a second through several
-// entries, and one content that ends each endpoint which begins to run it. The
-// caller of that content asks again after a failure, and comes back every few
-// seconds. An endpoint is back after some seconds under a new id; the list of
-// instances hears late of its end.
+// The load: a service of a few endpoints, some requests a second through several entries, and one
+// content that crashes each endpoint which starts to run it. The caller of that content retries
+// after a failure, and asks again every few seconds. An endpoint restarts after some seconds with
+// a new id; the list of instances shows its crash late.
 const (
 	crashWork        = 25 * time.Millisecond
-	longWork         = 80 * time.Millisecond // longer than an endpoint lives under the content
-	crashAfter       = 45 * time.Millisecond // from the begin of a run that ends its endpoint
+	longWork         = 80 * time.Millisecond // longer than an endpoint survives the content
+	crashAfter       = 45 * time.Millisecond // from the start of a run to the crash of its endpoint
 	crashDown        = 2500 * time.Millisecond
-	crashUnlistDelay = 1500 * time.Millisecond // until the list hears of an end
+	crashUnlistDelay = 1500 * time.Millisecond // from a crash until the list shows it
 	crashTarget      = "/p/crash"
 	longTarget       = "/p/long"
 	crashService     = "s"
 )
 
-// crashRig is such a service and the entries before it.
+// crashRig is such a service and the entries that forward to it.
 type crashRig struct {
 	t       *testing.T
 	view    *fleet.View
@@ -39,25 +38,25 @@
 	mu      sync.Mutex
 	alive   map[string]*crashEndpoint // by address
 	started int
-	ends    int
-	// after is from the begin of a run to the end of its endpoint.
+	crashes int
+	// after is the time from the start of a run to the crash of its endpoint.
 	after time.Duration
-	// streamAfter makes the content's answer a stream that ends its endpoint after
-	// so many events; -1 makes it a whole answer.
+	// streamAfter makes the content's answer a stream that crashes its endpoint after so many
+	// events; -1 makes it an answer without a stream.
 	streamAfter int
-	// reached are the ids of endpoints that the content reached, in order.
+	// reached lists the ids of the endpoints that the content reached, in order.
 	reached []string
 }
 
-// crashEndpoint is one incarnation.
+// crashEndpoint is one incarnation of an endpoint.
 type crashEndpoint struct {
-	id    string
-	ended context.Context
-	end   context.CancelFunc
+	id      string
+	crashed context.Context
+	cancel  context.CancelFunc
 }
 
-// newCrashRig starts entries before endpoints. Entries that share tell each other
-// what they see; those that see nothing have no way to tell that an endpoint ended.
+// newCrashRig starts entries in front of endpoints. With the quarantine the entries share what
+// they see in a store; without it they cannot tell that an endpoint has crashed.
 func newCrashRig(t *testing.T, entries, endpoints int, quarantined bool) *crashRig {
 	r := &crashRig{t: t, view: fleet.NewView(), alive: map[string]*crashEndpoint{}, after: crashAfter, streamAfter: -1}
 	r.view.SetConfig(&fleet.Config{Version: 1, Services: []fleet.Service{{Name: crashService}}})
@@ -84,7 +83,7 @@
 	r.mu.Lock()
 	r.started++
 	e := &crashEndpoint{id: fmt.Sprint("i-", r.started)}
-	e.ended, e.end = context.WithCancel(context.Background())
+	e.crashed, e.cancel = context.WithCancel(context.Background())
 	r.alive[addr] = e
 	entry, zone := uint64(r.started), fmt.Sprint("zone-", len(r.alive)%3)
 	r.mu.Unlock()
@@ -93,14 +92,14 @@
 	}}, nil)
 }
 
-// crash ends an endpoint. It is called with r.mu held.
+// crash crashes an endpoint. It is called with r.mu held.
 func (r *crashRig) crash(addr string, e *crashEndpoint) {
 	if r.alive[addr] != e {
 		return
 	}
-	r.ends++
+	r.crashes++
 	delete(r.alive, addr)
-	e.end()
+	e.cancel()
 	time.AfterFunc(crashUnlistDelay, func() { r.view.UpdateInstances(nil, []string{e.id}) })
 	time.AfterFunc(crashDown, func() { r.start(addr) })
 }
@@ -122,7 +121,7 @@
 		r.reached = append(r.reached, e.id)
 		after := r.after
 		if r.streamAfter >= 0 {
-			after = time.Hour // the stream itself ends it
+			after = time.Hour // the stream itself crashes it
 		}
 		time.AfterFunc(after, func() {
 			r.mu.Lock()
@@ -150,14 +149,14 @@
 	select {
 	case <-ctx.Done():
 		return nil, fmt.Errorf("%w: cut", ErrBroken)
-	case <-e.ended.Done():
+	case <-e.crashed.Done():
 		return nil, fmt.Errorf("%w: EOF", ErrBroken)
 	case <-time.After(work):
 		return &Answer{Status: 200}, nil
 	}
 }
 
-// crashStream ends its endpoint after some events.
+// crashStream crashes its endpoint after some events.
 type crashStream struct {
 	rig  *crashRig
 	addr string
@@ -178,7 +177,7 @@
 
 func (s *crashStream) Close() {}
 
-// ask makes a request at an entry; target tells the content.
+// ask sends a request through an entry; target determines the content.
 func (r *crashRig) ask(entry int, id, target string) error {
 	q := request(fleet.KindSafe)
 	q.ID, q.Target = id, target
@@ -190,5 +189,5 @@
 func (r *crashRig) crashCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ends
+	return r.crashes
 }
--- a/forward/fairness_test.go
+++ b/forward/fairness_test.go
@@ -14,7 +14,7 @@
 	"mulberryscale.example/observe"
 )
 
-// sheddingSender stands in for endpoints that decline what they have no place for.
+// sheddingSender simulates endpoints that decline requests beyond their slots.
 type sheddingSender struct {
 	mu      sync.Mutex
 	running map[string]int
@@ -45,10 +45,9 @@
 	}
 }
 
-// TestNoOrganisationStarves has the load of many small organisations at once: 83 of
-// them ask three endpoints of six places for three times what they can do. Nothing
-// waits in an entry, so whom an endpoint declines is chance, and none gets much less
-// than the others.
+// TestNoOrganisationStarves has the load of many small organisations at once: 83 of them send
+// three endpoints of six slots three times what those can serve. Requests do not queue in an
+// entry, so endpoints decline at random, and no organisation gets much less than the others.
 func TestNoOrganisationStarves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const organisations, length, overload = 83, 6 * time.Second, 3
@@ -86,9 +85,9 @@
 			sum, squares, least, total = sum+share, squares+share*share, min(least, share), total+served[o]
 		}
 		jain, mean := sum*sum/(organisations*squares), sum/organisations
-		t.Logf("served %.0f of %.0f a second, Jain's index %.3f, the least share %.2f, the mean %.2f", total/length.Seconds(), overload*capacity, jain, least, mean)
+		t.Logf("served %.0f of %.0f a second, Jain's index %.3f, smallest share %.2f, mean %.2f", total/length.Seconds(), overload*capacity, jain, least, mean)
 		if jain < 0.95 || least < mean/4 {
-			t.Errorf("Jain's index %.3f, the least share %.2f of a mean of %.2f", jain, least, mean)
+			t.Errorf("Jain's index %.3f, smallest share %.2f, mean %.2f", jain, least, mean)
 		}
 	})
 }
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -1,6 +1,6 @@
-// Package forward sends clients' requests on to the endpoints of their routes:
-// it picks an endpoint, repeats what may be repeated, and says truly of each
-// failure whether the request can have run.
+// Package forward sends clients' requests on to the endpoints of their routes: it picks an
+// endpoint, retries what may be retried, and reports for each failure whether the request can
+// have run.
 package forward
 
 import (
@@ -17,28 +17,29 @@
 	"mulberryscale.example/quarantine"
 )
 
-// Request is a client's request, read whole.
+// Request is a client's request with its whole body.
 type Request struct {
 	ID    string
 	Route *fleet.Route
-	// Organisation is the name of the one that sends it; empty for none.
+	// Organisation is the name of the organisation that sends it; empty for none.
 	Organisation string
 	Method       string
-	// Target is the path with its query as the client sent it.
+	// Target is the path and query as the client sent them.
 	Target string
 	Host   string
-	Header http.Header // what is to be passed on
+	Header http.Header // the headers to pass on
 	Body   []byte
-	// Deadline is when the client stops waiting; zero is never.
+	// Deadline is when the client stops waiting; zero for never.
 	Deadline time.Time
-	// LastEventID is the last event of a stream that the client has.
+	// LastEventID is the id of the last event of a stream that the client has received.
 	LastEventID string
-	// Reached is how many endpoints it may have reached so far. Do counts it, so that
-	// a stream which is resumed again and again reaches no more than its route allows.
+	// Reached counts the endpoints that the request may have reached so far. Do updates it, so
+	// that a stream which is resumed several times reaches no more endpoints than its route
+	// allows.
 	Reached int
 }
 
-// fingerprint names the request's content: who asks for what, whatever its id.
+// fingerprint identifies the request's content: who asks for what, whatever the request's id.
 func (r *Request) fingerprint() quarantine.Fingerprint {
 	return quarantine.FingerprintOf(r.Organisation, r.Host, r.Method, r.Target, string(r.Body))
 }
@@ -46,24 +47,24 @@
 // Answer is an endpoint's answer.
 type Answer struct {
 	Status int
-	Header http.Header // what is to be passed on
+	Header http.Header // the headers to pass on
 	// Body is the whole body; it is nil for a stream.
 	Body []byte
 	// Stream is the answer of a streaming route.
 	Stream Events
-	// Declined says that the endpoint did not run the request and never will.
+	// Declined is set if the endpoint did not run the request and never will.
 	Declined bool
-	// Failures is how many endpoints answered the request with a failure of
-	// their own, this answer's among them.
+	// Failures is the number of endpoints that answered the request with a failure of their own,
+	// including this answer.
 	Failures int
-	// Load is what the endpoint tells of itself; nil if it does not.
+	// Load is the load that the endpoint reports; nil if it does not.
 	Load *fleet.Load
-	// Signature is the endpoint's signature of the answer, empty if it has none.
+	// Signature is the endpoint's signature of the answer; empty if it has none.
 	Signature string
 }
 
-// Events are the events of a streamed answer, each as the bytes that the
-// endpoint sent, with its id. Next returns io.EOF after the last.
+// Events iterates over the events of a streamed answer. Next returns the bytes of an event as the
+// endpoint sent them, and its id; it returns io.EOF after the last.
 type Events interface {
 	Next() (raw []byte, id string, err error)
 	Close()
@@ -71,28 +72,28 @@
 
 // Errors of a Sender.
 var (
-	// ErrUnsent says that nothing was sent.
+	// ErrUnsent is returned if nothing was sent.
 	ErrUnsent = errors.New("forward: not sent")
-	// ErrBroken says that the request was sent and no readable answer came.
+	// ErrBroken is returned if the request was sent and no complete answer came.
 	ErrBroken = errors.New("forward: no whole answer")
 )
 
-// Sender sends a request to one endpoint, once.
+// Sender sends a request to one endpoint without retries.
 type Sender interface {
-	// Send returns the endpoint's answer. Its error is, or wraps, ErrUnsent or
-	// ErrBroken. It reads the whole body unless the route streams.
+	// Send returns the endpoint's answer. Its error is, or wraps, ErrUnsent or ErrBroken. It
+	// reads the whole body unless the route streams.
 	Send(ctx context.Context, to fleet.Instance, r *Request, timeLeft time.Duration) (*Answer, error)
 }
 
-// Refusal is an answer of our own.
+// Refusal is the forwarder's own answer to a request that no endpoint answered.
 type Refusal struct {
-	// NotRun says that the request has not run and never will.
+	// NotRun is set if the request has not run and never will.
 	NotRun bool
-	// Reason is counted and logged.
+	// Reason is one of the Reason constants; it is counted and logged.
 	Reason string
-	// RetryAfter is when the client may come back.
+	// RetryAfter is how long the client should wait before it asks again.
 	RetryAfter time.Duration
-	// Failures is how many endpoints answered with a failure of their own.
+	// Failures is the number of endpoints that answered with a failure of their own.
 	Failures int
 	// Cause is the last endpoint's error, if any.
 	Cause error
@@ -106,7 +107,7 @@
 	return "forward: " + r.Reason
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (r *Refusal) Unwrap() error { return r.Cause }
 
 // Reasons of refusals and retries.
@@ -119,21 +120,22 @@
 	ReasonSlow       = "slow"
 	ReasonTimeout    = "timeout"
 	ReasonClientGone = "client_gone"
-	// ReasonQuarantined says that endpoints have ended under the request's content.
+	// ReasonQuarantined is for requests whose content has crashed endpoints.
 	ReasonQuarantined = "held"
 )
 
-// Times of a request's attempts.
+// Delays of retries, hedged requests and answers.
 const (
-	// retryAfter is what refused clients are told: long enough for the list of
+	// retryAfter is the delay that refused clients are told: long enough for the list of
 	// instances to change, and short against their deadlines.
 	retryAfter = 200 * time.Millisecond
-	// hedgeShare is the share of the objective after which a request that may
-	// run twice is sent to a second endpoint as well.
+	// hedgeShare is the share of the route's objective after which a request that may run twice
+	// is hedged: sent to a second endpoint as well.
 	hedgeShare = 0.6
-	// minHedge keeps short objectives from doubling every request.
+	// minHedge is the shortest hedging delay; it keeps short objectives from doubling every
+	// request.
 	minHedge = 50 * time.Millisecond
-	// answerSlack is taken off the route's timeout to write the answer.
+	// answerSlack is taken off the route's timeout to leave time for writing the answer.
 	answerSlack = 20 * time.Millisecond
 )
 
@@ -144,23 +146,23 @@
 	Zone     string
 	Log      logrus.FieldLogger
 	Counters *observe.Counters
-	// OnRunStarted, if set, is told of each run that an endpoint begins, with its
-	// organisation. What it returns is called if the endpoint turns out not to have
-	// begun it. It is set before the first request.
+	// OnRunStarted, if set, is called for each run that an endpoint starts, with the request's
+	// organisation. The function that it returns is called if the endpoint turns out not to have
+	// started the run. It is set before the first request.
 	OnRunStarted func(organisation string, at time.Time) (withdraw func())
-	// Meter, if set, is told of each send to an endpoint and, by what it returns, of
-	// its end. It is set before the first request.
+	// Meter, if set, is called for each send to an endpoint; the function that it returns is
+	// called when the send is over. It is set before the first request.
 	Meter func(to fleet.Instance) (end func())
 
-	// Quarantine keeps requests that end endpoints away from them. It may be replaced
-	// before the first request by one that tells other processes.
+	// Quarantine keeps requests that crash endpoints away from them. It may be replaced before
+	// the first request by one that shares its events with other processes.
 	Quarantine *quarantine.Tracker
 
 	picker    *picker.Picker
 	abandoned abandonedSends
 }
 
-// New returns a forwarder.
+// New returns a forwarder whose quarantine is local to this process.
 func New(view *fleet.View, sender Sender, zone string, log logrus.FieldLogger, counters *observe.Counters) *Forwarder {
 	return &Forwarder{
 		View: view, Sender: sender, Zone: zone, Log: log, Counters: counters, picker: picker.New(),
@@ -194,7 +196,7 @@
 
 var errTimeout = errors.New("forward: route's timeout or client's deadline reached")
 
-// logOutcome logs and counts what became of a request.
+// logOutcome logs and counts the outcome of a request.
 func (f *Forwarder) logOutcome(r *Request, c *call, answer *Answer, err error, took time.Duration) {
 	f.Counters.Observe(observe.NameForward, r.Route.Name, took)
 	log := f.Log.WithFields(logrus.Fields{
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -22,8 +22,8 @@
 	answers map[string]func(ctx context.Context) (*Answer, error)
 	sent    []string
 	left    []time.Duration
-	// cut counts sends whose context ended before their answer.
-	cut int
+	// cancelled counts sends whose context was cancelled before their answer.
+	cancelled int
 }
 
 func (f *fakeSender) Send(ctx context.Context, to fleet.Instance, _ *Request, left time.Duration) (*Answer, error) {
@@ -35,7 +35,7 @@
 	a, err := do(ctx)
 	if ctx.Err() != nil {
 		f.mu.Lock()
-		f.cut++
+		f.cancelled++
 		f.mu.Unlock()
 	}
 	return a, err
@@ -65,7 +65,7 @@
 	return nil, fmt.Errorf("%w: cut", ErrBroken)
 }
 
-// rig is a forwarder before two instances, "a" in the own zone and "b" in another.
+// rig returns a forwarder in front of two instances, "a" in its own zone and "b" in another.
 func rig(a, b func(context.Context) (*Answer, error)) (*Forwarder, *fakeSender) {
 	view := fleet.NewView()
 	view.SetConfig(&fleet.Config{Version: 1, Services: []fleet.Service{{Name: "s"}}})
@@ -135,14 +135,14 @@
 	}
 }
 
-// TestRunsThatEndpointsBegan counts what is told of them: a request that was sent
-// twice began twice, one that was declined or never sent did not begin there.
+// TestRunsThatEndpointsBegan counts the calls of OnRunStarted: a request that was sent twice
+// started twice, one that was declined or never sent did not start there.
 func TestRunsThatEndpointsBegan(t *testing.T) {
 	ok := answers(200, 20*time.Millisecond)
 	for name, c := range map[string]struct {
 		kind fleet.Kind
 		a, b func(context.Context) (*Answer, error)
-		want []time.Duration // after the request came
+		want []time.Duration // after the request arrived
 	}{
 		"answered":     {fleet.KindSafe, ok, ok, []time.Duration{0}},
 		"failed":       {fleet.KindUnsafe, answers(500, 0), ok, []time.Duration{0}},
@@ -157,14 +157,14 @@
 				f, _ := rig(c.a, c.b)
 				var mu sync.Mutex
 				var got []time.Duration
-				came := time.Now()
+				arrived := time.Now()
 				f.OnRunStarted = func(organisation string, at time.Time) func() {
 					mu.Lock()
 					defer mu.Unlock()
 					if organisation != "guthi" {
-						t.Errorf("of %q", organisation)
+						t.Errorf("organisation %q", organisation)
 					}
-					after := at.Sub(came)
+					after := at.Sub(arrived)
 					got = append(got, after)
 					return func() {
 						mu.Lock()
@@ -175,7 +175,7 @@
 				}
 				r := request(c.kind)
 				r.Organisation = "guthi"
-				_, _ = f.Do(t.Context(), r) // what it answers is tested elsewhere
+				_, _ = f.Do(t.Context(), r) // the answer is tested elsewhere
 				synctest.Wait()
 				if !slices.Equal(got, c.want) {
 					t.Errorf("got %v, want %v", got, c.want)
@@ -192,7 +192,7 @@
 			time.Sleep(300 * time.Millisecond)
 			return &Answer{Status: 200, Stream: noEvents{}}, nil
 		}, hangs)
-		came := time.Now()
+		arrived := time.Now()
 		var at time.Time
 		f.OnRunStarted = func(_ string, began time.Time) func() {
 			at = began
@@ -203,19 +203,19 @@
 			t.Fatal(err)
 		}
 		answer.Stream.Close()
-		if after := at.Sub(came); after != 300*time.Millisecond {
+		if after := at.Sub(arrived); after != 300*time.Millisecond {
 			t.Errorf("began after %s", after)
 		}
 	})
 }
 
-// noEvents is a stream that has ended.
+// noEvents is a stream without events.
 type noEvents struct{}
 
 func (noEvents) Next() (raw []byte, id string, err error) { return nil, "", io.EOF }
 func (noEvents) Close()                                   {}
 
-func TestClientThatGoesEndsItsRun(t *testing.T) {
+func TestClientDisconnectCancelsItsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, sender := rig(hangs, hangs)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -226,13 +226,13 @@
 			t.Fatalf("got %#v", err)
 		}
 		synctest.Wait()
-		if sender.cut != 1 {
-			t.Fatalf("%d sends cut", sender.cut)
+		if sender.cancelled != 1 {
+			t.Fatalf("%d sends cancelled", sender.cancelled)
 		}
 	})
 }
 
-func TestDeadlineIsHandedOn(t *testing.T) {
+func TestDeadlineIsPropagated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, sender := rig(fails(ErrBroken), answers(200, 0))
 		r := request(fleet.KindSafe)
@@ -242,7 +242,7 @@
 		}
 		for _, left := range sender.left {
 			if left > 700*time.Millisecond || left < 600*time.Millisecond {
-				t.Errorf("handed on %v", left)
+				t.Errorf("time left %v", left)
 			}
 		}
 	})
@@ -259,12 +259,12 @@
 		if want := []string{"a", "b", "b", "b"}; !slices.Equal(sender.sent, want) {
 			t.Fatalf("sent to %v", sender.sent)
 		}
-		time.Sleep(2 * time.Second) // the time that a suspect is passed over
+		time.Sleep(2 * time.Second) // until suspects are tried again
 		if _, err := f.Do(t.Context(), request(fleet.KindSafe)); err != nil {
 			t.Fatal(err)
 		}
 		if sender.sent[4] != "a" {
-			t.Fatalf("after its time the suspect is tried again: %v", sender.sent)
+			t.Fatalf("the suspect was not tried again after its timeout: %v", sender.sent)
 		}
 	})
 }
@@ -279,7 +279,7 @@
 	}
 }
 
-// What is held against an instance is not held against its next incarnation.
+// A failure of an instance does not make its next incarnation a suspect.
 func TestInstanceThatStartedAgainIsNoSuspect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, sender := rig(fails(ErrBroken), answers(200, 0))
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -15,29 +15,28 @@
 
 // Rows of the counter of sends that endpoints broke off.
 const (
-	// rowCrashed is for endpoints that refuse connections since,
-	// rowAlive for all others.
+	// rowCrashed counts endpoints that refuse connections afterwards, rowAlive all others.
 	rowCrashed = "endpoint_ended"
 	rowAlive   = "endpoint_there"
 )
 
-// admitAndRun runs the request unless its content is known to end endpoints: such a
-// one is answered at once, so that all of a service's endpoints do not end under it.
+// admitAndRun runs the request unless its content is quarantined. A quarantined request is
+// refused at once, so that it does not crash all endpoints of a service.
 func (c *call) admitAndRun(ctx context.Context) (*Answer, error) {
 	state, wait := c.Quarantine.Admit(ctx, c.fingerprint, quarantine.RequestLimit)
 	if state == quarantine.Quarantined {
 		c.Quarantine.CountRefused()
 		refusal := c.refusal(ReasonQuarantined, nil)
-		refusal.RetryAfter = (wait + time.Second - 1).Truncate(time.Second) // whole seconds, not before its time
+		refusal.RetryAfter = (wait + time.Second - 1).Truncate(time.Second) // whole seconds, rounded up
 		return nil, refusal
 	}
 	c.trial = state == quarantine.TrialDue
 	return c.run(ctx)
 }
 
-// reportIfCrashed reports whether an endpoint broke a request off, which was not given up
-// from here, and has ended though it was not leaving. The quarantine has heard of it
-// then.
+// reportIfCrashed reports whether an endpoint broke off a request, which was not cancelled by
+// this process, because it crashed rather than shut down as announced. A crash is then recorded
+// in the quarantine.
 func (c *call) reportIfCrashed(ctx context.Context, to fleet.Instance, err error, took time.Duration) bool {
 	if !errors.Is(err, ErrBroken) || ctx.Err() != nil || c.View.Snapshot().Leaves(to) {
 		return false
@@ -45,15 +44,15 @@
 	return c.Quarantine.ReportBroken(ctx, quarantine.BrokenRun{Fingerprint: c.fingerprint, Endpoint: to.Incarnation(), Addr: to.Addr, Took: took})
 }
 
-// suspected reports whether an endpoint has ended under the request's content.
+// suspected reports whether an endpoint has crashed under the request's content.
 func (c *call) suspected() bool {
 	state, _ := c.Quarantine.State(c.fingerprint, quarantine.RequestLimit)
 	return state != quarantine.Clear
 }
 
-// maySendToAnother reports whether the request may be sent to one more endpoint: one
-// under which an endpoint has ended goes to one at a time, so that a second end tells
-// before a third endpoint has it.
+// maySendToAnother reports whether the request may be sent to one more endpoint. A suspect one
+// goes to one endpoint at a time, so that a second crash is known before a third endpoint has the
+// request.
 func (c *call) maySendToAnother() bool {
 	state, _ := c.Quarantine.State(c.fingerprint, quarantine.RequestLimit)
 	switch state {
@@ -66,16 +65,16 @@
 }
 
 const (
-	// riskyWaitStep is the pause before a request that waits for its turn looks again,
+	// riskyWaitStep is the pause before a waiting risky request looks for an endpoint again,
 	// about the work of one request.
 	riskyWaitStep = 20 * time.Millisecond
-	// maxRiskyWait bounds the wait where the route's timeout does not: as long as
-	// several such requests take one after the other.
+	// maxRiskyWait limits the wait where the route's timeout does not: as long as several such
+	// requests take one after the other.
 	maxRiskyWait = 500 * time.Millisecond
 )
 
-// awaitLowRisk has the request wait if all endpoints that are left have another one
-// under which an endpoint has ended: what was beside the culprit would meet it again.
+// awaitLowRisk makes the request wait if every endpoint that is left has another risky request:
+// one that merely ran beside the culprit would otherwise meet it again.
 func (c *call) awaitLowRisk(q picker.Query) {
 	q.AvoidRisky = false
 	if _, left := c.picker.Pick(q); !left {
@@ -85,7 +84,7 @@
 	c.riskyWait += riskyWaitStep
 }
 
-// waiting reports whether the request waiting for its turn.
+// waiting reports whether the request waits for an endpoint without a risky request.
 func (c *call) waiting() bool { return c.retryTimer != nil }
 
 // logBroken logs and counts a send that ended without an answer.
--- a/forward/racelimit_test.go
+++ b/forward/racelimit_test.go
@@ -1,4 +1,4 @@
 package forward
 
-// The race detector and bubbles of testing/synctest need one processor.
+// The race detector and synctest bubbles need one processor.
 import _ "mulberryscale.example/internal/racelimit"
--- a/forward/resume.go
+++ b/forward/resume.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Resume goes on with a stream that broke off, at another endpoint after the
-// last event that the client has.
-func (f *Forwarder) Resume(ctx context.Context, r *Request, lastEvent string) (Events, error) {
+// Resume continues a stream that broke off, at another endpoint after the last event that the
+// client has received.
+func (f *Forwarder) Resume(ctx context.Context, r *Request, lastEventID string) (Events, error) {
 	if !r.Route.Resumable {
 		return nil, fmt.Errorf("forward: route %s is not resumable", r.Route.Name)
 	}
-	again := *r
-	again.LastEventID = lastEvent
-	defer func() { r.Reached = again.Reached }()
-	for again.Reached < r.Route.MaxAttempts {
+	resumed := *r
+	resumed.LastEventID = lastEventID
+	defer func() { r.Reached = resumed.Reached }()
+	for resumed.Reached < r.Route.MaxAttempts {
 		if !r.Deadline.IsZero() && time.Until(r.Deadline) <= answerSlack {
 			return nil, errTimeout
 		}
-		answer, err := f.Do(ctx, &again)
+		answer, err := f.Do(ctx, &resumed)
 		if err != nil {
 			return nil, err
 		}
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// observedStream sees how a stream ends, and releases its context when it is closed.
+// observedStream reports to the quarantine how a stream ends, and releases its context when it is
+// closed.
 type observedStream struct {
 	Events
 	call   *call
