--- a/forward/call.go
+++ b/forward/call.go
@@ -12,52 +12,51 @@
 	"mulberryscale.example/quarantine"
 )
 
-// maxParallel is how many endpoints may work at one request at once.
+// maxParallel is the number of endpoints that may work on one request at the same time.
 const maxParallel = 2
 
-// call is one request on its way. Its methods are called by one goroutine, but
-// hasEnded, which reads what does not change.
+// call is the forwarding of one request. Its methods are called by one goroutine, except for
+// reportIfCrashed, which reads only what does not change.
 type call struct {
 	*Forwarder
-	request *Request
-	subject quarantine.Fingerprint
-	// trial says that the content is held and this call tries it out.
+	request     *Request
+	fingerprint quarantine.Fingerprint
+	// trial is set if the content is quarantined and this call is its trial.
 	trial   bool
 	tried   map[fleet.Incarnation]bool
 	results chan attempt
 	pending int
 	// sent counts the endpoints that the request may have reached.
-	sent int
-	last fleet.Instance
-	// lastSent is when it was sent there.
+	sent   int
+	lastTo fleet.Instance
+	// lastSent is when the request was sent to lastTo.
 	lastSent time.Time
-	// unanswered are the endpoints that have it and gave no answer, with when it was
-	// sent there.
-	unanswered map[fleet.Incarnation]lostSend
-	// turn fires when a request that waits for its turn is to try again; waited is
-	// how long it has waited so far.
-	turn   <-chan time.Time
-	waited time.Duration
-	// failures counts the endpoints' own failures.
+	// unanswered holds the sends without an answer so far, by endpoint.
+	unanswered map[fleet.Incarnation]abandonedSend
+	// retryTimer fires when a risky request that waits for an endpoint without another one is to
+	// try again; riskyWait is how long it has waited so far.
+	retryTimer <-chan time.Time
+	riskyWait  time.Duration
+	// failures counts the endpoints that answered with a failure of their own.
 	failures int
-	// mayHaveRun says that an endpoint may have run it.
+	// mayHaveRun is set if an endpoint may have run the request.
 	mayHaveRun bool
 }
 
-// attempt is what came of one send.
+// attempt is the result of one send.
 type attempt struct {
 	to     fleet.Instance
 	answer *Answer
 	err    error
 	took   time.Duration
-	// ended says that the endpoint broke off and has ended.
-	ended bool
+	// crashed is set if the endpoint broke off the request because it crashed.
+	crashed bool
 }
 
 // run sends the request until an answer is final.
 func (c *call) run(ctx context.Context) (*Answer, error) {
-	// Attempts that lost the race are given up once there is an answer. They are
-	// kept by incarnation, each of which is sent to once.
+	// The other attempts are cancelled once there is an answer. They are kept by incarnation,
+	// since the request is sent to each incarnation at most once.
 	cancels := map[fleet.Incarnation]context.CancelFunc{}
 	defer func() {
 		for _, cancel := range cancels {
@@ -69,41 +68,41 @@
 	var lastReason string
 	start := func() bool {
 		risky := c.suspected()
-		to, ok := c.next(risky)
+		to, ok := c.pickEndpoint(risky)
 		if ok {
 			cancels[to.Incarnation()] = c.send(ctx, to, risky)
 		}
 		return ok
 	}
-	if !start() && !c.waits() {
+	if !start() && !c.waiting() {
 		return nil, c.refusal(ReasonNoEndpoint, nil)
 	}
 	hedge := time.NewTimer(c.hedgeAfter())
 	defer hedge.Stop()
-	for c.pending > 0 || c.waits() {
+	for c.pending > 0 || c.waiting() {
 		select {
 		case <-ctx.Done():
-			return nil, c.ended(ctx)
+			return nil, c.contextRefusal(ctx)
 		case <-hedge.C:
-			if c.repeatable() && c.pending < maxParallel && c.mayEndAnother() && start() {
+			if c.repeatable() && c.pending < maxParallel && c.maySendToAnother() && start() {
 				c.Counters.Retry(c.request.Route.Name, ReasonSlow)
 			}
 			continue
-		case <-c.turn:
-			c.turn = nil
-			if c.mayEndAnother() && start() {
-				c.countAgain(lastReason)
+		case <-c.retryTimer:
+			c.retryTimer = nil
+			if c.maySendToAnother() && start() {
+				c.countRetry(lastReason)
 			}
 		case a := <-c.results:
 			c.pending--
-			c.tell(a)
-			if a.ended || !errors.Is(a.err, ErrBroken) {
+			c.logBroken(a)
+			if a.crashed || !errors.Is(a.err, ErrBroken) {
 				delete(c.unanswered, a.to.Incarnation())
 			}
-			reason := c.judge(a)
+			reason := c.retryReason(a)
 			if reason == "" {
 				if a.answer.Stream != nil {
-					delete(cancels, a.to.Incarnation()) // its context ends with the stream
+					delete(cancels, a.to.Incarnation()) // the stream still needs its context
 				}
 				return a.answer, nil
 			}
@@ -112,10 +111,10 @@
 			}
 			lastErr, lastReason = a.err, reason
 			if ctx.Err() != nil {
-				return nil, c.ended(ctx)
+				return nil, c.contextRefusal(ctx)
 			}
-			if c.again(reason) && c.mayEndAnother() && start() {
-				c.countAgain(reason)
+			if c.mayRetry(reason) && c.maySendToAnother() && start() {
+				c.countRetry(reason)
 			}
 		}
 	}
@@ -125,16 +124,18 @@
 	return nil, c.refusal(cmp.Or(lastReason, ReasonNoEndpoint), lastErr)
 }
 
-// countAgain counts a send after one that failed; an empty reason is the first.
-func (c *call) countAgain(reason string) {
+// countRetry counts a send that follows a failed one; reason is empty for the first send, which
+// is not counted.
+func (c *call) countRetry(reason string) {
 	if reason != "" {
 		c.Counters.Retry(c.request.Route.Name, reason)
 	}
 }
 
-// next takes the endpoint of the next send. A risky request, under which an endpoint
-// has ended, goes where no other such one from here is, or waits for its turn.
-func (c *call) next(risky bool) (fleet.Instance, bool) {
+// pickEndpoint picks the endpoint of the next send and counts the send in the picker. A risky
+// request, under which an endpoint has crashed, goes to an endpoint that has no other risky one
+// from this process, or waits for one.
+func (c *call) pickEndpoint(risky bool) (fleet.Instance, bool) {
 	route := c.request.Route
 	if c.request.Reached+c.sent >= route.MaxAttempts {
 		return fleet.Instance{}, false
@@ -142,85 +143,86 @@
 	snap := c.View.Snapshot()
 	query := picker.Query{
 		Candidates: snap.OfService(route.Backend(c.request.ID)), Tried: c.tried, Zone: c.Zone, Request: c.request.ID, Now: time.Now(),
-		AvoidRisky: risky && c.waited < maxTurnWait,
+		AvoidRisky: risky && c.riskyWait < maxRiskyWait,
 	}
 	to, ok := c.picker.Take(query, risky)
 	if !ok && query.AvoidRisky {
-		c.awaitTurn(query)
+		c.awaitLowRisk(query)
 	}
 	return to, ok
 }
 
-// send sends the request to an endpoint that next has taken for it.
+// send sends the request to an endpoint that pickEndpoint has returned, and returns the function
+// that cancels the send.
 func (c *call) send(ctx context.Context, to fleet.Instance, risky bool) context.CancelFunc {
 	ctx, cancel := context.WithCancel(ctx)
-	c.tried[to.Incarnation()], c.last, c.lastSent = true, to, time.Now()
-	c.unanswered[to.Incarnation()] = lostSend{to: to, sent: c.lastSent}
+	c.tried[to.Incarnation()], c.lastTo, c.lastSent = true, to, time.Now()
+	c.unanswered[to.Incarnation()] = abandonedSend{to: to, sent: c.lastSent}
 	c.sent++
 	c.pending++
 	left := c.request.Route.Timeout
 	if !c.request.Deadline.IsZero() {
 		left = time.Until(c.request.Deadline)
 	}
-	ended := func() {}
+	meterEnd := func() {}
 	if c.Meter != nil {
-		ended = c.Meter(to)
+		meterEnd = c.Meter(to)
 	}
 	go func() {
-		defer ended()
+		defer meterEnd()
 		began := time.Now()
 		settle := c.countRun(began)
 		answer, err := c.Sender.Send(ctx, to, c.request, left)
 		settle(answer, err)
 		took := time.Since(began)
 		c.picker.End(to.Incarnation(), c.outcome(ctx, answer, err, took, risky), time.Now())
-		c.results <- attempt{to: to, answer: answer, err: err, took: took, ended: c.hasEnded(ctx, to, err, took)}
+		c.results <- attempt{to: to, answer: answer, err: err, took: took, crashed: c.reportIfCrashed(ctx, to, err, took)}
 	}()
 	return cancel
 }
 
-// countRun counts a run that is about to be sent as begun, and takes that back by
-// what it returns if the endpoint did not begin it: the answer may come long after
-// the counts of that moment are due. A stream is not counted before its answer,
-// whose first event is when it began.
+// countRun counts a run as started when it is sent, since the answer may come long after the
+// counts of that moment are due. The function that it returns withdraws the count if the endpoint
+// did not start the run. A stream is counted only when its answer comes, since it starts with its
+// first event.
 func (c *call) countRun(sent time.Time) (settle func(*Answer, error)) {
 	if c.OnRunStarted == nil {
 		return func(*Answer, error) {}
 	}
 	if c.request.Route.Kind == fleet.KindStream {
 		return func(answer *Answer, err error) {
-			if ran(answer, err) {
-				c.OnRunStarted(c.request.Organisation, startOf(answer, sent))
+			if started(answer, err) {
+				c.OnRunStarted(c.request.Organisation, startTime(answer, sent))
 			}
 		}
 	}
 	withdraw := c.OnRunStarted(c.request.Organisation, sent)
 	return func(answer *Answer, err error) {
-		if !ran(answer, err) {
+		if !started(answer, err) {
 			withdraw()
 		}
 	}
 }
 
-// ran reports whether an endpoint began to work on a send, as far as is known: a
-// send without an answer counts as begun.
-func ran(answer *Answer, err error) bool {
+// started reports whether an endpoint started to work on a send, as far as is known: a send
+// without an answer counts as started.
+func started(answer *Answer, err error) bool {
 	if err != nil {
 		return !errors.Is(err, ErrUnsent)
 	}
 	return !answer.Declined
 }
 
-// startOf is when an endpoint began a stream that was sent at a moment: with its
-// first event, or when it was sent if it has none.
-func startOf(answer *Answer, sent time.Time) time.Time {
+// startTime returns when an endpoint started a stream that was sent at a given time: with its
+// first event, or when it was sent if it has no events.
+func startTime(answer *Answer, sent time.Time) time.Time {
 	if answer != nil && answer.Stream != nil {
 		return time.Now()
 	}
 	return sent
 }
 
-// outcome is what a send tells of its endpoint.
+// outcome returns what a send says about its endpoint.
 func (c *call) outcome(ctx context.Context, answer *Answer, err error, took time.Duration, risky bool) picker.Outcome {
 	o := picker.Outcome{Answered: err == nil || ctx.Err() != nil, Kind: c.request.Route.Name, Risky: risky}
 	if err != nil {
@@ -232,8 +234,8 @@
 	return o
 }
 
-// judge says why an attempt is not final; empty says that it is.
-func (c *call) judge(a attempt) string {
+// retryReason returns why an attempt is not final; empty if it is.
+func (c *call) retryReason(a attempt) string {
 	switch {
 	case errors.Is(a.err, ErrUnsent):
 		c.sent-- // it reached no endpoint
@@ -242,12 +244,12 @@
 		c.mayHaveRun = true
 		return ReasonBroken
 	case a.answer.Declined:
-		c.sent-- // the endpoint says that it did not run it
+		c.sent-- // the endpoint did not run it
 		return ReasonDeclined
 	}
 	c.mayHaveRun = true
 	if a.answer.Stream == nil {
-		c.Quarantine.ReportServed(c.subject)
+		c.Quarantine.ReportServed(c.fingerprint)
 	}
 	if a.answer.Status == http.StatusInternalServerError {
 		c.failures++
@@ -262,8 +264,8 @@
 // repeatable reports whether the request may run more than once.
 func (c *call) repeatable() bool { return c.request.Route.Kind == fleet.KindSafe }
 
-// again reports whether the request may be sent once more after a failure.
-func (c *call) again(reason string) bool {
+// mayRetry reports whether the request may be sent again after a failure.
+func (c *call) mayRetry(reason string) bool {
 	switch reason {
 	case ReasonUnsent, ReasonDeclined:
 		return !c.mayHaveRun || c.repeatable()
@@ -275,15 +277,16 @@
 	return max(minHedge, time.Duration(hedgeShare*float64(c.request.Route.Objective)))
 }
 
-// refusal is the final answer of a request that no endpoint answered.
+// refusal returns the final answer to a request that no endpoint answered.
 func (c *call) refusal(reason string, cause error) *Refusal {
 	return &Refusal{
 		NotRun: !c.mayHaveRun && c.pending == 0, Reason: reason, RetryAfter: retryAfter, Cause: cause, Failures: c.failures,
 	}
 }
 
-// ended is the final answer of a request whose time is up or whose client has gone.
-func (c *call) ended(ctx context.Context) *Refusal {
+// contextRefusal returns the final answer to a request that has timed out or whose client has
+// gone.
+func (c *call) contextRefusal(ctx context.Context) *Refusal {
 	if errors.Is(context.Cause(ctx), errTimeout) {
 		return c.refusal(ReasonTimeout, nil)
 	}
