--- a/batch/ledger.go
+++ b/batch/ledger.go
@@ -14,12 +14,12 @@
 
 // Tables of the store.
 //
-//	batch_jobs     name ID: the Job; name ID/end: the job was ended
-//	batch_items    name ID/000…: the items, CBOR, cut into rows
+//	batch_jobs     name ID: the Job; name ID/end: the client has ended the job
+//	batch_items    name ID/000…: the items, CBOR, split into rows
 //
 // Results and saved text have tables of their own, see results.go and progress.go.
 //
-// Heads and items share one part, so that one transaction accepts a job whole.
+// Jobs and their items share one part, so that one transaction can accept a job completely.
 const (
 	TableJobs  = "batch_jobs"
 	tableItems = "batch_items"
@@ -28,27 +28,27 @@
 )
 
 const (
-	// maxInlineBytes is the most that a job's items may take in rows; more goes
-	// into objects. The store takes 1 MB a transaction, in an encoding that
-	// needs four bytes for three.
+	// maxInlineBytes is the largest encoding of a job's items that is stored in rows;
+	// larger ones are stored in objects. The store limits a transaction to 1 MB, in an
+	// encoding that needs four bytes for three.
 	maxInlineBytes = 640 << 10
-	// rowFillShare keeps a row's value under the store's bound.
+	// rowFillShare is the share of RowBytes that a row's value may use.
 	rowFillShare = 0.9
-	// writeRetryPause is the pause before a write that got no clear answer is sent again.
+	// writeRetryPause is the pause before a write whose outcome is unknown is retried.
 	writeRetryPause = 100 * time.Millisecond
 )
 
-// Ledger keeps jobs and their results in the store. It is safe for concurrent use.
+// Ledger stores jobs, their items and their results. It is safe for concurrent use.
 type Ledger struct {
 	Store store.Store
-	// RowBytes is the largest value of a row, ObjectBytes the largest object.
+	// RowBytes is the size limit of a row's value, ObjectBytes that of an object.
 	RowBytes, ObjectBytes int
 }
 
-// Submit accepts a job: once it returns nil the job stands whole in the store.
-// A job that was accepted before is accepted again. After an error that is
-// store.ErrRefused the job is not accepted and never will be by this call; any
-// other error leaves it open.
+// Submit accepts a job: once it returns nil, the job and its items are stored. It
+// is idempotent: a job that was accepted before is accepted again. After an error
+// that wraps store.ErrRefused the job is not accepted and will not be by this call;
+// any other error leaves the outcome unknown.
 func (l *Ledger) Submit(ctx context.Context, job *Job, items []Item) error {
 	data, err := codec.Marshal(items)
 	if err != nil {
@@ -62,10 +62,10 @@
 			return err
 		}
 	} else {
-		pieces := splitBytes(data, l.rowLimit())
-		job.Chunks = len(pieces)
-		for i, piece := range pieces {
-			tx.Put = append(tx.Put, store.Row{Key: itemsKey(job.ID, i), Value: piece})
+		chunks := splitBytes(data, l.rowLimit())
+		job.Chunks = len(chunks)
+		for i, chunk := range chunks {
+			tx.Put = append(tx.Put, store.Row{Key: itemsKey(job.ID, i), Value: chunk})
 		}
 	}
 	head, err := codec.Marshal(job)
@@ -76,11 +76,11 @@
 	return l.commitOnce(ctx, tx)
 }
 
-// commitOnce commits a transaction whose conditions can hold once only, again
-// after each answer that leaves its outcome open. A conflict means that it, or
-// one like it, was committed before.
+// commitOnce commits a transaction whose conditions can hold only once, and retries
+// it while its outcome is unknown. A conflict means that it, or an equivalent one,
+// was committed before.
 func (l *Ledger) commitOnce(ctx context.Context, tx store.Tx) error {
-	open := false // an earlier send may still be carried out
+	unknown := false // an earlier attempt may still be committed
 	for {
 		_, err := l.Store.Commit(ctx, tx)
 		switch {
@@ -89,10 +89,10 @@
 		case errors.Is(err, store.ErrInvalid):
 			return err
 		case errors.Is(err, store.ErrUnknown):
-			open = true
+			unknown = true
 		}
 		if pause.Sleep(ctx, writeRetryPause) != nil {
-			if open {
+			if unknown {
 				return fmt.Errorf("%w: %v", store.ErrUnknown, err)
 			}
 			return err
@@ -101,26 +101,27 @@
 }
 
 func (l *Ledger) putObjects(ctx context.Context, id string, data []byte) (int, error) {
-	pieces := splitBytes(data, l.ObjectBytes)
-	for i, piece := range pieces {
+	chunks := splitBytes(data, l.ObjectBytes)
+	for i, chunk := range chunks {
 		for {
-			err := l.Store.PutObject(ctx, objectName(id, i), piece)
+			err := l.Store.PutObject(ctx, objectName(id, i), chunk)
 			if err == nil || errors.Is(err, store.ErrConflict) {
 				break
 			}
-			// An object alone accepts nothing, so its outcome need not be known.
+			// An object alone does not accept the job, so its outcome may stay unknown.
 			if errors.Is(err, store.ErrInvalid) || pause.Sleep(ctx, writeRetryPause) != nil {
 				return 0, fmt.Errorf("%w: %v", store.ErrRefused, err)
 			}
 		}
 	}
-	return len(pieces), nil
+	return len(chunks), nil
 }
 
-// Job reads a job; found is false if there is none.
+// Job reads a job; found is false if it does not exist, ended is true if its client
+// has ended it.
 func (l *Ledger) Job(ctx context.Context, id string) (job *Job, ended, found bool, err error) {
 	if !validJobID(id) {
-		return nil, false, false, nil // none is ever accepted
+		return nil, false, false, nil // such an id is never accepted
 	}
 	s, err := l.Store.List(ctx, store.Range{Table: TableJobs, From: id, To: id + endSuffix + "\x00"})
 	if err != nil {
@@ -164,11 +165,11 @@
 func (l *Ledger) objects(ctx context.Context, job *Job) ([]byte, error) {
 	var data []byte
 	for i := range job.Chunks {
-		piece, err := l.Store.GetObject(ctx, objectName(job.ID, i))
+		chunk, err := l.Store.GetObject(ctx, objectName(job.ID, i))
 		if err != nil {
 			return nil, err
 		}
-		data = append(data, piece...)
+		data = append(data, chunk...)
 	}
 	return data, nil
 }
@@ -190,7 +191,7 @@
 	return data, nil
 }
 
-// End ends a job. It is idempotent.
+// End records that the client has ended a job. It is idempotent.
 func (l *Ledger) End(ctx context.Context, id string) error {
 	key := jobKey(id + endSuffix)
 	return l.commitOnce(ctx, store.Tx{
@@ -199,7 +200,7 @@
 	})
 }
 
-// Remove deletes a job, its items and its results.
+// Remove deletes a job, its items, its results and its saved text.
 func (l *Ledger) Remove(ctx context.Context, job *Job) error {
 	tx := store.Tx{Delete: []store.Key{jobKey(job.ID), jobKey(job.ID + endSuffix)}}
 	for i := range job.Chunks {
@@ -220,9 +221,10 @@
 	return err
 }
 
-// maxDeletes is how many entries one transaction of the store may have.
+// maxDeletes is the number of entries that one transaction of the store may have.
 const maxDeletes = 100
 
+// removePart deletes all rows of a job in a table.
 func (l *Ledger) removePart(ctx context.Context, table, jobID string) error {
 	for {
 		s, err := l.Store.List(ctx, store.Range{Table: table, Part: jobID})
@@ -239,7 +241,7 @@
 	}
 }
 
-// DecodeJob decodes a head row.
+// DecodeJob decodes the value of a job's row in TableJobs.
 func DecodeJob(value []byte) (*Job, error) {
 	job := &Job{}
 	if err := codec.Unmarshal(value, job); err != nil {
@@ -248,7 +250,8 @@
 	return job, nil
 }
 
-// ParseJobRowName tells whose row of TableJobs a name is, and whether it says that the job was ended.
+// ParseJobRowName returns the id of the job that a row of TableJobs belongs to; end
+// is true for the row that records the end of the job.
 func ParseJobRowName(name string) (id string, end bool) {
 	id, end = strings.CutSuffix(name, endSuffix)
 	return id, end
@@ -264,11 +267,12 @@
 
 func (l *Ledger) rowLimit() int { return int(rowFillShare * float64(l.RowBytes)) }
 
+// splitBytes splits data into chunks of at most limit bytes; empty data gives one empty chunk.
 func splitBytes(data []byte, limit int) [][]byte {
-	var pieces [][]byte
+	var chunks [][]byte
 	for len(data) > limit {
-		pieces = append(pieces, data[:limit])
+		chunks = append(chunks, data[:limit])
 		data = data[limit:]
 	}
-	return append(pieces, data)
+	return append(chunks, data)
 }
--- a/batch/listing.go
+++ b/batch/listing.go
@@ -9,13 +9,13 @@
 	"mulberryscale.example/transport/codec"
 )
 
-// Listing is the list of a job's results in the order in which the store took
+// Listing is the list of a job's results in the order in which the store committed
 // them. All readers compute the same list: the rows of one transaction are one
-// batch, batches follow each other by the store's version, and of two results
-// of one item the first stands. It is not safe for concurrent use.
+// batch, batches are ordered by the store's version, and of several results of an
+// item only the first is listed. It is not safe for concurrent use.
 type Listing struct {
 	Results []Result
-	// Version is the store's version up to which the list is whole.
+	// Version is the store's version up to which the list is complete.
 	Version uint64
 
 	listed map[string]bool // by item id
@@ -27,14 +27,14 @@
 // Listed reports whether an item has a result.
 func (l *Listing) Listed(itemID string) bool { return l.listed[itemID] }
 
-// Load takes all rows of a job's part; rows newer than the snapshot's version
-// are left to the feed, since others of the same age may be missing.
+// Load adds all rows of a job's part. It skips rows newer than the snapshot's
+// version, since other rows of that age may be missing; the feed brings them.
 func (l *Listing) Load(s store.Snapshot) error {
 	rows := slices.DeleteFunc(slices.Clone(s.Rows), func(r store.Row) bool { return r.Version > s.Version })
 	return l.apply(rows, s.Version)
 }
 
-// Apply takes rows of the feed up to a version; rows that are known are passed over.
+// Apply adds rows of the feed up to a version; rows that are known already are skipped.
 func (l *Listing) Apply(rows []store.Row, version uint64) error { return l.apply(rows, version) }
 
 func (l *Listing) apply(rows []store.Row, version uint64) error {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// addBatch takes the rows of one transaction.
+// addBatch adds the results in the rows of one transaction.
 func (l *Listing) addBatch(rows []store.Row) error {
 	var data []byte
 	for _, row := range rows {
--- a/batch/messages.go
+++ b/batch/messages.go
@@ -6,22 +6,22 @@
 	"mulberryscale.example/store/detour"
 )
 
-// PeerRequest is a call from one agent to another; one of the pointers is set.
+// PeerRequest is a request from one agent to another; exactly one of the pointers is set.
 type PeerRequest struct {
 	// From is the address of the caller's engine.
 	From   string         `cbor:"1,keyasint"`
 	Status *StatusRequest `cbor:"2,keyasint,omitempty"`
 	Take   *TakeRequest   `cbor:"3,keyasint,omitempty"`
 	Give   *Handover      `cbor:"4,keyasint,omitempty"`
-	// Store asks to make a call to the store that the caller has no path to.
+	// Store is a call to the store that the receiver makes for a caller that cannot reach it.
 	Store *detour.Call `cbor:"5,keyasint,omitempty"`
 }
 
-// PeerReply answers it.
+// PeerReply is the reply to a PeerRequest.
 type PeerReply struct {
 	Status   *Status   `cbor:"1,keyasint,omitempty"`
 	Handover *Handover `cbor:"2,keyasint,omitempty"`
-	// Taken is the number of given items that were taken.
+	// Taken is the number of items of PeerRequest.Give that were taken over.
 	Taken int           `cbor:"3,keyasint,omitempty"`
 	Store *detour.Reply `cbor:"4,keyasint,omitempty"`
 }
@@ -31,42 +31,42 @@
 	Jobs []string `cbor:"1,keyasint"`
 }
 
-// Status is what an agent says of itself.
+// Status is the state that an agent reports of itself.
 type Status struct {
-	// Up says that its engine takes work.
+	// Up is true if its engine takes work.
 	Up bool `cbor:"1,keyasint"`
-	// Free is how many more items it could run at once.
+	// Free is the number of further items that it could run at once.
 	Free int `cbor:"2,keyasint"`
-	// EventInterval is the mean time between two events of a run there, 0 while unknown.
+	// EventInterval is the mean time between two events of a run there; 0 if unknown.
 	EventInterval time.Duration        `cbor:"3,keyasint,omitempty"`
 	Jobs          map[string]JobStatus `cbor:"4,keyasint,omitempty"`
 }
 
-// JobStatus lists items of a job by their indexes.
+// JobStatus lists the items of a job that an agent holds or knows as done, by index.
 type JobStatus struct {
 	Waiting []int `cbor:"1,keyasint,omitempty"`
 	Running []int `cbor:"2,keyasint,omitempty"`
-	// AwaitingScore have their last event and wait for their score.
+	// AwaitingScore are the items whose text is complete and that wait for their score.
 	AwaitingScore []int `cbor:"4,keyasint,omitempty"`
-	// Done are in the store or on their way there.
+	// Done are the items whose results are in the store.
 	Done []int `cbor:"3,keyasint,omitempty"`
 }
 
-// TakeRequest asks for items to run them at the caller's engine.
+// TakeRequest asks for up to Max items of a job, to run them on the caller's engine.
 type TakeRequest struct {
 	Job string `cbor:"1,keyasint"`
 	Max int    `cbor:"2,keyasint"`
-	// Running asks for items that run already as well.
+	// Running asks for items that are running already as well.
 	Running bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Handover are items of a job that go from one agent to another.
+// Handover holds the items of a job that one agent hands over to another.
 type Handover struct {
 	Job   string         `cbor:"1,keyasint"`
 	Items []HandoverItem `cbor:"2,keyasint"`
 }
 
-// HandoverItem is an item with its text so far.
+// HandoverItem is an item with the text generated so far.
 type HandoverItem struct {
 	Index    int      `cbor:"1,keyasint"`
 	Text     []string `cbor:"2,keyasint,omitempty"`
@@ -76,6 +76,6 @@
 	// failures that its reward call was answered with.
 	Complete       bool `cbor:"6,keyasint,omitempty"`
 	RewardFailures int  `cbor:"7,keyasint,omitempty"`
-	// Avoid are engines where it broke off again and again.
+	// Avoid are the addresses of engines whose answers to the item broke off repeatedly.
 	Avoid []string `cbor:"5,keyasint,omitempty"`
 }
--- a/batch/openjobs.go
+++ b/batch/openjobs.go
@@ -10,7 +10,8 @@
 	"mulberryscale.example/observe"
 )
 
-// addJob takes a job of this worker's service.
+// addJob adds a job to those known here if it is of this worker's service and not
+// expired, and starts it if this engine owns a part of it.
 func (w *Worker) addJob(job *Job, now time.Duration) {
 	if job.Service != w.Service || now-job.Accepted > job.ItemTTL+jobRetention {
 		return
@@ -34,8 +35,8 @@
 	}
 }
 
-// jobLogLevel is the level of lines about a job: those that have nothing to do
-// with it here would only repeat what its owners say.
+// jobLogLevel is the level of log lines about a job: lines of agents that are not
+// involved in it only repeat those of its owners.
 func jobLogLevel(involved bool) logrus.Level {
 	if involved {
 		return logrus.InfoLevel
@@ -43,12 +44,13 @@
 	return logrus.DebugLevel
 }
 
-// newJobAge is the age above which a job may have results already: the store
-// tells of a new job within milliseconds, and the shortest items take some
-// hundred.
+// newJobAge is the age above which a job may have results already: agents hear of a
+// new job from the store within milliseconds, and the shortest items take some
+// hundred milliseconds.
 const newJobAge = 300 * time.Millisecond
 
-// startJob reads a job's items and takes this worker's part of them.
+// startJob loads a job's items and enqueues this worker's part of them; old says that
+// the job may have results and saved text already.
 func (w *Worker) startJob(j *workJob, old bool) {
 	for !w.load(j, old) {
 		if pause.Sleep(w.ctx, writeRetryPause) != nil {
@@ -67,8 +69,9 @@
 	w.wake()
 }
 
-// resumableTexts are the texts that a job's items can go on from: those that were
-// saved while they ran before, and those that earlier jobs left unfinished.
+// resumableTexts returns the texts, by item index, from which a job's items can be
+// resumed: those saved during earlier runs in the same job, and the unfinished texts
+// of earlier jobs.
 func (w *Worker) resumableTexts(j *workJob, old bool) map[int]savedText {
 	texts := map[int]savedText{}
 	if old {
@@ -83,9 +86,9 @@
 			texts[i] = text
 		}
 	}
-	left := w.leftovers(j)
+	leftovers := w.leftovers(j)
 	for i := range j.items {
-		if l, ok := left[j.items[i].ID]; ok && j.job.allowsVersions(l.versions) && l.betterThan(texts[i]) {
+		if l, ok := leftovers[j.items[i].ID]; ok && j.job.allowsVersions(l.versions) && l.betterThan(texts[i]) {
 			l.rewardFailures = texts[i].rewardFailures
 			texts[i] = l
 		}
@@ -96,7 +99,8 @@
 	return texts
 }
 
-// load reads what is not known yet of a job; it reports whether all is known.
+// load reads a job's items unless they are known, and the ids of its finished items
+// if results is true; it reports whether that succeeded.
 func (w *Worker) load(j *workJob, results bool) bool {
 	w.mu.Lock()
 	known := j.items != nil
@@ -129,8 +133,9 @@
 	return true
 }
 
-// enqueue adds an item to those that wait here, or that are scored if its text is
-// whole, unless it is held or done. It is called with w.mu held.
+// enqueue adds a task to the waiting ones, or starts to score it if its text is
+// complete. It returns false if the job has ended or the item is done or has a task
+// here already. It is called with w.mu held.
 func (w *Worker) enqueue(j *workJob, t *task) bool {
 	if j.ended || j.done[t.index] || j.tasks[t.index] != nil {
 		return false
@@ -148,13 +153,14 @@
 	return true
 }
 
-// endJob ends a job here: what waits is dropped, what runs is stopped.
+// endJob handles the end of a job by its client: waiting items are dropped, running
+// ones are cancelled, and their text is saved for a later job.
 func (w *Worker) endJob(id string, removed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	j, ok := w.jobs[id]
 	if !ok {
-		// It may be seen later, out of order: remember that it ended.
+		// Its row may arrive later, out of order: remember that it has ended.
 		w.jobs[id] = &workJob{job: &Job{ID: id}, ended: true, finished: true}
 		return
 	}
@@ -166,25 +172,25 @@
 	}
 	j.ended = true
 	w.waiting = slices.DeleteFunc(w.waiting, func(t *task) bool { return t.j == j })
-	left := map[string]savedText{}
+	unfinished := map[string]savedText{}
 	for _, t := range j.tasks {
 		if len(t.text) >= minSavedEvents || (t.complete && !t.finished) {
-			left[t.item.ID] = savedText{events: slices.Clone(t.text), versions: slices.Clone(t.versions), complete: t.complete}
+			unfinished[t.item.ID] = savedText{events: slices.Clone(t.text), versions: slices.Clone(t.versions), complete: t.complete}
 		}
 		t.stop(errJobEnded)
 	}
 	w.Log.WithFields(logrus.Fields{observe.FieldJob: id, "unfinished": len(j.tasks)}).
 		Log(jobLogLevel(j.items != nil), "job ended")
-	if len(left) > 0 {
-		go w.saveLeftovers(j, left)
+	if len(unfinished) > 0 {
+		go w.saveLeftovers(j, unfinished)
 	}
 	w.wake()
 }
 
-// forgetAfter bounds the memory of jobs beyond their items' time.
+// jobRetention is how long a job is kept in memory after its items have expired.
 const jobRetention = 10 * time.Second
 
-// removeExpiredJobs drops jobs whose time is up.
+// removeExpiredJobs removes expired jobs without unfinished items from memory.
 func (w *Worker) removeExpiredJobs(now time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/batch/orphans.go
+++ b/batch/orphans.go
@@ -12,28 +12,30 @@
 )
 
 const (
-	// orphanScanInterval is the least time between two reads of a job's results in
-	// search of items that nobody holds. It is longer than a handover takes.
+	// orphanScanInterval is the minimum time between two reads of a job's results in
+	// search of orphaned items, those that no agent holds. It is longer than a handover
+	// takes.
 	orphanScanInterval = 600 * time.Millisecond
-	// neighbourInterval is how often an agent looks whether the next one lives.
+	// neighbourInterval is how often an agent checks that the next one is alive.
 	neighbourInterval = 500 * time.Millisecond
 )
 
-// orphanScans says when an agent asks all others of its jobs, to find items that
-// nobody holds. Two causes are told apart. An agent that dies is noticed by the
-// one before it in the ring of their addresses, which asks it twice a second. A
-// hand-over that was lost leaves all agents alive, so all of them together make a
-// round each orphanCheck, in turns drawn at random. So the calls of an agent do not
-// grow with the agents: four a second for its neighbour and its part of the rounds.
+// orphanScans decides when an agent asks all others about its jobs, to find
+// orphaned items. There are two causes of orphans. The crash of an agent is noticed
+// by the agent before it in the ring of their addresses, which polls it twice a
+// second. A lost handover leaves all agents alive, so all of them together make one
+// scan each orphanScanInterval, at random times. So the number of an agent's calls
+// does not grow with the number of agents: four a second for its neighbour and its
+// share of the scans.
 type orphanScans struct {
 	draw      func() float64 // uniform in [0, 1)
-	next      time.Time      // of the next round
-	neighbour time.Time      // when it was last asked
+	next      time.Time      // time of the next scan
+	neighbour time.Time      // when the neighbour was last asked
 }
 
 func newOrphanScans(draw func() float64) *orphanScans { return &orphanScans{draw: draw} }
 
-// due reports whether a round of n agents is due, and draws the time of the next.
+// due reports whether a scan by one of n agents is due, and draws the time of the next.
 func (l *orphanScans) due(now time.Time, n int) bool {
 	first := l.next.IsZero()
 	if !first && now.Before(l.next) {
@@ -44,7 +46,7 @@
 	return !first
 }
 
-// neighbourDue reports whether the neighbour is to be asked now.
+// neighbourDue reports whether it is time to ask the neighbour.
 func (l *orphanScans) neighbourDue(now time.Time) bool {
 	if now.Sub(l.neighbour) < neighbourInterval {
 		return false
@@ -53,43 +55,44 @@
 	return true
 }
 
-// findOrphans finds items that no agent holds and that are not done, and deals
-// them out.
+// findOrphans looks for items that no agent holds and that are not done, if a scan
+// is due or the neighbour does not answer, and reassigns them.
 func (h *helper) findOrphans(ctx context.Context, jobs []*workJob) {
 	jobs = slices.DeleteFunc(slices.Clone(jobs), func(j *workJob) bool { return !h.takesPart(j) })
 	if len(jobs) == 0 {
 		return
 	}
 	others := h.engines(jobs)
-	round := h.lost.due(time.Now(), len(others)+1)
-	if !round && len(others) > 0 && h.lost.neighbourDue(time.Now()) {
+	scan := h.lost.due(time.Now(), len(others)+1)
+	if !scan && len(others) > 0 && h.lost.neighbourDue(time.Now()) {
 		next := neighbour(h.Engine, others)
-		_, lives := h.ask(ctx, jobs, []string{next})[next]
-		round = !lives
+		_, alive := h.ask(ctx, jobs, []string{next})[next]
+		scan = !alive
 	}
-	if round {
+	if scan {
 		h.reassignOrphans(ctx, jobs, h.ask(ctx, jobs, others))
 	}
 }
 
-// neighbour is the engine after one in the ring of the others, which are sorted.
+// neighbour returns the engine that follows engine in the ring of the others, which
+// are sorted.
 func neighbour(engine string, others []string) string {
 	at, _ := slices.BinarySearch(others, engine)
 	return others[at%len(others)]
 }
 
-// reassignOrphans deals out the items that no agent holds and that are not done, as
-// happens when an agent died or a handover was lost.
+// reassignOrphans reassigns the items that no agent holds and that are not done,
+// which happens after the crash of an agent or a lost handover.
 func (w *Worker) reassignOrphans(ctx context.Context, jobs []*workJob, statuses map[string]*Status) {
 	for _, j := range jobs {
-		missing, finished := w.orphansOf(j, statuses)
+		orphans, finished := w.orphansOf(j, statuses)
 		if finished {
 			w.mu.Lock()
 			j.finished = true
 			w.mu.Unlock()
 			continue
 		}
-		if len(missing) == 0 {
+		if len(orphans) == 0 {
 			continue
 		}
 		w.mu.Lock()
@@ -99,14 +102,14 @@
 		}
 		w.mu.Unlock()
 		if due && w.load(j, true) {
-			w.reassign(ctx, j, missing, statuses)
+			w.reassign(ctx, j, orphans, statuses)
 		}
 	}
 }
 
-// orphansOf are the items that nobody who answered holds or has done; finished
-// says that all are done.
-func (w *Worker) orphansOf(j *workJob, statuses map[string]*Status) (missing []int, finished bool) {
+// orphansOf returns the indexes of the items that no agent that answered, nor this
+// one, holds or knows as done; finished is true if all items are done.
+func (w *Worker) orphansOf(j *workJob, statuses map[string]*Status) (orphans []int, finished bool) {
 	held, done := map[int]bool{}, map[int]bool{}
 	w.mu.Lock()
 	own := j.status()
@@ -124,20 +127,20 @@
 	}
 	for i := range j.job.Items {
 		if !held[i] && !done[i] {
-			missing = append(missing, i)
+			orphans = append(orphans, i)
 		}
 	}
-	return missing, len(done) == j.job.Items
+	return orphans, len(done) == j.job.Items
 }
 
-// reassign deals out the items without a holder: to all agents that answered and
-// are up, by rendezvous hashing, so that two that find the same items name the
-// same agents.
-func (w *Worker) reassign(ctx context.Context, j *workJob, missing []int, statuses map[string]*Status) {
+// reassign assigns orphaned items to this agent and all that answered and are up, by
+// rendezvous hashing, so that two agents that find the same orphans choose the same
+// agents for them.
+func (w *Worker) reassign(ctx context.Context, j *workJob, orphans []int, statuses map[string]*Status) {
 	w.mu.Lock()
-	lost := slices.DeleteFunc(missing, func(i int) bool { return j.done[i] })
+	open := slices.DeleteFunc(orphans, func(i int) bool { return j.done[i] })
 	w.mu.Unlock()
-	if len(lost) == 0 {
+	if len(open) == 0 {
 		return
 	}
 	engines := []string{w.Engine}
@@ -149,7 +152,7 @@
 	slices.Sort(engines)
 	saved := w.resumableTexts(j, true)
 	shares := map[string]*Handover{}
-	for _, i := range lost {
+	for _, i := range open {
 		e := engines[best(j.items[i].ID, engines)]
 		if shares[e] == nil {
 			shares[e] = &Handover{Job: j.job.ID}
@@ -158,20 +161,21 @@
 		w.Log.WithFields(logrus.Fields{
 			observe.FieldItem: j.items[i].ID, observe.FieldJob: j.job.ID, "owner": j.owners[i],
 			"answered": len(statuses), "to": e,
-		}).Info("item without a holder found")
+		}).Info("orphaned item found")
 	}
 	for e, share := range shares {
 		w.deliver(ctx, e, share)
 	}
 }
 
-// deliver gives found items to an agent. What it does not take is found again.
+// deliver hands orphaned items over to an agent. Those that it does not take are
+// found again by a later scan.
 func (w *Worker) deliver(ctx context.Context, engine string, items *Handover) {
 	if engine == w.Engine {
 		w.accept(w.Engine, items)
 		return
 	}
 	if _, err := w.call(ctx, engine, &PeerRequest{Give: items}); err != nil {
-		w.Log.WithError(err).WithFields(logrus.Fields{observe.FieldJob: items.Job, "to": engine}).Info("found items not delivered")
+		w.Log.WithError(err).WithFields(logrus.Fields{observe.FieldJob: items.Job, "to": engine}).Info("orphaned items not delivered")
 	}
 }
--- a/batch/outbox.go
+++ b/batch/outbox.go
@@ -8,13 +8,13 @@
 	"mulberryscale.example/observe"
 )
 
-// appendInterval is the least time between two appends of one process to one
-// job. A job's part of the store takes 150 transactions a second for all
-// processes together; callers look about twice a second.
+// appendInterval is the minimum time between two appends of one process to one
+// job. A job's part of the store takes 150 transactions a second from all
+// processes together; callers poll about twice a second.
 const appendInterval = 60 * time.Millisecond
 
-// outbox appends a job's finished results to the store, several at a time. Its
-// fields are guarded by the worker's mu.
+// outbox appends the results of a job to the store in batches. Its fields are
+// guarded by the worker's mu.
 type outbox struct {
 	w       *Worker
 	j       *workJob
@@ -30,7 +30,7 @@
 
 func newOutbox(w *Worker, j *workJob) *outbox { return &outbox{w: w, j: j} }
 
-// put queues a result. It is called with w.mu held.
+// put queues a result for the next append. It is called with w.mu held.
 func (o *outbox) put(index int, r Result) {
 	o.pending = append(o.pending, pendingResult{index, r})
 	if o.sending {
@@ -40,8 +40,8 @@
 	go o.send()
 }
 
-// send appends until nothing is left. A batch that got no clear answer is sent
-// again under the same name until it is clear.
+// send appends batches until none is pending. A batch whose outcome is unknown is
+// sent again under the same name until the outcome is known.
 func (o *outbox) send() {
 	for {
 		o.w.mu.Lock()
@@ -65,7 +65,8 @@
 	}
 }
 
-// next cuts off a batch that fits into one transaction. It is called with w.mu held.
+// next removes from pending a batch that fits into one transaction and returns it
+// with its name. It is called with w.mu held.
 func (o *outbox) next() ([]pendingResult, string) {
 	n, bytes := 0, 0
 	for n < len(o.pending) {
@@ -81,6 +82,7 @@
 	return batch, fmt.Sprintf("%s-%s-%06d", o.w.Node, o.w.Incarnation, o.batches)
 }
 
+// appended records the outcome of an append.
 func (o *outbox) appended(batch []pendingResult, err error, took time.Duration) {
 	log := o.w.Log.WithField(observe.FieldJob, o.j.job.ID).WithField("results", len(batch)).
 		WithField("took_ms", took.Milliseconds())
--- a/batch/peer.go
+++ b/batch/peer.go
@@ -10,13 +10,13 @@
 	"mulberryscale.example/store/detour"
 )
 
-// PeerClient calls other agents.
+// PeerClient sends requests to other agents.
 type PeerClient interface {
-	// Call sends a request to the agent at addr, "ip:port".
+	// Call sends a request to the agent at addr ("ip:port") and returns its reply.
 	Call(ctx context.Context, addr string, req *PeerRequest) (*PeerReply, error)
 }
 
-// Serve answers another agent; before Run it holds and takes nothing.
+// Serve answers a request of another agent; before Run the reply is empty.
 func (w *Worker) Serve(req *PeerRequest) *PeerReply {
 	select {
 	case <-w.started:
@@ -52,7 +52,8 @@
 	return s
 }
 
-// freeSlots is how many more items could run at once. It is called with w.mu held.
+// freeSlots is the number of further items that could run at once. It is called with
+// w.mu held.
 func (w *Worker) freeSlots() int {
 	instance, ok := w.View.Snapshot().AtAddr(w.Engine)
 	if !ok || instance.Draining || !w.engine.up || w.stopping {
@@ -79,18 +80,18 @@
 	return s
 }
 
-// peerAddr is where the agent beside an engine listens.
+// peerAddr returns the address at which the agent beside an engine listens.
 func (w *Worker) peerAddr(engine string) (string, error) {
 	host, _, err := net.SplitHostPort(engine)
 	return net.JoinHostPort(host, strconv.Itoa(w.PeerPort)), err
 }
 
-// call calls the agent beside an engine.
+// call sends a request to the agent beside an engine, with the timeout peerTimeout.
 func (w *Worker) call(ctx context.Context, engine string, req *PeerRequest) (*PeerReply, error) {
 	return w.callWithTimeout(ctx, engine, req, peerTimeout)
 }
 
-// callWithTimeout is call with another bound than the usual.
+// callWithTimeout sends a request to the agent beside an engine with a given timeout.
 func (w *Worker) callWithTimeout(ctx context.Context, engine string, req *PeerRequest, limit time.Duration) (*PeerReply, error) {
 	addr, err := w.peerAddr(engine)
 	if err != nil {
@@ -107,9 +108,9 @@
 }
 
 const (
-	// peerTimeout bounds a call between agents: a hundred times a round trip
-	// within a region, and short against the second after which an agent that
-	// does not answer loses its items.
+	// peerTimeout bounds a call between agents: a hundred round trips within a
+	// region, and short against the second after which the items of an agent that
+	// does not answer are reassigned.
 	peerTimeout      = 400 * time.Millisecond
 	reasonPeerSilent = "peer_silent"
 )
