--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Sleep waits for d, or returns at once when d is not positive. The error is ctx's
-// cause if ctx ends first.
+// Sleep waits for d, or returns at once if d is not positive. It returns the cause of ctx if ctx
+// is done before that. Package retry has a variant that returns a bool.
 func Sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return context.Cause(ctx)
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-func TestFor(t *testing.T) {
+func TestSleep(t *testing.T) {
 	errStop := errors.New("stop")
 	for name, c := range map[string]struct {
-		pause, stop time.Duration // stop is when the context ends
+		pause, stop time.Duration // stop is when the context is cancelled
 		took        time.Duration
 		want        error
 	}{
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -1,16 +1,15 @@
-// Package picker chooses the endpoint of a service for each send, from what this
-// process has sent and how long its answers took. It has no clock, network or
-// goroutine of its own.
+// Package picker chooses the endpoint of a service for each send, from the requests that this
+// process has sent and how long their answers took. It has no clock, network or goroutine of its
+// own.
 //
-// The pattern of the second part: an endpoint that has turned several times as
-// slow, whose health is good and whose list entry says nothing of it. Requests
-// sent there are late although others have room. With one of four endpoints five
-// times as slow, beside bursts of background calls, 5 in 100 interactive
-// requests took over 150 ms, and 17 in 100 without it (package loadmodel, pattern
-// slow-endpoint, five seeds). The loads that endpoints tell are not used here:
-// they are as old as the last answer, and senders that follow them all go to the
-// endpoint that was idle a moment ago (late requests 4.1 in 100 instead of 1.2
-// under saturation).
+// Answer times are used to avoid an endpoint that has become several times as slow although its
+// health is good and its list entry does not show it. Requests sent there are late while other
+// endpoints have capacity. With one of four endpoints five times as slow, beside bursts of
+// background calls, 5 in 100 interactive requests took over 150 ms, and 17 in 100 without this
+// rule (package loadmodel, pattern slow-endpoint, five seeds). The loads that endpoints report
+// are not used here: they are as old as the last answer, and senders that follow them all go to
+// the endpoint that was idle a moment ago (late requests 4.1 in 100 instead of 1.2 under
+// saturation).
 package picker
 
 import (
@@ -26,64 +25,63 @@
 )
 
 const (
-	// suspectTime is how long an instance that did not answer is passed over
-	// while others are left. The instance list drops a dead one after about
-	// three and a half seconds.
+	// suspectTime is how long an instance that did not answer is avoided while others are left.
+	// The instance list drops a crashed one after about three and a half seconds.
 	suspectTime = 2 * time.Second
-	// zonePenalty is the load, in shares of an instance's slots, that a request
-	// to another zone is worth: a millisecond against a work of tens.
+	// zonePenalty is the load, in shares of an instance's slots, that is added to an instance in
+	// another zone: sending there takes a millisecond, and the work takes tens.
 	zonePenalty = 0.25
 )
 
-// Outcome is what came of a request that was sent to an instance.
+// Outcome is the result of a request that was sent to an instance.
 type Outcome struct {
-	// Answered is false for an instance that did not answer in its time.
+	// Answered is false for an instance that did not answer in time.
 	Answered bool
-	// Kind names requests of like work, Took is how long an answer took; 0 if
-	// that says nothing.
+	// Kind groups requests of similar work, Took is how long the answer took; 0 if unknown or not
+	// comparable.
 	Kind string
 	Took time.Duration
-	// Risky is what Begin was told.
+	// Risky is the value that Begin or Take got for this request.
 	Risky bool
 }
 
 const (
-	// slowdownMemory is the time constant with which an instance's slowness is
-	// forgotten while nothing is sent to it: one that took five times as long is
-	// tried again after 17 s. With 3 s the trials themselves made 9 in 100
-	// interactive requests late (pattern slow-endpoint), with 10 s 5 in 100.
+	// slowdownMemory is the time constant with which an instance's slowdown decays while nothing
+	// is sent to it: one that took five times as long is tried again after 17 s. With 3 s those
+	// tries alone made 9 in 100 interactive requests late (pattern slow-endpoint), with 10 s 5 in
+	// 100.
 	slowdownMemory = 10 * time.Second
-	// slowThreshold is from how many times the usual time on an instance counts as
-	// slow: work with a lognormal spread of 0.5 alone gives the mean of the
-	// newest answers a standard deviation of 0.2 (computed from ownWeight).
+	// slowThreshold is the slowdown from which an instance counts as slow: work with a lognormal
+	// spread of 0.5 alone gives the mean of the newest answers a standard deviation of 0.2
+	// (computed from ownWeight).
 	slowThreshold = 1.7
-	// typicalWeight and ownWeight are the weights of the newest answer in the
-	// means over all instances and over one.
+	// typicalWeight and ownWeight are the weights of the newest answer in the moving averages
+	// over all instances and over one.
 	typicalWeight = 0.05
 	ownWeight     = 0.25
 )
 
-// load is what this process knows of an instance's load.
+// load is the load of an instance as far as this process knows it.
 type load struct {
-	outstanding int // sent from here and not answered
-	// risky counts those of them that may end the instance.
+	outstanding int // sent by this process and not answered
+	// risky counts those outstanding requests that may crash the instance.
 	risky   int
 	suspect time.Time
-	// slowdown is how many slowdown as long as usual its answers take.
+	// slowdown is the ratio of its answer times to the typical ones.
 	slowdown   float64
 	slowdownAt time.Time
 }
 
-// slowness is how many times as long as elsewhere a request takes there, 1 for
-// what is not told from the usual.
+// slowness returns the factor by which a request takes longer than elsewhere; 1 if the difference
+// is below slowThreshold.
 func (l *load) slowness(now time.Time) float64 {
-	if times := l.decayedSlowdown(now); times >= slowThreshold {
-		return times
+	if slowdown := l.decayedSlowdown(now); slowdown >= slowThreshold {
+		return slowdown
 	}
 	return 1
 }
 
-// decayedSlowdown is what is left of the times by now.
+// decayedSlowdown returns the slowdown after its decay until now.
 func (l *load) decayedSlowdown(now time.Time) float64 {
 	if l.slowdownAt.IsZero() {
 		return 1
@@ -91,114 +89,113 @@
 	return 1 + (l.slowdown-1)*math.Exp(-float64(now.Sub(l.slowdownAt))/float64(slowdownMemory))
 }
 
-// Picker holds the loads of all instances by their incarnations. It is safe for
-// concurrent use.
+// Picker holds the loads of all instances by incarnation. It is safe for concurrent use.
 type Picker struct {
 	mu    sync.Mutex
 	loads map[fleet.Incarnation]*load
-	// typical is the mean time of an answer, by kind.
+	// typical is the moving average of the answer time, by kind.
 	typical map[string]time.Duration
 }
 
-// New returns a picker that knows of no load.
+// New returns a picker without any loads.
 func New() *Picker {
 	return &Picker{loads: map[fleet.Incarnation]*load{}, typical: map[string]time.Duration{}}
 }
 
 func (p *Picker) loadOf(i fleet.Incarnation) *load {
-	found, ok := p.loads[i]
+	l, ok := p.loads[i]
 	if !ok {
-		found = &load{}
-		p.loads[i] = found
+		l = &load{}
+		p.loads[i] = l
 	}
-	return found
+	return l
 }
 
-// Begin says that a request is sent to an instance; a risky one may end it.
+// Begin records that a request is sent to an instance; a risky one may crash it.
 func (p *Picker) Begin(i fleet.Incarnation, risky bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.begin(i, risky)
 }
 
-// begin is called with p.mu held.
+// begin is Begin with p.mu held.
 func (p *Picker) begin(i fleet.Incarnation, risky bool) {
-	entry := p.loadOf(i)
-	entry.outstanding++
+	l := p.loadOf(i)
+	l.outstanding++
 	if risky {
-		entry.risky++
+		l.risky++
 	}
 }
 
-// End says that a request has ended. An instance that did not answer is suspect
-// until it answers again.
+// End records the outcome of a request. An instance that did not answer is suspect until it
+// answers again.
 func (p *Picker) End(i fleet.Incarnation, o Outcome, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	entry := p.loadOf(i)
-	entry.outstanding--
+	l := p.loadOf(i)
+	l.outstanding--
 	if o.Risky {
-		entry.risky--
+		l.risky--
 	}
-	entry.suspect = time.Time{}
+	l.suspect = time.Time{}
 	if !o.Answered {
-		entry.suspect = now
+		l.suspect = now
 	}
 	if o.Took > 0 {
-		p.recordLatency(entry, o, now)
+		p.recordLatency(l, o, now)
 	}
 }
 
-// recordLatency takes how long an answer took. It is called with p.mu held.
-func (p *Picker) recordLatency(entry *load, o Outcome, now time.Time) {
+// recordLatency updates the averages with the time of an answer. It is called with p.mu held.
+func (p *Picker) recordLatency(l *load, o Outcome, now time.Time) {
 	typical, known := p.typical[o.Kind]
 	if !known {
 		p.typical[o.Kind] = o.Took
 		return
 	}
-	times := float64(o.Took) / float64(typical)
+	ratio := float64(o.Took) / float64(typical)
 	p.typical[o.Kind] += time.Duration(typicalWeight * float64(o.Took-typical))
-	entry.slowdown = entry.decayedSlowdown(now)
-	entry.slowdown += ownWeight * (times - entry.slowdown)
-	entry.slowdownAt = now
+	l.slowdown = l.decayedSlowdown(now)
+	l.slowdown += ownWeight * (ratio - l.slowdown)
+	l.slowdownAt = now
 }
 
-// Prune forgets incarnations that are not in the list any more.
+// Prune removes the loads of incarnations that are no longer listed and have no outstanding
+// requests.
 func (p *Picker) Prune(s *fleet.Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i, entry := range p.loads {
-		if s.Instances[i.ID].Incarnation() != i && entry.outstanding == 0 {
+	for i, l := range p.loads {
+		if s.Instances[i.ID].Incarnation() != i && l.outstanding == 0 {
 			delete(p.loads, i)
 		}
 	}
 }
 
-// Query is what a pick is made for.
+// Query describes the request for which an instance is picked.
 type Query struct {
 	Candidates []fleet.Instance
-	// Tried are passed over.
+	// Tried are the instances to leave out.
 	Tried map[fleet.Incarnation]bool
-	// AvoidRisky passes over instances that have a risky request from here.
+	// AvoidRisky leaves out instances that have an outstanding risky request from this process.
 	AvoidRisky bool
 	// Zone is the sender's availability zone, Request the request's id.
 	Zone, Request string
 	Now           time.Time
 }
 
-// Pick chooses the instance for a request: of those that were not tried and
-// are not suspect, the least loaded, with a preference for the own zone.
-// Instances with a risky request from here come after the others, so that what
-// ends one takes nothing else with it, and two risky requests do not meet twice.
-// Suspects are used when nothing else is left.
+// Pick chooses the instance for a request: the least loaded of those that were not tried and are
+// not suspect, with a preference for the sender's own zone. Instances with a risky request from
+// this process come after the others, so that a crash breaks off no other requests, and two risky
+// requests do not run beside each other again. Suspects are used when nothing else is left.
 func (p *Picker) Pick(q Query) (fleet.Instance, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.pick(q)
 }
 
-// Take is Pick and Begin in one step: of two requests that must be apart and look
-// at the same moment, the second one sees where the first one goes.
+// Take is Pick and Begin in one step: of two risky requests that pick at the same moment, the
+// second one sees where the first one goes.
 func (p *Picker) Take(q Query, risky bool) (fleet.Instance, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -209,7 +206,7 @@
 	return to, ok
 }
 
-// pick is called with p.mu held.
+// pick is Pick with p.mu held.
 func (p *Picker) pick(q Query) (fleet.Instance, bool) {
 	var fresh, atRisk, suspects []fleet.Instance
 	for _, c := range q.Candidates {
@@ -238,8 +235,8 @@
 	}), true
 }
 
-// score is the load of an instance in shares of its slots, as a fast one would
-// have it for the same time; lower is better.
+// score returns the load of an instance in shares of its slots, scaled up by its slowness; lower
+// is better.
 func (p *Picker) score(c fleet.Instance, q Query) float64 {
 	l := p.loadOf(c.Incarnation())
 	busy := float64(l.outstanding) / float64(max(1, c.Slots))
--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -10,7 +10,7 @@
 
 var start = time.Date(2000, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// rig is a picker before n alike instances in one zone.
+// rig is a picker with n equal instances in one zone.
 type rig struct {
 	*Picker
 	candidates []fleet.Instance
@@ -32,27 +32,27 @@
 	return i
 }
 
-// serve sends n requests, one after the other, each answered after the usual
-// 25 ms, by i0 after slow times that; it returns how many i0 got.
-func (r *rig) serve(n int, slow float64) (slowOnes int) {
+// serve sends n requests one after the other, each answered after the usual 25 ms, by i0 after
+// slow times that; it returns how many went to i0.
+func (r *rig) serve(n int, slow float64) (toSlow int) {
 	for range n {
 		i := r.pick()
 		took := 25 * time.Millisecond
 		if i.ID == "i0" {
 			took = time.Duration(slow * float64(took))
-			slowOnes++
+			toSlow++
 		}
 		r.Begin(i.Incarnation(), false)
 		r.now = r.now.Add(took)
 		r.End(i.Incarnation(), Outcome{Answered: true, Kind: "k", Took: took}, r.now)
 	}
-	return slowOnes
+	return toSlow
 }
 
 func TestSlowInstanceGetsLittle(t *testing.T) {
 	r := newRig(4)
 	if n := r.serve(200, 1); n < 30 {
-		t.Fatalf("alike instances: one of four got %d of 200", n)
+		t.Fatalf("equal instances: one of four got %d of 200", n)
 	}
 	r.serve(20, 5)
 	if n := r.serve(200, 5); n > 20 {
@@ -60,7 +60,7 @@
 	}
 }
 
-// What is not told from the spread of the work itself changes nothing.
+// A slowdown within the spread of the work itself changes nothing.
 func TestSomewhatSlowerInstanceKeepsItsShare(t *testing.T) {
 	r := newRig(4)
 	r.serve(200, 1.4)
@@ -80,12 +80,12 @@
 	}
 }
 
-// Requests of other kinds take other times; each is compared with its own.
+// Requests of different kinds take different times; each is compared with its own kind.
 func TestKindsAreComparedWithThemselves(t *testing.T) {
 	r := newRig(2)
 	for range 50 {
 		for i, kind := range []string{"short", "long"} {
-			inc := r.candidates[i].Incarnation() // one gets all short ones, the other all long ones
+			inc := r.candidates[i].Incarnation() // i0 gets all short requests, i1 all long ones
 			r.Begin(inc, false)
 			r.End(inc, Outcome{Answered: true, Kind: kind, Took: time.Duration(1+9*i) * 20 * time.Millisecond}, r.now)
 		}
@@ -99,7 +99,7 @@
 	}
 }
 
-// All instances are used when all are slow or suspect.
+// An instance that is slow and suspect is used when there is no other.
 func TestNoInstanceIsRuledOut(t *testing.T) {
 	r := newRig(1)
 	r.serve(10, 1)
@@ -112,23 +112,23 @@
 	}
 }
 
-// TestRequestsThatLookTogetherAreApart guards against two requests that may end
-// endpoints and go to the same one, since each looked before the other had begun.
-func TestRequestsThatLookTogetherAreApart(t *testing.T) {
+// TestConcurrentRiskyRequestsAreSeparated guards against two risky requests that go to the same
+// instance because each was picked before the other had begun.
+func TestConcurrentRiskyRequestsAreSeparated(t *testing.T) {
 	r := newRig(2)
 	q := Query{Candidates: r.candidates, Zone: "z", Request: "same", AvoidRisky: true, Now: r.now}
 	first, ok := r.Take(q, true)
 	if !ok {
-		t.Fatal("no instance for the first")
+		t.Fatal("no instance for the first request")
 	}
 	second, ok := r.Take(q, true)
 	if !ok || second.ID == first.ID {
-		t.Errorf("both at %s", second.ID)
+		t.Errorf("both went to %s", second.ID)
 	}
 	if third, ok := r.Take(q, true); ok {
-		t.Errorf("a third at %s", third.ID)
+		t.Errorf("a third request went to %s", third.ID)
 	}
 	if _, ok := r.Pick(q); ok {
-		t.Error("an instance is left")
+		t.Error("an instance was picked although all have a risky request")
 	}
 }
--- a/retry/sleep.go
+++ b/retry/sleep.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Sleep sleeps for d; false says that ctx ended meanwhile.
+// Sleep waits for d; it returns false if ctx is done before that. Package internal/pause has a
+// variant that returns an error.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/service/entry/claimed.go
+++ b/service/entry/claimed.go
@@ -50,7 +50,7 @@
 // whose claim another made is answered with that run's answer. A claim that is
 // proven never to run is taken over, a few times at most.
 func (e *Entry) runClaimed(ctx context.Context, work *call, key, digest string) (*wire.Done, *api.Refusal) {
-	e.budget.Attempted()
+	e.budget.CountAttempt()
 	work.route.Exclude = map[string]bool{}
 	var stands *claims.Claim // the claim to take over, nil when there is none
 	var last *api.Refusal
--- a/service/entry/run.go
+++ b/service/entry/run.go
@@ -59,7 +59,7 @@
 // runCall makes attempts until one succeeds or the call must be given up. A
 // generation goes on elsewhere after what was generated.
 func (e *Entry) runCall(ctx context.Context, c *call) (*wire.Done, *api.Refusal) {
-	e.budget.Attempted()
+	e.budget.CountAttempt()
 	delays := retry.NewBackoff(firstDelay, mostDelay)
 	c.route.Exclude = map[string]bool{}
 	for {
