--- a/batch/assignment.go
+++ b/batch/assignment.go
@@ -46,19 +46,19 @@
 func AssignEngines(engines, models []string, demand *Demand) map[string]Assignment {
 	engines = slices.Compact(slices.Sorted(slices.Values(engines))) // a restarted engine may be listed twice
 	models = slices.Sorted(slices.Values(models))
-	deals := make(map[string]Assignment, len(models))
+	assignments := make(map[string]Assignment, len(models))
 	if len(engines) < len(models) {
 		for _, m := range models {
-			deals[m] = halve(m, engines)
+			assignments[m] = splitHalves(m, engines)
 		}
-		return deals
+		return assignments
 	}
 	quotas := quotas(len(engines), models, demand)
 	ranked := make(map[string][]string, len(models))
 	for _, m := range models {
-		ranked[m] = byRank(m, engines)
+		ranked[m] = rankEngines(m, engines)
 	}
-	dealt := make(map[string][]string, len(models))
+	assigned := make(map[string][]string, len(models))
 	taken := make(map[string]bool, len(engines))
 	for i := 0; len(taken) < len(engines) && len(models) > 0; i++ {
 		m := models[i%len(models)]
@@ -69,17 +69,17 @@
 		for taken[ranked[m][0]] {
 			ranked[m] = ranked[m][1:]
 		}
-		dealt[m] = append(dealt[m], ranked[m][0])
+		assigned[m] = append(assigned[m], ranked[m][0])
 		taken[ranked[m][0]] = true
 	}
 	for _, m := range models {
-		deals[m] = halve(m, dealt[m])
+		assignments[m] = splitHalves(m, assigned[m])
 	}
-	return deals
+	return assignments
 }
 
-// byRank are the engines in the order in which a key ranks them, the highest first.
-func byRank(key string, engines []string) []string {
+// rankEngines are the engines in the order in which a key ranks them, the highest first.
+func rankEngines(key string, engines []string) []string {
 	type ranked struct {
 		engine string
 		rank   uint64
@@ -123,31 +123,31 @@
 		quotas[m] = max(1, int(work[m]/total*float64(engines)))
 		left -= quotas[m]
 	}
-	lack := func(m string) float64 { return work[m]/total*float64(engines) - float64(quotas[m]) }
-	byLack := func(a, b string) int { return cmp.Compare(lack(a), lack(b)) }
+	shortfall := func(m string) float64 { return work[m]/total*float64(engines) - float64(quotas[m]) }
+	byShortfall := func(a, b string) int { return cmp.Compare(shortfall(a), shortfall(b)) }
 	for ; left > 0; left-- {
-		quotas[slices.MaxFunc(models, byLack)]++
+		quotas[slices.MaxFunc(models, byShortfall)]++
 	}
 	for ; left < 0; left++ {
 		spare := slices.DeleteFunc(slices.Clone(models), func(m string) bool { return quotas[m] == 1 })
-		quotas[slices.MinFunc(spare, byLack)]--
+		quotas[slices.MinFunc(spare, byShortfall)]--
 	}
 	return quotas
 }
 
-// halve cuts the engines of a model into halves, in an order that is the model's
+// splitHalves cuts the engines of a model into halves, in an order that is the model's
 // and theirs alone: an engine that comes or goes moves one other at most into the
 // other half. One that changes its half as a version is named loads the version
 // whose step it was just about to run, and the items that it was dealt wait there
 // for one to three seconds.
-func halve(model string, engines []string) Assignment {
-	ordered := byRank("half of "+model, engines)
+func splitHalves(model string, engines []string) Assignment {
+	ordered := rankEngines("half of "+model, engines)
 	middle := (len(ordered) + 1) / 2
 	return Assignment{Halves: [2][]string{ordered[:middle], ordered[middle:]}}
 }
 
-// best is the index of the engine that a key ranks highest (rendezvous hashing).
-func best(key string, engines []string) int {
+// highestRanked is the index of the engine that a key ranks highest (rendezvous hashing).
+func highestRanked(key string, engines []string) int {
 	top := 0
 	for i := range engines {
 		if rank(key, engines[i]) > rank(key, engines[top]) {
@@ -163,9 +163,9 @@
 // whoever serves their model then takes them.
 const noOwner = -1
 
-// lateWork is what an owner that loads weights first is counted to have
+// weightLoadCost is what an owner that loads weights first is counted to have
 // already, in generated tokens: what an engine of a dozen slots makes in two seconds.
-const lateWork = 40_000
+const weightLoadCost = 40_000
 
 // AssignItems says which owner each item of a job goes to, by index: groups stay
 // together, since their items share a prompt, and go in order of their expected
@@ -180,7 +180,7 @@
 	load := make([]int, len(order))
 	for i, o := range order {
 		if slices.Index(job.Owners, o) >= job.Ready {
-			load[i] = lateWork
+			load[i] = weightLoadCost
 		}
 	}
 	owners := make([]int, len(items))
@@ -227,19 +227,19 @@
 			groups = append(groups, itemGroup{name: name})
 		}
 		groups[g].items = append(groups[g].items, i)
-		groups[g].tokens += items[i].expected()
+		groups[g].tokens += items[i].expectedWork()
 	}
 	return groups
 }
 
-// promptShare weighs a prompt's token against a generated one: engines read
+// promptTokenWeight weighs a prompt's token against a generated one: engines read
 // several hundred tokens in the time in which they generate one.
-const promptShare = 0.004
+const promptTokenWeight = 0.004
 
-// expected is the work that an item is expected to be, in generated tokens.
-func (i *Item) expected() int {
+// expectedWork is the work that an item is expectedWork to be, in generated tokens.
+func (i *Item) expectedWork() int {
 	if i.ExpectedTokens > 0 {
-		return i.ExpectedTokens + int(promptShare*float64(i.Tokens))
+		return i.ExpectedTokens + int(promptTokenWeight*float64(i.Tokens))
 	}
 	return max(1, i.Tokens)
 }
--- a/batch/assignment_test.go
+++ b/batch/assignment_test.go
@@ -51,9 +51,9 @@
 	})
 }
 
-// slowDeal is what AssignEngines is to compute: each model in turn takes the free
+// referenceAssignment is what AssignEngines is to compute: each model in turn takes the free
 // engine that it ranks highest.
-func slowDeal(engines, models []string, demand *Demand) map[string]Assignment {
+func referenceAssignment(engines, models []string, demand *Demand) map[string]Assignment {
 	dealt, quotas, free := map[string][]string{}, quotas(len(engines), models, demand), slices.Clone(engines)
 	for i := 0; len(free) > 0; i++ {
 		m := models[i%len(models)]
@@ -61,7 +61,7 @@
 			continue
 		}
 		quotas[m]--
-		at := best(m, free)
+		at := highestRanked(m, free)
 		dealt[m] = append(dealt[m], free[at])
 		free = slices.Delete(free, at, at+1)
 	}
@@ -69,7 +69,7 @@
 	for _, m := range models {
 		var d Assignment
 		for left, middle := dealt[m], (len(dealt[m])+1)/2; len(left) > 0; {
-			at := best("half of "+m, left)
+			at := highestRanked("half of "+m, left)
 			half := 0
 			if len(d.Halves[0]) == middle {
 				half = 1
@@ -90,7 +90,7 @@
 		for _, m := range models {
 			work[m] = rapid.IntRange(0, 100_000).Draw(t, m)
 		}
-		got, want := AssignEngines(engines, models, demandOf(work)), slowDeal(engines, models, demandOf(work))
+		got, want := AssignEngines(engines, models, demandOf(work)), referenceAssignment(engines, models, demandOf(work))
 		for _, m := range models {
 			if !slices.Equal(got[m].Halves[0], want[m].Halves[0]) || !slices.Equal(got[m].Halves[1], want[m].Halves[1]) {
 				t.Fatalf("%s: got %v, want %v", m, got[m], want[m])
@@ -158,9 +158,9 @@
 // nine tenths of their mean, so that the work of a step varies by a twelfth, and
 // 41 engines are dealt anew after each of 60 steps.
 
-// unrest counts engines that change their model, and such that change their half
+// countMoves counts engines that change their model, and such that change their half
 // of the same model, over the steps; halve says how a model's engines are halved.
-func unrest(jobs int, halve func(model string, engines []string) Assignment) (models, halves int) {
+func countMoves(jobs int, halve func(model string, engines []string) Assignment) (models, halves int) {
 	engines, names := names("e", 41), []string{"a", "b", "c"}
 	mean := map[string]float64{"a": 150_000, "b": 330_000, "c": 310_000}
 	rng := rand.New(rand.NewPCG(7, 7))
@@ -197,8 +197,8 @@
 	return models, halves
 }
 
-// alternating halves engines in the order in which they were dealt.
-func alternating(_ string, engines []string) Assignment {
+// alternatingHalves halves engines in the order in which they were dealt.
+func alternatingHalves(_ string, engines []string) Assignment {
 	var d Assignment
 	for i, e := range engines {
 		d.Halves[i%2] = append(d.Halves[i%2], e)
@@ -209,8 +209,8 @@
 // TestHalvesAreStable: few engines change their half as demand varies. Those that
 // do load a version which they would have skipped.
 func TestHalvesAreStable(t *testing.T) {
-	models, halves := unrest(demandJobs, halve)
-	_, before := unrest(demandJobs, alternating)
+	models, halves := countMoves(demandWindow, splitHalves)
+	_, before := countMoves(demandWindow, alternatingHalves)
 	t.Logf("%d changes of the model, %d of the half; %d with alternating halves", models, halves, before)
 	if halves > models || before < 2*halves {
 		t.Errorf("%d changes of the half beside %d of the model; %d with alternating halves", halves, models, before)
@@ -255,7 +255,7 @@
 				t.Fatalf("group %s at %d and %d", items[i].Group, g, o)
 			}
 			byGroup[items[i].Group] = o
-			load[o] += items[i].expected()
+			load[o] += items[i].expectedWork()
 		}
 		if slices.Max(load)-slices.Min(load) > largest {
 			t.Fatalf("loads %v, the largest group has %d", load, largest)
--- a/batch/collector.go
+++ b/batch/collector.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// collectEvery is the mean pause between two removals of one process, and
+	// collectInterval is the mean pause between two removals of one process, and
 	// collectMargin how much longer than owed a job is kept.
-	collectEvery  = 5 * time.Second
-	collectMargin = 30 * time.Second
-	// keepOpen is how long a job that nobody ended is kept.
-	keepOpen = 15 * time.Minute
+	collectInterval = 5 * time.Second
+	collectMargin   = 30 * time.Second
+	// openRetention is how long a job that nobody ended is kept.
+	openRetention = 15 * time.Minute
 )
 
 // Collector removes jobs whose results are no longer owed, so that the store
@@ -33,10 +33,10 @@
 	Log       logrus.FieldLogger
 
 	mu   sync.Mutex
-	jobs map[string]*collectable
+	jobs map[string]*trackedJob
 }
 
-type collectable struct {
+type trackedJob struct {
 	job   *Job
 	ended bool
 }
@@ -57,7 +57,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.jobs == nil {
-		c.jobs = map[string]*collectable{}
+		c.jobs = map[string]*trackedJob{}
 	}
 	for _, row := range s.Rows {
 		id, end := HeadOf(row.Name)
@@ -66,7 +66,7 @@
 			continue
 		}
 		if c.jobs[id] == nil {
-			c.jobs[id] = &collectable{}
+			c.jobs[id] = &trackedJob{}
 		}
 		if end {
 			c.jobs[id].ended = true
@@ -80,7 +80,7 @@
 
 // Run removes one job at a time until ctx ends.
 func (c *Collector) Run(ctx context.Context) {
-	for pause.For(ctx, time.Duration(float64(collectEvery)*(0.5+rand.Float64()))) == nil {
+	for pause.For(ctx, time.Duration(float64(collectInterval)*(0.5+rand.Float64()))) == nil {
 		job := c.expired()
 		if job == nil {
 			continue
@@ -102,11 +102,11 @@
 		if x.job == nil {
 			continue
 		}
-		owed := c.Retention + collectMargin
+		retention := c.Retention + collectMargin
 		if !x.ended {
-			owed = max(owed, keepOpen)
+			retention = max(retention, openRetention)
 		}
-		if now-x.job.Accepted > owed {
+		if now-x.job.Accepted > retention {
 			return x.job
 		}
 	}
--- a/batch/collector_test.go
+++ b/batch/collector_test.go
@@ -37,7 +37,7 @@
 		if rows := results(); len(rows) != 1 || rows[0].Part != "j2" {
 			t.Fatalf("left: %v", rows)
 		}
-		time.Sleep(keepOpen)
+		time.Sleep(openRetention)
 		if rows := s.Rows(TableJobs); len(rows) != 0 {
 			t.Fatalf("left: %v", rows)
 		}
--- a/batch/crash_test.go
+++ b/batch/crash_test.go
@@ -18,12 +18,12 @@
 const (
 	// crashAfter is how long an engine lives once it runs such an item, crashDown
 	// how long it is down then.
-	crashAfter = 60 * time.Millisecond
-	crashDown  = 1500 * time.Millisecond
-	// allowedEnds is how many engines may end under an item before it is held, and
+	crashAfter   = 60 * time.Millisecond
+	restartDelay = 1500 * time.Millisecond
+	// maxEngineCrashes is how many engines may end under an item before it is held, and
 	// allowedTrials how often it may be tried out afterwards.
-	allowedEnds   = 3
-	allowedTrials = 3
+	maxEngineCrashes = 3
+	maxProbeRuns     = 3
 )
 
 // crash ends an engine and starts it again a while later. It is called with f.mu held.
@@ -33,11 +33,11 @@
 	}
 	e.down = true
 	f.crashes++
-	time.AfterFunc(crashDown, func() {
+	time.AfterFunc(restartDelay, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		e.down = false
-		e.born, e.sequence = time.Now().UnixMilli(), 0
+		e.startedAt, e.sequence = time.Now().UnixMilli(), 0
 	})
 }
 
@@ -52,8 +52,8 @@
 	return 1000
 }
 
-// keeper is an agent's part of the quarantine.
-func (r *workerRig) keeper(rows store.Store) *quarantine.Keeper {
+// newKeeper is an agent's part of the quarantine.
+func (r *workerRig) newKeeper(rows store.Store) *quarantine.Keeper {
 	k := quarantine.New()
 	k.Rows, k.Clock, k.Prober, k.Log, k.Counters = rows, r.store.Now, r.engines, observe.Discard(), observe.NewCounters()
 	return k
@@ -80,7 +80,7 @@
 		rig.submit("j", items, nil)
 		rig.await("j", items-1, 15*time.Second)
 		time.Sleep(10 * time.Second)
-		if n := rig.crashes(); n > allowedEnds {
+		if n := rig.crashes(); n > maxEngineCrashes {
 			t.Errorf("%d engines ended under one item before it was held", n)
 		}
 		l := rig.await("j", items, time.Minute)
@@ -97,7 +97,7 @@
 		rig.submit("k", items, nil)
 		rig.await("k", items-1, 15*time.Second)
 		t.Logf("%d engines ended", rig.crashes())
-		if n := rig.crashes(); n > allowedEnds+allowedTrials {
+		if n := rig.crashes(); n > maxEngineCrashes+maxProbeRuns {
 			t.Errorf("%d engines ended under one item", n)
 		}
 	})
--- a/batch/demand.go
+++ b/batch/demand.go
@@ -11,20 +11,20 @@
 	"mulberryscale.example/store"
 )
 
-// demandJobs is over how many of a model's last jobs its demand is averaged:
+// demandWindow is over how many of a model's last jobs its demand is averaged:
 // estimates of lengths are wrong by half for one item, by a twentieth for the
 // mean of some hundred, and the deal of engines should not follow noise. Of 41
 // engines 36 change their model in 60 steps with the mean of 8 jobs, 10 with 16, 6
 // with 24 or more (TestHalvesAreStable); the store keeps jobs for 150 s, in which
 // a trainer that takes a step each 8 s submits 18, and all processes must see the same.
-const demandJobs = 16
+const demandWindow = 16
 
 // Demand is how much work the jobs of each model are. All processes read it
 // from the same rows. It is safe for concurrent use.
 type Demand struct {
-	mu   sync.Mutex
-	jobs map[string][]demandJob // by model, the newest last
-	seen uint64                 // jobs seen so far
+	mu       sync.Mutex
+	jobs     map[string][]demandJob // by model, the newest last
+	revision uint64                 // jobs seen so far
 }
 
 type demandJob struct {
@@ -51,15 +51,15 @@
 	slices.SortFunc(list, func(a, b demandJob) int {
 		return cmp.Or(cmp.Compare(a.accepted, b.accepted), cmp.Compare(a.id, b.id))
 	})
-	d.jobs[job.Model] = list[max(0, len(list)-demandJobs):]
-	d.seen++
+	d.jobs[job.Model] = list[max(0, len(list)-demandWindow):]
+	d.revision++
 }
 
 // Revision is the number of jobs seen; the demand stays the same while it does.
 func (d *Demand) Revision() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.seen
+	return d.revision
 }
 
 // Work is the mean work of a model's last jobs, in generated tokens; 0 while
@@ -91,7 +91,7 @@
 
 func (w *demandWatcher) Replace(s store.Snapshot) {
 	w.collector.Replace(s)
-	w.see(s)
+	w.addJobs(s)
 }
 
 func (w *demandWatcher) Lost(err error) { store.LogLoss(w.log, TableJobs, err) }
@@ -100,10 +100,10 @@
 
 func (w *demandWatcher) Apply(s store.Snapshot) {
 	w.collector.Apply(s)
-	w.see(s)
+	w.addJobs(s)
 }
 
-func (w *demandWatcher) see(s store.Snapshot) {
+func (w *demandWatcher) addJobs(s store.Snapshot) {
 	for _, row := range s.Rows {
 		if _, end := HeadOf(row.Name); end || row.Deleted {
 			continue
--- a/batch/drain.go
+++ b/batch/drain.go
@@ -9,50 +9,50 @@
 
 // Drain takes no new items, lets those that run go on for a while, hands over
 // the rest and waits for the results to be in the store.
-func (w *Worker) Drain(ctx context.Context, runOn time.Duration) {
+func (w *Worker) Drain(ctx context.Context, gracePeriod time.Duration) {
 	w.mu.Lock()
 	w.stopping = true
 	w.mu.Unlock()
-	runCtx, cancel := context.WithTimeout(ctx, runOn)
+	runCtx, cancel := context.WithTimeout(ctx, gracePeriod)
 	defer cancel()
-	for w.heldNow() > 0 && pause.For(runCtx, drainPoll) == nil {
-		w.giveWaiting(ctx)
+	for w.itemsLeft() > 0 && pause.For(runCtx, drainPollInterval) == nil {
+		w.pushWaiting(ctx)
 	}
-	for w.heldNow() > 0 && pause.For(ctx, drainPoll) == nil {
-		statuses := w.askRoom(ctx)
-		w.giveAll(ctx, statuses, true)
+	for w.itemsLeft() > 0 && pause.For(ctx, drainPollInterval) == nil {
+		statuses := w.queryCapacity(ctx)
+		w.pushItems(ctx, statuses, true)
 	}
-	for w.unappended() && pause.For(ctx, drainPoll) == nil {
+	for w.hasUnsavedResults() && pause.For(ctx, drainPollInterval) == nil {
 	}
 }
 
-// askRoom asks the agents that may take this one's items.
-func (w *Worker) askRoom(ctx context.Context) map[string]*Status {
+// queryCapacity asks the agents that may take this one's items.
+func (w *Worker) queryCapacity(ctx context.Context) map[string]*Status {
 	jobs := w.openJobs()
-	return w.ask(ctx, jobs, some(w.engines(jobs), askMany))
+	return w.queryStatuses(ctx, jobs, sampleEngines(w.peerEngines(jobs), pushFanout))
 }
 
-// drainPoll is how often a drain looks at what is left.
-const drainPoll = 100 * time.Millisecond
+// drainPollInterval is how often a drain looks at what is left.
+const drainPollInterval = 100 * time.Millisecond
 
-func (w *Worker) heldNow() int {
+func (w *Worker) itemsLeft() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.held()
+	return w.itemCount()
 }
 
-// giveWaiting gives away what does not run yet.
-func (w *Worker) giveWaiting(ctx context.Context) {
+// pushWaiting gives away what does not run yet.
+func (w *Worker) pushWaiting(ctx context.Context) {
 	w.mu.Lock()
 	n := len(w.waiting)
 	w.mu.Unlock()
 	if n > 0 {
-		statuses := w.askRoom(ctx)
-		w.giveAll(ctx, statuses, false)
+		statuses := w.queryCapacity(ctx)
+		w.pushItems(ctx, statuses, false)
 	}
 }
 
-func (w *Worker) unappended() bool {
+func (w *Worker) hasUnsavedResults() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, j := range w.jobs {
--- a/batch/enginestate.go
+++ b/batch/enginestate.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// changeInterval is how often the engine is asked for its report while it
+	// changingReportInterval is how often the engine is asked for its report while it
 	// carries out an order or is not known to be well; the report is free on its
 	// own machine, but each costs both of them a wake-up.
-	changeInterval = 100 * time.Millisecond
-	// watchInterval is the same while it may have work, and tells by its events
+	changingReportInterval = 100 * time.Millisecond
+	// activeReportInterval is the same while it may have work, and tells by its events
 	// that it is well, and quietInterval while it has none.
-	watchInterval = 200 * time.Millisecond
-	quietInterval = 500 * time.Millisecond
-	// maxLosses is how many reports and runs without an answer, in a row, make
+	activeReportInterval = 200 * time.Millisecond
+	idleReportInterval   = 500 * time.Millisecond
+	// maxUnanswered is how many reports and runs without an answer, in a row, make
 	// an engine count as down.
-	maxLosses = 2
-	// settleTime is how long after a version was named an engine waits for the
+	maxUnanswered = 2
+	// stepGracePeriod is how long after a version was named an engine waits for the
 	// step that goes with it. That step may use the version before, so it runs
 	// at once instead of waiting for the load, and the load follows it.
-	settleTime = 2500 * time.Millisecond
+	stepGracePeriod = 2500 * time.Millisecond
 	// orderTimeout is after how long an order that was not carried out is given again.
 	orderTimeout = 4 * time.Second
 	// paceWeight is the weight of the newest event in the mean pace.
@@ -35,17 +35,17 @@
 // engineState is what is believed of the engine beside this process. It is
 // guarded by the worker's mu.
 type engineState struct {
-	// born is the Unix millisecond of its start, 0 while unknown.
-	born   int64
-	up     bool
-	losses int
+	// startedAt is the Unix millisecond of its start, 0 while unknown.
+	startedAt  int64
+	up         bool
+	unanswered int
 	// versions are the weights by model; sequence is the number of orders accepted.
 	versions map[string]uint64
 	sequence uint64
-	known    bool
+	reported bool
 	// order is the order being carried out, nil if none.
-	order   *Order
-	ordered time.Time
+	order     *Order
+	orderedAt time.Time
 	// pace is the mean time between two events of a run, 0 while unknown.
 	pace time.Duration
 	// stepped is the newest MinVersion+1 of the jobs seen, by model: the version
@@ -57,29 +57,29 @@
 	return engineState{up: true, versions: map[string]uint64{}, stepped: map[string]uint64{}}
 }
 
-// bear starts the belief anew for an engine that started again: it knows nothing
+// reset starts the belief anew for an engine that started again: it knows nothing
 // of before, and an order in flight belonged to its former incarnation.
-func (e *engineState) bear(born int64) {
+func (e *engineState) reset(born int64) {
 	stepped := e.stepped // of jobs, not of the engine
 	*e = newEngineState()
-	e.born, e.stepped = born, stepped
+	e.startedAt, e.stepped = born, stepped
 }
 
-// serves reports whether the engine's weights are recent enough for a job and
+// canServe reports whether the engine's weights are recent enough for a job and
 // not about to change.
-func (e *engineState) serves(job *Job) bool {
+func (e *engineState) canServe(job *Job) bool {
 	if e.order != nil && e.order.Model == job.Model {
 		return false
 	}
-	if !e.known {
+	if !e.reported {
 		return false
 	}
 	return job.Model == "" || e.versions[job.Model] >= job.MinVersion
 }
 
-// observe takes an event of a run.
-func (e *engineState) observe(model string, version uint64, gap time.Duration, paced bool) {
-	e.losses, e.up = 0, true
+// recordEvent takes an event of a run.
+func (e *engineState) recordEvent(model string, version uint64, gap time.Duration, paced bool) {
+	e.unanswered, e.up = 0, true
 	if e.versions[model] < version {
 		e.versions[model] = version
 	}
@@ -93,12 +93,12 @@
 	e.pace += time.Duration(paceWeight * float64(gap-e.pace))
 }
 
-// stalled counts a run that heard nothing; events of others make up for it.
+// recordStall counts a run that heard nothing; events of others make up for it.
 // An answer that is merely broken says nothing of the engine: some spoil two in
 // a hundred, and items that many break one after the other would empty it.
-func (e *engineState) stalled() {
-	e.losses++
-	if e.losses >= maxLosses {
+func (e *engineState) recordStall() {
+	e.unanswered++
+	if e.unanswered >= maxUnanswered {
 		e.up = false
 	}
 }
@@ -109,13 +109,13 @@
 	for ctx.Err() == nil {
 		changed := w.View.Changed()
 		if i, ok := w.View.Snapshot().AtAddr(w.Engine); ok {
-			w.seeBirth(i.Born)
+			w.checkRestart(i.Born)
 		}
 		if time.Since(reported) >= w.reportInterval() {
-			w.report(ctx)
+			w.updateReport(ctx)
 			reported = time.Now()
 		}
-		w.orderVersions(ctx)
+		w.sendDueOrder(ctx)
 		select {
 		case <-ctx.Done():
 		case <-changed: // an order may be due
@@ -128,24 +128,24 @@
 func (w *Worker) reportInterval() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.engine.order != nil || !w.engine.up || !w.engine.known {
-		return changeInterval
+	if w.engine.order != nil || !w.engine.up || !w.engine.reported {
+		return changingReportInterval
 	}
 	for _, j := range w.jobs {
-		if !j.ended && !j.finished && (len(j.tasks) > 0 || w.takesPart(j)) {
-			return watchInterval
+		if !j.ended && !j.finished && (len(j.tasks) > 0 || w.participates(j)) {
+			return activeReportInterval
 		}
 	}
-	return quietInterval
+	return idleReportInterval
 }
 
-// seeBirth takes what the list or a report says of the engine's birth; false
+// checkRestart takes what the list or a report says of the engine's birth; false
 // says that it is a former one's. What ran on the former incarnation is lost
 // there and goes on after its last event.
-func (w *Worker) seeBirth(born int64) bool {
+func (w *Worker) checkRestart(born int64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	was := w.engine.born
+	was := w.engine.startedAt
 	if born == 0 || born == was {
 		return true
 	}
@@ -153,10 +153,10 @@
 		return false
 	}
 	if was == 0 {
-		w.engine.born = born
+		w.engine.startedAt = born
 		return true
 	}
-	w.engine.bear(born)
+	w.engine.reset(born)
 	for t := range w.running {
 		if t.sentTo.Born < born {
 			t.stop(errReborn)
@@ -166,10 +166,10 @@
 	return true
 }
 
-// report asks the engine for its state.
-func (w *Worker) report(ctx context.Context) {
+// updateReport asks the engine for its state.
+func (w *Worker) updateReport(ctx context.Context) {
 	r, err := w.Engines.Report(ctx, w.Engine)
-	if err == nil && !w.seeBirth(r.StartedAt) {
+	if err == nil && !w.checkRestart(r.StartedAt) {
 		return // a former incarnation's
 	}
 	w.mu.Lock()
@@ -177,8 +177,8 @@
 	e := &w.engine
 	was := e.up
 	if err != nil {
-		e.losses++
-		if e.losses >= maxLosses {
+		e.unanswered++
+		if e.unanswered >= maxUnanswered {
 			e.up = false
 		}
 		if was && !e.up {
@@ -186,11 +186,11 @@
 		}
 		return
 	}
-	e.losses, e.up = 0, true
+	e.unanswered, e.up = 0, true
 	if !was {
 		w.Log.WithField("engine", w.Engine).Info("engine regained")
 	}
-	e.known, e.sequence = true, r.Sequence
+	e.reported, e.sequence = true, r.Sequence
 	e.versions = r.Versions
 	if o := e.order; o != nil {
 		w.checkOrder(o, r)
@@ -200,7 +200,7 @@
 
 // checkOrder sees whether the order in progress is done. It is called with w.mu held.
 func (w *Worker) checkOrder(o *Order, r Report) {
-	took := time.Since(w.engine.ordered)
+	took := time.Since(w.engine.orderedAt)
 	log := w.Log.WithFields(logrus.Fields{
 		"model": o.Model, "version": o.Version, "took_ms": took.Milliseconds(), "sequence": r.Sequence,
 	})
@@ -214,8 +214,8 @@
 	}
 }
 
-// orderVersions gives the engine the order that is due, if any.
-func (w *Worker) orderVersions(ctx context.Context) {
+// sendDueOrder gives the engine the order that is due, if any.
+func (w *Worker) sendDueOrder(ctx context.Context) {
 	instance, ok := w.instance()
 	if !ok {
 		return
@@ -241,37 +241,37 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e := &w.engine
-	if e.order != nil || !e.known || !e.up || w.token == 0 || w.stopping || snap.Config == nil {
+	if e.order != nil || !e.reported || !e.up || w.token == 0 || w.stopping || snap.Config == nil {
 		return nil
 	}
 	service := snap.Config.Service(w.Service)
 	if service == nil {
 		return nil
 	}
-	deal := w.deals(snap)
+	deal := w.assignments(snap)
 	for _, model := range service.Models {
 		version := snap.Named[model]
 		if version <= e.versions[model] {
 			continue
 		}
-		if !w.due(model, version, deal[model], time.Since(snap.NamedAt[model])) {
+		if !w.weightChangeDue(model, version, deal[model], time.Since(snap.NamedAt[model])) {
 			continue
 		}
 		e.order = &Order{
 			Addr: w.Engine, Instance: instance.ID, Model: model, Version: version, KeepRunning: true,
 			Holder: w.Node, Token: w.token, Sequence: e.sequence,
 		}
-		e.ordered = time.Now()
+		e.orderedAt = time.Now()
 		return e.order
 	}
 	return nil
 }
 
-// due reports whether a model's weights should change now: at once when items
+// weightChangeDue reports whether a model's weights should change now: at once when items
 // wait for them or when it is this engine's turn; otherwise when the step of
 // that version has come and nothing of it is left here, or has not come for a
 // while. It is called with w.mu held.
-func (w *Worker) due(model string, version uint64, deal Assignment, age time.Duration) bool {
+func (w *Worker) weightChangeDue(model string, version uint64, deal Assignment, age time.Duration) bool {
 	held, stepped := false, false
 	for _, j := range w.jobs {
 		if j.ended || j.job.Model != model {
@@ -298,10 +298,10 @@
 	if deal.Alternates() && w.engine.versions[model]+1 >= version {
 		return false // recent enough for the step at hand; the next version is this engine's
 	}
-	return !held && (stepped || age > settleTime)
+	return !held && (stepped || age > stepGracePeriod)
 }
 
-func addrs(instances []fleet.Instance) []string {
+func engineAddrs(instances []fleet.Instance) []string {
 	list := make([]string, 0, len(instances))
 	for _, i := range instances {
 		list = append(list, i.Addr)
--- a/batch/expiry.go
+++ b/batch/expiry.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// expiryCheck is how often an agent looks for jobs whose items' time is up.
-	expiryCheck = 500 * time.Millisecond
+	// expiryCheckInterval is how often an agent looks for jobs whose items' time is up.
+	expiryCheckInterval = 500 * time.Millisecond
 	// expiryMargin is how long after their time items are given up. A process's
 	// notion of the store's clock is behind it by an answer's way, never ahead but
 	// for the drift of its own clock.
 	expiryMargin = 300 * time.Millisecond
-	// expiryTurn is how long each agent leaves items that nobody holds to the
+	// expiryStagger is how long each agent leaves items that nobody holds to the
 	// one that a job's ranking names before it.
-	expiryTurn = time.Second
+	expiryStagger = time.Second
 )
 
 // expire lists as failed what has run out of time, until ctx ends. Items that
 // are held are given up by their holders, all others by the agents of the job in
 // the order in which its id ranks them, so that a dead one stops nothing.
 func (w *Worker) expire(ctx context.Context) {
-	for pause.For(ctx, expiryCheck) == nil {
+	for pause.For(ctx, expiryCheckInterval) == nil {
 		for _, j := range w.overdue() {
-			w.giveUpHeld(j)
-			w.giveUpLost(j)
+			w.failOwnItems(j)
+			w.failOrphans(j)
 		}
 	}
 }
@@ -54,8 +54,8 @@
 	return now - j.job.Accepted - j.job.ItemTTL - expiryMargin
 }
 
-// giveUpHeld gives up the items that are held here.
-func (w *Worker) giveUpHeld(j *workJob) {
+// failOwnItems gives up the items that are held here.
+func (w *Worker) failOwnItems(j *workJob) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, t := range j.tasks {
@@ -71,11 +71,11 @@
 	}
 }
 
-// giveUpLost gives up the items that are not listed and not held here, once it
+// failOrphans gives up the items that are not listed and not held here, once it
 // is this agent's turn.
-func (w *Worker) giveUpLost(j *workJob) {
-	rank := slices.Index(byRank(j.job.ID, w.participants(j)), w.Engine)
-	if rank < 0 || w.overdueBy(j) < time.Duration(rank+1)*expiryTurn || !w.read(j, true) {
+func (w *Worker) failOrphans(j *workJob) {
+	rank := slices.Index(rankEngines(j.job.ID, w.participants(j)), w.Engine)
+	if rank < 0 || w.overdueBy(j) < time.Duration(rank+1)*expiryStagger || !w.read(j, true) {
 		return
 	}
 	w.mu.Lock()
--- a/batch/fakerewards_test.go
+++ b/batch/fakerewards_test.go
@@ -14,15 +14,15 @@
 // fakeRewards stands in for the service that scores texts.
 type fakeRewards struct {
 	mu sync.Mutex
-	// took is how long a call takes.
-	took time.Duration
-	// answers are the errors of a call's next sends, by its id; nil is a score.
-	answers map[string][]error
-	// always is what each further send of a call is answered with.
-	always map[string]error
-	calls  []rewardCall
-	// ended counts the calls that were given up while they ran.
-	ended int
+	// latency is how long a call takes.
+	latency time.Duration
+	// nextErrors are the errors of a call's next sends, by its id; nil is a score.
+	nextErrors map[string][]error
+	// laterErrors is what each further send of a call is answered with.
+	laterErrors map[string]error
+	calls       []rewardCall
+	// cancelled counts the calls that were given up while they ran.
+	cancelled int
 }
 
 type rewardCall struct {
@@ -34,15 +34,15 @@
 	f.mu.Lock()
 	f.calls = append(f.calls, rewardCall{ask.Call.ID, time.Now()})
 	n := len(f.calls)
-	err := f.always[ask.Call.ID]
-	if list := f.answers[ask.Call.ID]; len(list) > 0 {
-		err, f.answers[ask.Call.ID] = list[0], list[1:]
+	err := f.laterErrors[ask.Call.ID]
+	if list := f.nextErrors[ask.Call.ID]; len(list) > 0 {
+		err, f.nextErrors[ask.Call.ID] = list[0], list[1:]
 	}
-	took := f.took
+	took := f.latency
 	f.mu.Unlock()
 	if pause.For(ctx, took) != nil {
 		f.mu.Lock()
-		f.ended++
+		f.cancelled++
 		f.mu.Unlock()
 		return RewardAnswer{}, ErrBroken
 	}
@@ -56,15 +56,15 @@
 	return RewardAnswer{Score: fmt.Sprintf("score-%d of %s", n, ask.Call.ID), MaxAttempts: 4}, nil
 }
 
-// of are the sends of a call.
-func (f *fakeRewards) of(id string) []rewardCall {
+// sends are the sends sends a call.
+func (f *fakeRewards) sends(id string) []rewardCall {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(f.calls), func(c rewardCall) bool { return c.id != id })
 }
 
-// set changes or reads the stand-in.
-func (f *fakeRewards) set(change func()) {
+// locked changes or reads the stand-in.
+func (f *fakeRewards) locked(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
--- a/batch/handover.go
+++ b/batch/handover.go
@@ -15,16 +15,16 @@
 		w.mu.Unlock()
 		return &HandedItems{Job: ask.Job}
 	}
-	give, stopped := w.detach(w.toGive(j, to, ask))
+	give, stopped := w.detach(w.pickForHandover(j, to, ask))
 	w.mu.Unlock()
-	return w.collect(j, give, stopped, to, "taken")
+	return w.packDetached(j, give, stopped, to, "taken")
 }
 
-// toGive picks the items to give up. It is called with w.mu held.
-func (w *Worker) toGive(j *workJob, to string, ask *TakeAsk) []*task {
+// pickForHandover picks the items to give up. It is called with w.mu held.
+func (w *Worker) pickForHandover(j *workJob, to string, ask *TakeAsk) []*task {
 	var give []*task
 	for _, t := range w.waiting {
-		if t.j == j && len(give) < ask.Max && !slices.Contains(t.avoid, to) && !w.isHeld(t) {
+		if t.j == j && len(give) < ask.Max && !slices.Contains(t.avoid, to) && !w.isQuarantined(t) {
 			give = append(give, t)
 		}
 	}
@@ -44,7 +44,7 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b *task) int {
-		return cmp.Or(cmp.Compare(b.item.expected(), a.item.expected()), cmp.Compare(len(a.text), len(b.text)), cmp.Compare(a.index, b.index))
+		return cmp.Or(cmp.Compare(b.item.expectedWork(), a.item.expectedWork()), cmp.Compare(len(a.text), len(b.text)), cmp.Compare(a.index, b.index))
 	})
 	return list[:min(max(n, 0), len(list))]
 }
@@ -70,8 +70,8 @@
 	return detached, stopped
 }
 
-// collect awaits the ends of runs and packs up the tasks.
-func (w *Worker) collect(j *workJob, tasks []*task, stopped []chan struct{}, to, why string) *HandedItems {
+// packDetached awaits the ends of runs and packs up the tasks.
+func (w *Worker) packDetached(j *workJob, tasks []*task, stopped []chan struct{}, to, why string) *HandedItems {
 	for _, c := range stopped {
 		<-c
 	}
--- a/batch/handover_test.go
+++ b/batch/handover_test.go
@@ -8,18 +8,18 @@
 	"mulberryscale.example/observe"
 )
 
-// takers are agents that take all that they are given.
-type takers struct{ given []int }
+// acceptingPeers are agents that take all that they are given.
+type acceptingPeers struct{ given []int }
 
-func (g *takers) Call(_ context.Context, _ string, ask *PeerRequest) (*PeerReply, error) {
+func (g *acceptingPeers) Call(_ context.Context, _ string, ask *PeerRequest) (*PeerReply, error) {
 	for _, h := range ask.Give.Items {
 		g.given = append(g.given, h.Index)
 	}
 	return &PeerReply{Taken: len(ask.Give.Items)}, nil
 }
 
-// holder is an agent with items of one job that wait.
-func holder(peers PeerCaller, items int) (*Worker, *workJob, []*task) {
+// newWaitingWorker is an agent with items of one job that wait.
+func newWaitingWorker(peers PeerCaller, items int) (*Worker, *workJob, []*task) {
 	w := NewWorker(WorkerConfig{
 		Engine: "10.0.0.1:80", View: fleet.NewView(), Peers: peers, Log: observe.Discard(), Counters: observe.NewCounters(),
 	})
@@ -37,10 +37,10 @@
 // TestItemIsHandedToOneAgent guards against an item that one agent takes while its
 // holder is about to give it to another one: both would run it.
 func TestItemIsHandedToOneAgent(t *testing.T) {
-	others := &takers{}
-	w, j, all := holder(others, 4)
+	others := &acceptingPeers{}
+	w, j, all := newWaitingWorker(others, 4)
 	taken := w.handOver("10.0.0.2:80", &TakeAsk{Job: "j", Max: 2})
-	w.giveJob(t.Context(), j, all, []string{"10.0.0.3:80"})
+	w.pushJobItems(t.Context(), j, all, []string{"10.0.0.3:80"})
 	if n := len(taken.Items); n != 2 {
 		t.Fatalf("%d items taken, want 2", n)
 	}
@@ -54,7 +54,7 @@
 func TestRunningItemIsHandedToOneAgent(t *testing.T) {
 	for name, ends := range map[string]bool{"stopped": false, "ended before": true} {
 		t.Run(name, func(t *testing.T) {
-			w, j, all := holder(&takers{}, 1)
+			w, j, all := newWaitingWorker(&acceptingPeers{}, 1)
 			running := all[0]
 			w.waiting = nil
 			running.cancel, running.stopped = func(error) {}, make(chan struct{})
@@ -66,7 +66,7 @@
 				w.forget(running)
 			}
 			close(running.stopped)
-			handed := w.collect(j, detached, stopped, "10.0.0.2:80", "taken")
+			handed := w.packDetached(j, detached, stopped, "10.0.0.2:80", "taken")
 			if (len(handed.Items) == 0) != ends {
 				t.Errorf("handed over: %v", handed.Items)
 			}
--- a/batch/intake.go
+++ b/batch/intake.go
@@ -18,15 +18,15 @@
 var ErrMalformed = errors.New("batch: malformed job")
 
 const (
-	// acceptTime bounds how long one entry tries to accept or end a job: twice
+	// acceptTimeout bounds how long one entry tries to accept or end a job: twice
 	// what the store takes while it is slowed down sixty times. A client that is
 	// answered then tries another entry, which may have a path to the store.
-	acceptTime = 1500 * time.Millisecond
-	// loadTime is how long an engine may need for a version: 0.9 s alone, twice
+	acceptTimeout = 1500 * time.Millisecond
+	// weightLoadTime is how long an engine may need for a version: 0.9 s alone, twice
 	// that while several load.
-	loadTime = 2 * time.Second
-	// acceptSlack is left of the client's deadline to write the answer.
-	acceptSlack = 100 * time.Millisecond
+	weightLoadTime = 2 * time.Second
+	// answerReserve is left of the client's deadline to write the answer.
+	answerReserve = 100 * time.Millisecond
 )
 
 // Submission is a job as it arrives.
@@ -66,16 +66,16 @@
 		return fmt.Errorf("%w: the store has not been reached yet", store.ErrRefused)
 	}
 	began := time.Now()
-	limit := acceptTime
+	limit := acceptTimeout
 	if !s.Deadline.IsZero() {
-		limit = min(limit, time.Until(s.Deadline)-acceptSlack)
+		limit = min(limit, time.Until(s.Deadline)-answerReserve)
 	}
 	if s.Route.Timeout > 0 {
-		limit = min(limit, s.Route.Timeout-acceptSlack)
+		limit = min(limit, s.Route.Timeout-answerReserve)
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	job := in.job(s, now)
+	job := in.newJob(s, now)
 	err := in.Ledger.Submit(ctx, job, s.Items)
 	took := time.Since(began)
 	log := in.Log.WithFields(logrus.Fields{
@@ -135,7 +135,7 @@
 		name, value string
 		limit       int
 	}{{"id", c.ID, maxRewardID}, {"host", c.Host, maxRewardHost}, {"path", c.Path, maxRewardPath}} {
-		if field.value == "" || len(field.value) > field.limit || strings.ContainsFunc(field.value, unsendable) {
+		if field.value == "" || len(field.value) > field.limit || strings.ContainsFunc(field.value, isUnsendable) {
 			return fmt.Errorf("%s is %.60q: want 1 to %d bytes of printable text without spaces", field.name, field.value, field.limit)
 		}
 	}
@@ -145,32 +145,32 @@
 	return nil
 }
 
-// unsendable are characters that would end a header's line or a request's target.
-func unsendable(r rune) bool { return r <= ' ' || r == 0x7f }
+// isUnsendable are characters that would end a header's line or a request's target.
+func isUnsendable(r rune) bool { return r <= ' ' || r == 0x7f }
 
-// job deals a submission out to the engines that serve its model.
-func (in *Intake) job(s Submission, now time.Duration) *Job {
+// newJob deals a submission out to the engines that serve its model.
+func (in *Intake) newJob(s Submission, now time.Duration) *Job {
 	service := s.Route.Backend(s.ID)
 	snap := in.View.Snapshot()
-	engines := addrs(snap.OfService(service))
+	engines := engineAddrs(snap.OfService(service))
 	ready := len(engines)
 	if config := snap.Config.Service(service); config != nil && s.Model != "" {
-		engines, ready = owners(snap, service, s, AssignEngines(engines, config.Models, in.Demand)[s.Model])
+		engines, ready = orderOwners(snap, service, s, AssignEngines(engines, config.Models, in.Demand)[s.Model])
 	}
 	work := 0
 	for i := range s.Items {
-		work += s.Items[i].expected()
+		work += s.Items[i].expectedWork()
 	}
 	return &Job{
 		Priority: s.priority(snap.Config), ID: s.scoped(), Organisation: s.Organisation, Route: s.Route.Name, Host: s.Host, Service: service, Model: s.Model, Step: s.Step,
 		MinVersion: s.MinVersion, SingleVersion: s.Route.SingleVersion, Items: len(s.Items), Wanted: s.WantedGroups,
 		MaxAttempts: s.Route.MaxAttempts, ItemTTL: s.Route.ItemTTL, Accepted: now, Owners: engines, Ready: ready, Work: work,
-		GroupItems: sizeOfGroups(s.Items), RunTarget: s.Route.RunTarget,
+		GroupItems: groupSize(s.Items), RunTarget: s.Route.RunTarget,
 	}
 }
 
-// sizeOfGroups is the number of items in each group; 0 if they differ or there is none.
-func sizeOfGroups(items []Item) int {
+// groupSize is the number of items in each group; 0 if they differ or there is none.
+func groupSize(items []Item) int {
 	sizes := map[string]int{}
 	for i := range items {
 		sizes[items[i].Group]++
@@ -194,11 +194,11 @@
 	return s.Route.Priority
 }
 
-// owners are the engines of a model's deal, those first that can run its items
+// orderOwners are the engines of a model's deal, those first that can run its items
 // at once; the others load the newest version just now, or must first.
-func owners(snap *fleet.Snapshot, service string, s Submission, deal Assignment) (list []string, ready int) {
+func orderOwners(snap *fleet.Snapshot, service string, s Submission, deal Assignment) (list []string, ready int) {
 	newest := snap.Named[s.Model]
-	loading := time.Since(snap.NamedAt[s.Model]) < loadTime
+	loading := time.Since(snap.NamedAt[s.Model]) < weightLoadTime
 	var late []string
 	for _, i := range snap.OfService(service) {
 		version := i.Versions[s.Model]
@@ -215,7 +215,7 @@
 
 // End ends a job; ErrNoJob says that there is none.
 func (in *Intake) End(ctx context.Context, id string) error {
-	ctx, cancel := context.WithTimeout(ctx, acceptTime)
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
 	_, ended, found, err := in.Ledger.Job(ctx, id)
 	if err != nil {
--- a/batch/orphans.go
+++ b/batch/orphans.go
@@ -55,20 +55,20 @@
 
 // findLost finds items that no agent holds and that are not done, and deals
 // them out.
-func (h *helper) findLost(ctx context.Context, jobs []*workJob) {
-	jobs = slices.DeleteFunc(slices.Clone(jobs), func(j *workJob) bool { return !h.takesPart(j) })
+func (h *rebalancer) findLost(ctx context.Context, jobs []*workJob) {
+	jobs = slices.DeleteFunc(slices.Clone(jobs), func(j *workJob) bool { return !h.participates(j) })
 	if len(jobs) == 0 {
 		return
 	}
-	others := h.engines(jobs)
+	others := h.peerEngines(jobs)
 	round := h.lost.due(time.Now(), len(others)+1)
 	if !round && len(others) > 0 && h.lost.neighbourDue(time.Now()) {
 		next := neighbour(h.Engine, others)
-		_, lives := h.ask(ctx, jobs, []string{next})[next]
+		_, lives := h.queryStatuses(ctx, jobs, []string{next})[next]
 		round = !lives
 	}
 	if round {
-		h.adoptOrphans(ctx, jobs, h.ask(ctx, jobs, others))
+		h.adoptOrphans(ctx, jobs, h.queryStatuses(ctx, jobs, others))
 	}
 }
 
@@ -150,7 +150,7 @@
 	saved := w.savedTexts(j, true)
 	shares := map[string]*HandedItems{}
 	for _, i := range lost {
-		e := engines[best(j.items[i].ID, engines)]
+		e := engines[highestRanked(j.items[i].ID, engines)]
 		if shares[e] == nil {
 			shares[e] = &HandedItems{Job: j.job.ID}
 		}
--- a/batch/push.go
+++ b/batch/push.go
@@ -11,10 +11,10 @@
 	"mulberryscale.example/observe"
 )
 
-// giveAll gives away the items here, those that run only if asked to. Whole
+// pushItems gives away the items here, those that run only if asked to. Whole
 // texts need no engine: they stay until this process stops.
-func (w *Worker) giveAll(ctx context.Context, statuses map[string]*Status, running bool) {
-	engines := roomiest(statuses)
+func (w *Worker) pushItems(ctx context.Context, statuses map[string]*Status, running bool) {
+	engines := byFreeSlots(statuses)
 	if len(engines) == 0 {
 		return
 	}
@@ -30,21 +30,21 @@
 	}
 	w.mu.Unlock()
 	for j, tasks := range byJob {
-		w.giveJob(ctx, j, tasks, engines)
+		w.pushJobItems(ctx, j, tasks, engines)
 	}
 }
 
-// roomiest are the engines that take work, those with the most room first.
-func roomiest(statuses map[string]*Status) []string {
+// byFreeSlots are the engines that take work, those with the most room first.
+func byFreeSlots(statuses map[string]*Status) []string {
 	engines := slices.SortedFunc(maps.Keys(statuses), func(a, b string) int {
 		return cmp.Or(cmp.Compare(statuses[b].Free, statuses[a].Free), cmp.Compare(a, b))
 	})
 	return slices.DeleteFunc(engines, func(e string) bool { return !statuses[e].Up })
 }
 
-// giveJob deals items of one job out to other agents in turn. What none takes
+// pushJobItems deals items of one job out to other agents in turn. What none takes
 // waits here again.
-func (w *Worker) giveJob(ctx context.Context, j *workJob, tasks []*task, engines []string) {
+func (w *Worker) pushJobItems(ctx context.Context, j *workJob, tasks []*task, engines []string) {
 	for i, e := range engines {
 		share := tasks[i*len(tasks)/len(engines) : (i+1)*len(tasks)/len(engines)]
 		if len(share) == 0 {
@@ -53,7 +53,7 @@
 		w.mu.Lock()
 		leaving, stopped := w.detach(share)
 		w.mu.Unlock()
-		handed := w.collect(j, leaving, stopped, e, "engine takes no work")
+		handed := w.packDetached(j, leaving, stopped, e, "engine takes no work")
 		if len(handed.Items) == 0 {
 			continue
 		}
--- a/batch/quarantine.go
+++ b/batch/quarantine.go
@@ -18,10 +18,10 @@
 	return t.subject
 }
 
-// isHeld reports whether engines have ended under an item. Such a one is not sent
+// isQuarantined reports whether engines have ended under an item. Such a one is not sent
 // any more, so that the others beside it run on: its holder keeps it until its time
 // is up, which is before a trial would be due. It is called with w.mu held.
-func (w *Worker) isHeld(t *task) bool {
+func (w *Worker) isQuarantined(t *task) bool {
 	if w.Quarantine == nil || w.Quarantine.Empty() {
 		return false
 	}
@@ -29,11 +29,11 @@
 	return verdict == quarantine.Held || verdict == quarantine.Due
 }
 
-// runsApart reports whether two engines have ended under an item, so that the next
+// isCrashSuspect reports whether two engines have ended under an item, so that the next
 // end decides: of such items an engine runs one at a time, or those that only stood
 // beside the one that ends engines would meet the third end with it and be held. It
 // is called with w.mu held.
-func (w *Worker) runsApart(t *task) bool {
+func (w *Worker) isCrashSuspect(t *task) bool {
 	if w.Quarantine == nil || w.Quarantine.Empty() {
 		return false
 	}
@@ -41,22 +41,22 @@
 	return verdict == quarantine.Held || verdict == quarantine.Due
 }
 
-// awaitsTurn reports whether an item that runs apart waits for another such one to
+// awaitsOtherSuspect reports whether an item that runs apart waits for another such one to
 // end here. It is called with w.mu held.
-func (w *Worker) awaitsTurn(t *task) bool {
-	if !w.runsApart(t) {
+func (w *Worker) awaitsOtherSuspect(t *task) bool {
+	if !w.isCrashSuspect(t) {
 		return false
 	}
 	for running := range w.running {
-		if w.runsApart(running) {
+		if w.isCrashSuspect(running) {
 			return true
 		}
 	}
 	return false
 }
 
-// noteEnd tells the quarantine what a run that came to an end did to its engine.
-func (w *Worker) noteEnd(ctx context.Context, t *task, engine fleet.Instance, err error, took time.Duration) {
+// recordOutcome tells the quarantine what a run that came to an end did to its engine.
+func (w *Worker) recordOutcome(ctx context.Context, t *task, engine fleet.Instance, err error, took time.Duration) {
 	if w.Quarantine == nil {
 		return
 	}
--- a/batch/quarantine_test.go
+++ b/batch/quarantine_test.go
@@ -15,7 +15,7 @@
 // third end with it and is held.
 func TestItemsUnderWhichTwoEnginesEndedRunApart(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w, _, all := holder(&takers{}, 4)
+		w, _, all := newWaitingWorker(&acceptingPeers{}, 4)
 		w.Quarantine = quarantine.Local(nil, observe.Discard(), observe.NewCounters())
 		ends := func(engine int, tasks ...*task) {
 			time.Sleep(time.Second)
@@ -28,22 +28,22 @@
 		one, two, once, none := all[0], all[1], all[2], all[3]
 		ends(1, one, two, once)
 		ends(2, one, two)
-		if w.awaitsTurn(one) || w.awaitsTurn(two) {
+		if w.awaitsOtherSuspect(one) || w.awaitsOtherSuspect(two) {
 			t.Error("waits though no other one runs")
 		}
 		w.running[once], w.running[none] = struct{}{}, struct{}{}
-		if w.awaitsTurn(two) {
+		if w.awaitsOtherSuspect(two) {
 			t.Error("waits for one under which at most one engine has ended")
 		}
 		w.running[one] = struct{}{}
-		if !w.awaitsTurn(two) {
+		if !w.awaitsOtherSuspect(two) {
 			t.Error("runs beside another one under which two engines have ended")
 		}
-		if w.awaitsTurn(none) || w.awaitsTurn(once) {
+		if w.awaitsOtherSuspect(none) || w.awaitsOtherSuspect(once) {
 			t.Error("an item waits under which at most one engine has ended")
 		}
 		w.Quarantine.Served(w.subjectOf(one))
-		if w.awaitsTurn(two) {
+		if w.awaitsOtherSuspect(two) {
 			t.Error("waits for one that an answer has cleared")
 		}
 	})
--- a/batch/rebalance.go
+++ b/batch/rebalance.go
@@ -13,119 +13,119 @@
 )
 
 const (
-	// helpInterval is how often an agent looks whether there is anything to do for
+	// rebalanceInterval is how often an agent looks whether there is anything to do for
 	// others. Looking by itself calls nobody.
-	helpInterval = 250 * time.Millisecond
-	// helpAge is the age below which a job is left to its owners.
-	helpAge = 400 * time.Millisecond
-	// askFew is how many agents are asked in a round for work to take. Whoever has
+	rebalanceInterval = 250 * time.Millisecond
+	// minRebalanceAge is the age below which a job is left to its owners.
+	minRebalanceAge = 400 * time.Millisecond
+	// stealFanout is how many agents are asked in a round for work to take. Whoever has
 	// work to give is asked by each of the others that are idle with that chance.
-	askFew = 4
-	// askMany is how many are asked for room by an agent whose engine takes no work.
-	askMany = 16
-	// maxHelpPause bounds the pause between rounds that found nothing to take; it
+	stealFanout = 4
+	// pushFanout is how many are asked for room by an agent whose engine takes no work.
+	pushFanout = 16
+	// maxStealPause bounds the pause between rounds that found nothing to take; it
 	// doubles from helpInterval with each and starts anew with each new job.
-	maxHelpPause = time.Second
+	maxStealPause = time.Second
 	// slowRatio is how many times slower another engine must be for its running
 	// items to be worth moving: a move costs a prompt read again, 30 ms.
 	slowRatio = 1.6
 )
 
-// help looks after the items of other agents, and gives away its own when its
+// rebalance looks after the items of other agents, and gives away its own when its
 // engine cannot run them, until ctx ends.
-func (w *Worker) help(ctx context.Context) {
-	h := &helper{Worker: w, lost: newLostRounds(rand.Float64)}
-	for pause.For(ctx, helpInterval) == nil {
+func (w *Worker) rebalance(ctx context.Context) {
+	h := &rebalancer{Worker: w, lost: newLostRounds(rand.Float64)}
+	for pause.For(ctx, rebalanceInterval) == nil {
 		jobs := w.openJobs()
 		if len(jobs) == 0 {
 			continue
 		}
-		h.giveAway(ctx, jobs)
-		h.takeWork(ctx, jobs)
+		h.pushUnrunnable(ctx, jobs)
+		h.stealWork(ctx, jobs)
 		h.findLost(ctx, jobs)
 	}
 }
 
-// helper is what an agent remembers between its looks at the others.
-type helper struct {
+// rebalancer is what an agent remembers between its looks at the others.
+type rebalancer struct {
 	*Worker
 	lost *lostRounds
-	// pause is the present pause between rounds that ask for work, asked when the
+	// stealPause is the present stealPause between rounds that ask for work, asked when the
 	// last one was; newest is the newest job at that time.
-	pause  time.Duration
-	asked  time.Time
-	newest time.Duration
+	stealPause time.Duration
+	lastSteal  time.Time
+	newestJob  time.Duration
 }
 
-// giveAway gives away what this engine cannot run.
-func (h *helper) giveAway(ctx context.Context, jobs []*workJob) {
+// pushUnrunnable gives away what this engine cannot run.
+func (h *rebalancer) pushUnrunnable(ctx context.Context, jobs []*workJob) {
 	h.mu.Lock()
-	held, broken := h.held(), h.broken()
+	held, broken := h.itemCount(), h.repeatedlyBroken()
 	h.mu.Unlock()
-	unable := h.unable()
+	unable := h.engineUnavailable()
 	if held == 0 || (!unable && len(broken) == 0) {
 		return
 	}
-	statuses := h.ask(ctx, jobs, some(h.engines(jobs), askMany))
+	statuses := h.queryStatuses(ctx, jobs, sampleEngines(h.peerEngines(jobs), pushFanout))
 	if unable {
-		h.giveAll(ctx, statuses, true)
+		h.pushItems(ctx, statuses, true)
 		return
 	}
 	for j, tasks := range broken {
-		h.giveJob(ctx, j, tasks, roomiest(statuses))
+		h.pushJobItems(ctx, j, tasks, byFreeSlots(statuses))
 	}
 }
 
-// takeWork asks a few agents for items that they have no room for, or run slowly.
+// stealWork asks a few agents for items that they have no room for, or run slowly.
 // Whoever is no participant of a job takes nothing of it: those that look for
 // items without a holder would not ask it, and run them a second time.
-func (h *helper) takeWork(ctx context.Context, jobs []*workJob) {
-	jobs = slices.DeleteFunc(slices.Clone(jobs), func(j *workJob) bool { return !h.fresh(j) || !h.partakes(j) })
+func (h *rebalancer) stealWork(ctx context.Context, jobs []*workJob) {
+	jobs = slices.DeleteFunc(slices.Clone(jobs), func(j *workJob) bool { return !h.engineCanServe(j) || !h.participatesLocking(j) })
 	h.mu.Lock()
 	free := h.free()
 	h.mu.Unlock()
-	if free == 0 || len(jobs) == 0 || h.unable() {
+	if free == 0 || len(jobs) == 0 || h.engineUnavailable() {
 		return
 	}
-	if newest := jobs[len(jobs)-1].job.Accepted; newest != h.newest {
-		h.newest, h.pause = newest, 0
+	if newest := jobs[len(jobs)-1].job.Accepted; newest != h.newestJob {
+		h.newestJob, h.stealPause = newest, 0
 	}
-	if time.Since(h.asked) < h.pause {
+	if time.Since(h.lastSteal) < h.stealPause {
 		return
 	}
-	h.asked = time.Now()
-	statuses := h.ask(ctx, jobs, some(h.engines(jobs), askFew))
-	if h.takeFrom(ctx, jobs, statuses, free) > 0 {
-		h.pause = 0
+	h.lastSteal = time.Now()
+	statuses := h.queryStatuses(ctx, jobs, sampleEngines(h.peerEngines(jobs), stealFanout))
+	if h.stealFrom(ctx, jobs, statuses, free) > 0 {
+		h.stealPause = 0
 		return
 	}
-	h.pause = min(max(helpInterval, 2*h.pause), maxHelpPause)
+	h.stealPause = min(max(rebalanceInterval, 2*h.stealPause), maxStealPause)
 }
 
-// some are up to n of the engines, drawn at random.
-func some(engines []string, n int) []string {
+// sampleEngines are up to n of the engines, drawn at random.
+func sampleEngines(engines []string, n int) []string {
 	engines = slices.Clone(engines)
 	rand.Shuffle(len(engines), func(i, k int) { engines[i], engines[k] = engines[k], engines[i] })
 	return engines[:min(n, len(engines))]
 }
 
-// broken are the waiting items that broke off here again and again, though the
+// repeatedlyBroken are the waiting items that broke off here again and again, though the
 // engine reports well. It is called with w.mu held.
-func (w *Worker) broken() map[*workJob][]*task {
+func (w *Worker) repeatedlyBroken() map[*workJob][]*task {
 	byJob := map[*workJob][]*task{}
 	for _, t := range w.waiting {
-		if t.breaks >= maxBreaks && !w.isHeld(t) {
+		if t.breaks >= maxBreaks && !w.isQuarantined(t) {
 			byJob[t.j] = append(byJob[t.j], t)
 		}
 	}
 	return byJob
 }
 
-// held is the number of items here. It is called with w.mu held.
-func (w *Worker) held() int { return len(w.waiting) + len(w.running) + len(w.scoring) }
+// itemCount is the number of items here. It is called with w.mu itemCount.
+func (w *Worker) itemCount() int { return len(w.waiting) + len(w.running) + len(w.scoring) }
 
-// unable reports whether the engine takes no work.
-func (w *Worker) unable() bool {
+// engineUnavailable reports whether the engine takes no work.
+func (w *Worker) engineUnavailable() bool {
 	_, registered := w.instance()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -142,10 +142,10 @@
 	defer w.mu.Unlock()
 	var open []*workJob
 	for _, j := range w.jobs {
-		if j.ended || j.finished || !known || now-j.job.Accepted < helpAge || now-j.job.Accepted > j.job.ItemTTL {
+		if j.ended || j.finished || !known || now-j.job.Accepted < minRebalanceAge || now-j.job.Accepted > j.job.ItemTTL {
 			continue
 		}
-		if len(j.tasks) > 0 || w.engine.serves(j.job) || w.takesPart(j) {
+		if len(j.tasks) > 0 || w.engine.canServe(j.job) || w.participates(j) {
 			open = append(open, j)
 		}
 	}
@@ -155,19 +155,19 @@
 	return open
 }
 
-// takesPart reports whether this engine is one of the participants of a job.
-func (w *Worker) takesPart(j *workJob) bool {
+// participates reports whether this engine is one of the participants of a job.
+func (w *Worker) participates(j *workJob) bool {
 	if slices.Contains(j.job.Owners, w.Engine) {
 		return true
 	}
-	return j.job.Model != "" && w.deals(w.View.Snapshot())[j.job.Model].Has(w.Engine)
+	return j.job.Model != "" && w.assignments(w.View.Snapshot())[j.job.Model].Has(w.Engine)
 }
 
-// partakes is takesPart for callers that do not hold w.mu.
-func (w *Worker) partakes(j *workJob) bool {
+// participatesLocking is takesPart for callers that do not hold w.mu.
+func (w *Worker) participatesLocking(j *workJob) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.takesPart(j)
+	return w.participates(j)
 }
 
 // participants are the engines whose agents may hold items of a job.
@@ -177,15 +177,15 @@
 		engines[o] = true
 	}
 	if j.job.Model != "" {
-		for _, e := range w.deals(w.View.Snapshot())[j.job.Model].All() {
+		for _, e := range w.assignments(w.View.Snapshot())[j.job.Model].All() {
 			engines[e] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(engines))
 }
 
-// engines are those of the other agents that may hold items of the jobs.
-func (w *Worker) engines(jobs []*workJob) []string {
+// peerEngines are those of the other agents that may hold items of the jobs.
+func (w *Worker) peerEngines(jobs []*workJob) []string {
 	engines := map[string]bool{}
 	for _, j := range jobs {
 		for _, e := range w.participants(j) {
@@ -196,9 +196,9 @@
 	return slices.Sorted(maps.Keys(engines))
 }
 
-// ask asks agents for their state; those that do not answer are missing in what
+// queryStatuses asks agents for their state; those that do not answer are missing in what
 // it returns.
-func (w *Worker) ask(ctx context.Context, jobs []*workJob, engines []string) map[string]*Status {
+func (w *Worker) queryStatuses(ctx context.Context, jobs []*workJob, engines []string) map[string]*Status {
 	var ids []string
 	for _, j := range jobs {
 		ids = append(ids, j.job.ID)
@@ -221,18 +221,18 @@
 	return statuses
 }
 
-// takeFrom takes items from the agents that have the most to give, and returns
+// stealFrom takes items from the agents that have the most to give, and returns
 // how many.
-func (w *Worker) takeFrom(ctx context.Context, jobs []*workJob, statuses map[string]*Status, free int) int {
+func (w *Worker) stealFrom(ctx context.Context, jobs []*workJob, statuses map[string]*Status, free int) int {
 	w.mu.Lock()
 	pace := w.engine.pace
 	w.mu.Unlock()
 	taken := 0
 	for _, j := range jobs {
-		if taken >= free || !w.fresh(j) {
+		if taken >= free || !w.engineCanServe(j) {
 			continue
 		}
-		engine, running, n := richest(j.job.ID, statuses, pace)
+		engine, running, n := busiestPeer(j.job.ID, statuses, pace)
 		if n == 0 {
 			continue
 		}
@@ -249,17 +249,17 @@
 	return taken
 }
 
-// fresh reports whether the engine's weights serve a job now.
-func (w *Worker) fresh(j *workJob) bool {
+// engineCanServe reports whether the engine's weights serve a job now.
+func (w *Worker) engineCanServe(j *workJob) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.engine.serves(j.job)
+	return w.engine.canServe(j.job)
 }
 
-// richest finds the agent to take items of a job from: one whose engine is much
+// busiestPeer finds the agent to take items of a job from: one whose engine is much
 // slower than a pace, whose items running here would end earlier, or else the
 // one with the most waiting items.
-func richest(job string, statuses map[string]*Status, pace time.Duration) (engine string, running bool, n int) {
+func busiestPeer(job string, statuses map[string]*Status, pace time.Duration) (engine string, running bool, n int) {
 	engines := slices.Sorted(maps.Keys(statuses))
 	var slowest time.Duration
 	for _, e := range engines {
--- a/batch/rebalance_test.go
+++ b/batch/rebalance_test.go
@@ -40,7 +40,7 @@
 		"nothing":              {map[string]*Status{"idle": statusOf(pace, 0, 0)}, "", false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			engine, running, n := richest("j", c.statuses, pace)
+			engine, running, n := busiestPeer("j", c.statuses, pace)
 			if engine != c.engine || running != c.running || n != c.n {
 				t.Errorf("got %q, running %v, %d; want %q, %v, %d", engine, running, n, c.engine, c.running, c.n)
 			}
@@ -77,7 +77,7 @@
 			rig.peers.mu.Lock()
 			defer rig.peers.mu.Unlock()
 			total := 0
-			for _, n := range rig.peers.calls {
+			for _, n := range rig.peers.callsByEngine {
 				total += n
 			}
 			calls = float64(total) / float64(agents) / seconds
@@ -102,13 +102,13 @@
 		rig := newWorkerRig(t, 8)
 		rig.view.SetConfig(&fleet.Config{Version: 2, Services: []fleet.Service{{Name: "svc", Models: []string{"m", "n"}}}})
 		snap := rig.view.Snapshot()
-		deal := AssignEngines(addrs(snap.OfService("svc")), []string{"m", "n"}, NewDemand())["m"]
+		deal := AssignEngines(engineAddrs(snap.OfService("svc")), []string{"m", "n"}, NewDemand())["m"]
 		rig.engines.lengths["item-000"] = 1000
 		rig.submit("j", 1, func(j *Job) { j.Owners, j.MinVersion, j.Ready = deal.All(), 2, len(deal.All()) })
 		time.Sleep(5 * time.Second)
 		rig.peers.mu.Lock()
 		defer rig.peers.mu.Unlock()
-		for addr, n := range rig.peers.calls {
+		for addr, n := range rig.peers.callsByEngine {
 			if !deal.Has(addr) && n > 0 {
 				t.Errorf("%d calls by the agent of %s, which has nothing to do with the job", n, addr)
 			}
@@ -127,7 +127,7 @@
 			holder := slices.IndexFunc(rig.addrs(), func(a string) bool { return a == runs[len(runs)-1].engine })
 			rig.kill(holder)
 			killed := time.Now()
-			rig.whole(rig.await("j", agents, 20*time.Second))
+			rig.requireComplete(rig.await("j", agents, 20*time.Second))
 			runs = rig.runsOf("item-000")
 			if took := runs[len(runs)-1].at.Sub(killed); took > 2*time.Second {
 				t.Errorf("%d agents: sent again %s after the kill", agents, took)
@@ -142,7 +142,7 @@
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 8)
 		rig.view.SetConfig(&fleet.Config{Version: 2, Services: []fleet.Service{{Name: "svc", Models: []string{"m", "n"}}}})
-		deals := AssignEngines(addrs(rig.view.Snapshot().OfService("svc")), []string{"m", "n"}, NewDemand())
+		deals := AssignEngines(engineAddrs(rig.view.Snapshot().OfService("svc")), []string{"m", "n"}, NewDemand())
 		for i := range 16 {
 			rig.engines.lengths[fmt.Sprintf("item-%03d", i)] = 100 // four seconds
 		}
@@ -155,15 +155,15 @@
 		time.Sleep(time.Second)
 		leaving := deals["m"].All()[0]
 		rig.peers.mu.Lock()
-		clear(rig.peers.pairs)
+		clear(rig.peers.callsByPair)
 		rig.peers.mu.Unlock()
-		rig.list(slices.Index(rig.addrs(), leaving), true)
+		rig.register(slices.Index(rig.addrs(), leaving), true)
 		time.Sleep(3 * time.Second)
-		after := AssignEngines(addrs(rig.view.Snapshot().OfService("svc")), []string{"m", "n"}, NewDemand())["m"]
+		after := AssignEngines(engineAddrs(rig.view.Snapshot().OfService("svc")), []string{"m", "n"}, NewDemand())["m"]
 		rig.peers.mu.Lock()
 		defer rig.peers.mu.Unlock()
 		asked := 0
-		for pair, n := range rig.peers.pairs {
+		for pair, n := range rig.peers.callsByPair {
 			if pair[0] != leaving {
 				continue
 			}
@@ -191,7 +191,7 @@
 		host, _, _ := net.SplitHostPort(before)
 		rig.kill(holder)
 		never := func() float64 { return 0.99 }
-		h := &helper{Worker: rig.peers.workers[host], lost: newLostRounds(never)}
+		h := &rebalancer{Worker: rig.peers.workers[host], lost: newLostRounds(never)}
 		h.lost.due(time.Now(), agents)
 		h.findLost(t.Context(), h.openJobs())
 		time.Sleep(50 * time.Millisecond)
@@ -213,7 +213,7 @@
 			j.Owners = slices.DeleteFunc(j.Owners, func(e string) bool { return e == outsider })
 			j.Ready = len(j.Owners)
 		})
-		r.whole(r.await("job", 60, 60*time.Second))
+		r.requireComplete(r.await("job", 60, 60*time.Second))
 		for _, run := range r.runs() {
 			if run.engine == outsider {
 				t.Fatalf("item %s ran at an engine whose agent takes no part in its job", run.item)
--- a/batch/rebirth_test.go
+++ b/batch/rebirth_test.go
@@ -9,7 +9,7 @@
 
 // reborn lets an engine start again under its id.
 func (r *workerRig) reborn(i int, born int64) {
-	r.engine(i, func(e *fakeEngine) { e.born, e.sequence = born, 0 })
+	r.engine(i, func(e *fakeEngine) { e.startedAt, e.sequence = born, 0 })
 }
 
 // Runs on an engine that started again go on at once, not after the silence of
@@ -22,7 +22,7 @@
 		rig.submitLong("j", 2, "item-001")
 		rig.reborn(0, 2000)
 		at := time.Now()
-		rig.whole(rig.await("j", 2, 4*time.Second))
+		rig.requireComplete(rig.await("j", 2, 4*time.Second))
 		runs := rig.runsOf("item-001")
 		last := runs[len(runs)-1]
 		if len(runs) != 2 || last.after < 40 || last.at.Sub(at) > 300*time.Millisecond {
@@ -39,9 +39,9 @@
 		rig.reborn(0, 1000)
 		rig.engine(0, func(e *fakeEngine) { e.sequence = 5 })
 		time.Sleep(time.Second)
-		rig.engine(0, func(e *fakeEngine) { e.loseOrder = true })
+		rig.engine(0, func(e *fakeEngine) { e.loseNextOrder = true })
 		rig.view.SetNamed("m", 2)
-		time.Sleep(settleTime + 2*quietInterval)
+		time.Sleep(stepGracePeriod + 2*idleReportInterval)
 		rig.reborn(0, 2000)
 		time.Sleep(orderTimeout / 2)
 		var orders []Order
@@ -59,12 +59,12 @@
 		rig.reborn(0, 2000)
 		time.Sleep(time.Second)
 		w := rig.peers.workers["10.0.0.1"]
-		rig.engine(0, func(e *fakeEngine) { e.born, e.sequence, e.version = 1000, 9, 7 })
+		rig.engine(0, func(e *fakeEngine) { e.startedAt, e.sequence, e.version = 1000, 9, 7 })
 		rig.view.UpdateInstances([]fleet.Instance{{ID: "engine-0", Service: "svc", Addr: engineAddr(0), Slots: 4, Born: 1000}}, nil)
 		time.Sleep(time.Second)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.engine.born != 2000 || w.engine.sequence == 9 || w.engine.versions["m"] == 7 {
+		if w.engine.startedAt != 2000 || w.engine.sequence == 9 || w.engine.versions["m"] == 7 {
 			t.Fatalf("believed: %+v", w.engine)
 		}
 	})
--- a/batch/reward_test.go
+++ b/batch/reward_test.go
@@ -11,7 +11,7 @@
 // scoredRig is a rig whose items have reward calls.
 func scoredRig(t *testing.T, agents int) *workerRig {
 	rig := newWorkerRig(t, agents)
-	rig.scored = true
+	rig.withRewards = true
 	return rig
 }
 
@@ -31,12 +31,12 @@
 		rig := scoredRig(t, 2)
 		rig.submit("j", 8, nil)
 		l := rig.await("j", 8, 3*time.Second)
-		rig.whole(l)
+		rig.requireComplete(l)
 		for _, x := range l.Results {
 			if !strings.HasSuffix(x.Score, " of "+rewardOf(x.ID)) {
 				t.Errorf("item %s has the score %q", x.ID, x.Score)
 			}
-			calls := rig.rewards.of(rewardOf(x.ID))
+			calls := rig.rewards.sends(rewardOf(x.ID))
 			if len(calls) != 1 || calls[0].at.Before(rig.lastEventAt(x.ID)) {
 				t.Errorf("item %s: %d calls, the first before its last event", x.ID, len(calls))
 			}
@@ -49,7 +49,7 @@
 		rig := newWorkerRig(t, 1)
 		rig.submit("j", 2, nil)
 		l := rig.await("j", 2, 3*time.Second)
-		rig.rewards.set(func() {
+		rig.rewards.locked(func() {
 			if l.Results[0].Score != "" || len(rig.rewards.calls) != 0 {
 				t.Errorf("score %q, %d calls", l.Results[0].Score, len(rig.rewards.calls))
 			}
@@ -77,13 +77,13 @@
 		t.Run(name, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
 				rig := scoredRig(t, 1)
-				rig.rewards.answers[rewardOf("item-000")] = c.answers
+				rig.rewards.nextErrors[rewardOf("item-000")] = c.answers
 				if c.always != nil {
-					rig.rewards.always[rewardOf("item-000")] = c.always
+					rig.rewards.laterErrors[rewardOf("item-000")] = c.always
 				}
 				rig.submit("j", 1, nil)
 				l := rig.await("j", 1, 10*time.Second)
-				if n := len(rig.rewards.of(rewardOf("item-000"))); l.Results[0].State != c.state || n != c.calls {
+				if n := len(rig.rewards.sends(rewardOf("item-000"))); l.Results[0].State != c.state || n != c.calls {
 					t.Fatalf("%s after %d calls, want %s after %d", l.Results[0].State, n, c.state, c.calls)
 				}
 				if n := len(rig.runsOf("item-000")); n != 1 {
@@ -98,7 +98,7 @@
 func TestWholeTextOutlivesItsAgent(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := scoredRig(t, 3)
-		rig.rewards.took = time.Hour
+		rig.rewards.latency = time.Hour
 		rig.submit("j", 1, nil)
 		time.Sleep(2 * time.Second) // done after 0.4 s, saved within 0.7 s of it
 		run := rig.runsOf("item-000")[0]
@@ -107,8 +107,8 @@
 				rig.kill(i)
 			}
 		}
-		rig.rewards.set(func() { rig.rewards.took = 200 * time.Millisecond })
-		rig.whole(rig.await("j", 1, 6*time.Second))
+		rig.rewards.locked(func() { rig.rewards.latency = 200 * time.Millisecond })
+		rig.requireComplete(rig.await("j", 1, 6*time.Second))
 		if n := len(rig.runsOf("item-000")); n != 1 {
 			t.Fatalf("the item ran %d times", n)
 		}
@@ -118,15 +118,15 @@
 func TestEveryAgentDiesWhileTextsAreScored(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := scoredRig(t, 2)
-		rig.rewards.took = time.Hour
+		rig.rewards.latency = time.Hour
 		rig.submit("j", 4, nil)
 		time.Sleep(2 * time.Second)
 		rig.kill(0)
 		rig.kill(1)
-		rig.rewards.set(func() { rig.rewards.took = 200 * time.Millisecond })
+		rig.rewards.locked(func() { rig.rewards.latency = 200 * time.Millisecond })
 		rig.start(0)
 		rig.start(1)
-		rig.whole(rig.await("j", 4, 6*time.Second))
+		rig.requireComplete(rig.await("j", 4, 6*time.Second))
 		if n := len(rig.runs()); n != 4 {
 			t.Fatalf("%d runs of four items", n)
 		}
@@ -138,8 +138,8 @@
 	bubble(t, func(t *testing.T) {
 		rig := scoredRig(t, 2)
 		id := rewardOf("item-000")
-		rig.rewards.answers[id] = []error{ErrFailed, ErrFailed, ErrFailed}
-		rig.rewards.always[id] = ErrBroken
+		rig.rewards.nextErrors[id] = []error{ErrFailed, ErrFailed, ErrFailed}
+		rig.rewards.laterErrors[id] = ErrBroken
 		rig.submit("j", 1, nil)
 		time.Sleep(3 * time.Second)
 		run := rig.runsOf("item-000")[0]
@@ -148,10 +148,10 @@
 				rig.kill(i)
 			}
 		}
-		before := len(rig.rewards.of(id))
-		rig.rewards.set(func() { rig.rewards.always[id] = ErrFailed })
+		before := len(rig.rewards.sends(id))
+		rig.rewards.locked(func() { rig.rewards.laterErrors[id] = ErrFailed })
 		l := rig.await("j", 1, 6*time.Second)
-		if n := len(rig.rewards.of(id)) - before; l.Results[0].State != StateFailed || n != 1 {
+		if n := len(rig.rewards.sends(id)) - before; l.Results[0].State != StateFailed || n != 1 {
 			t.Fatalf("%s after %d more failures, want one", l.Results[0].State, n)
 		}
 	})
@@ -162,21 +162,21 @@
 func TestStoppingAgentHandsOverWholeTexts(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := scoredRig(t, 2)
-		rig.rewards.took = time.Hour
+		rig.rewards.latency = time.Hour
 		rig.submit("j", 4, nil)
 		time.Sleep(time.Second)
 		w := rig.peers.workers["10.0.0.1"]
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		w.Drain(ctx, time.Second)
-		if n := w.heldNow(); n != 0 {
+		if n := w.itemsLeft(); n != 0 {
 			t.Fatalf("%d items still here", n)
 		}
-		rig.rewards.set(func() { rig.rewards.took = 200 * time.Millisecond })
+		rig.rewards.locked(func() { rig.rewards.latency = 200 * time.Millisecond })
 		rig.kill(0)
 		rig.kill(1)
 		rig.start(1)
-		rig.whole(rig.await("j", 4, 6*time.Second))
+		rig.requireComplete(rig.await("j", 4, 6*time.Second))
 		if n := len(rig.runs()); n != 4 {
 			t.Fatalf("%d runs of four items", n)
 		}
@@ -186,15 +186,15 @@
 func TestEndOfAJobEndsItsRewardCalls(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := scoredRig(t, 2)
-		rig.rewards.took = time.Hour
+		rig.rewards.latency = time.Hour
 		rig.submit("j", 4, nil)
 		time.Sleep(time.Second)
 		must(t, rig.ledger.End(t.Context(), "j"))
 		ended := time.Now()
 		time.Sleep(10 * time.Second)
-		rig.rewards.set(func() {
-			if rig.rewards.ended != 4 {
-				t.Errorf("%d of 4 calls given up", rig.rewards.ended)
+		rig.rewards.locked(func() {
+			if rig.rewards.cancelled != 4 {
+				t.Errorf("%d of 4 calls given up", rig.rewards.cancelled)
 			}
 			for _, c := range rig.rewards.calls {
 				if c.at.After(ended.Add(time.Second)) {
@@ -209,11 +209,11 @@
 func TestScoringNeedsNoEngine(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := scoredRig(t, 1)
-		rig.rewards.took = 5 * time.Second
+		rig.rewards.latency = 5 * time.Second
 		rig.submit("j", 2, nil)
 		time.Sleep(time.Second)
 		rig.engine(0, func(e *fakeEngine) { e.down = true })
-		rig.whole(rig.await("j", 2, 8*time.Second))
+		rig.requireComplete(rig.await("j", 2, 8*time.Second))
 	})
 }
 
@@ -230,7 +230,7 @@
 				r.engines.lengths[fmt.Sprintf("item-%03d", i)] = 10_000
 			}
 		},
-		"without a score": func(r *workerRig) { r.rewards.took = time.Hour },
+		"without a score": func(r *workerRig) { r.rewards.latency = time.Hour },
 		"without a holder": func(r *workerRig) {
 			r.kill(0)
 			time.AfterFunc(9*time.Second, func() { r.kill(1) })
--- a/batch/rig_test.go
+++ b/batch/rig_test.go
@@ -43,21 +43,21 @@
 }
 
 type fakeEngine struct {
-	born     int64
-	version  uint64
-	sequence uint64
-	slow     float64 // factor
-	down     bool
-	silent   bool
-	// fail answers the next runs of an item with an error, by id.
-	fail map[string][]error
-	// cutAfter breaks the next run of an item after so many events.
-	cutAfter  map[string]int
-	orders    []Order
-	loseOrder bool
-	open      int // streams that still run
-	// hang lets runs of these items hear nothing, though reports are answered.
-	hang map[string]bool
+	startedAt    int64
+	version      uint64
+	sequence     uint64
+	slowdown     float64 // factor
+	down         bool
+	unresponsive bool
+	// startErrors answers the next runs of an item with an error, by id.
+	startErrors map[string][]error
+	// breakAfter breaks the next run of an item after so many events.
+	breakAfter    map[string]int
+	orders        []Order
+	loseNextOrder bool
+	openStreams   int // streams that still run
+	// stalledItems lets runs of these items hear nothing, though reports are answered.
+	stalledItems map[string]bool
 }
 
 func (f *fakeEngines) Start(ctx context.Context, r Run) (Stream, error) {
@@ -67,8 +67,8 @@
 	if e.down {
 		return nil, fmt.Errorf("%w: down", ErrNotRun)
 	}
-	if list := e.fail[r.Item.ID]; len(list) > 0 {
-		e.fail[r.Item.ID] = list[1:]
+	if list := e.startErrors[r.Item.ID]; len(list) > 0 {
+		e.startErrors[r.Item.ID] = list[1:]
 		return nil, list[0]
 	}
 	f.runs = append(f.runs, fakeRun{r.Addr, r.Item.ID, r.LastEventID, time.Now(), r.Organisation})
@@ -79,29 +79,29 @@
 	if f.crashing[r.Item.ID] {
 		length = f.crashSoon(e)
 	}
-	e.open++
-	s := &fakeStream{ctx: ctx, f: f, e: e, item: r.Item.ID, next: r.LastEventID + 1, length: length, cut: -1, born: e.born}
-	if n, ok := e.cutAfter[r.Item.ID]; ok {
-		s.cut = n
-		delete(e.cutAfter, r.Item.ID)
+	e.openStreams++
+	s := &fakeStream{ctx: ctx, f: f, e: e, item: r.Item.ID, next: r.LastEventID + 1, length: length, eventsUntilBreak: -1, engineStartedAt: e.startedAt}
+	if n, ok := e.breakAfter[r.Item.ID]; ok {
+		s.eventsUntilBreak = n
+		delete(e.breakAfter, r.Item.ID)
 	}
 	return s, nil
 }
 
 type fakeStream struct {
-	ctx          context.Context
-	f            *fakeEngines
-	e            *fakeEngine
-	item         string
-	next, length int
-	cut          int
-	born         int64 // of the engine when the run began
+	ctx              context.Context
+	f                *fakeEngines
+	e                *fakeEngine
+	item             string
+	next, length     int
+	eventsUntilBreak int
+	engineStartedAt  int64 // of the engine when the run began
 }
 
 func (s *fakeStream) Close() {
 	s.f.mu.Lock()
 	defer s.f.mu.Unlock()
-	s.e.open--
+	s.e.openStreams--
 }
 
 // engine changes or reads a stand-in engine.
@@ -118,17 +118,17 @@
 	return slices.Clone(r.engines.runs)
 }
 
-// working is the number of runs that an engine works on.
-func (r *workerRig) working(i int) int {
+// openStreams is the number of runs that an engine works on.
+func (r *workerRig) openStreams(i int) int {
 	r.engines.mu.Lock()
 	defer r.engines.mu.Unlock()
-	return r.engines.engines[engineAddr(i)].open
+	return r.engines.engines[engineAddr(i)].openStreams
 }
 
 func (s *fakeStream) Next() (Event, error) {
 	s.f.mu.Lock()
-	gap := time.Duration(float64(eventGap) * max(1, s.e.slow))
-	silent := s.e.silent || s.e.hang[s.item]
+	gap := time.Duration(float64(eventGap) * max(1, s.e.slowdown))
+	silent := s.e.unresponsive || s.e.stalledItems[s.item]
 	s.f.mu.Unlock()
 	if silent {
 		<-s.ctx.Done()
@@ -144,16 +144,16 @@
 	}
 	s.f.mu.Lock()
 	defer s.f.mu.Unlock()
-	if s.cut == 0 || s.e.down {
+	if s.eventsUntilBreak == 0 || s.e.down {
 		return Event{}, ErrBroken
 	}
-	if s.born != s.e.born { // lost with the former incarnation, behind a cut: silent
+	if s.engineStartedAt != s.e.startedAt { // lost with the former incarnation, behind a cut: silent
 		s.f.mu.Unlock()
 		<-s.ctx.Done()
 		s.f.mu.Lock()
 		return Event{}, ErrBroken
 	}
-	s.cut--
+	s.eventsUntilBreak--
 	e := Event{ID: s.next, Data: fmt.Sprintf("%s event %d", s.item, s.next), Version: s.e.version}
 	s.next++
 	return e, nil
@@ -163,10 +163,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.engines[addr]
-	if e.down || e.silent {
+	if e.down || e.unresponsive {
 		return Report{}, errors.New("no report")
 	}
-	return Report{StartedAt: e.born, Sequence: e.sequence, Versions: map[string]uint64{"m": e.version}}, nil
+	return Report{StartedAt: e.startedAt, Sequence: e.sequence, Versions: map[string]uint64{"m": e.version}}, nil
 }
 
 func (f *fakeEngines) Order(_ context.Context, o Order) error {
@@ -174,8 +174,8 @@
 	defer f.mu.Unlock()
 	e := f.engines[o.Addr]
 	e.orders = append(e.orders, o)
-	if e.loseOrder {
-		e.loseOrder = false
+	if e.loseNextOrder {
+		e.loseNextOrder = false
 		return errors.New("no answer")
 	}
 	if o.Sequence != e.sequence {
@@ -192,19 +192,19 @@
 
 // fakePeers calls the workers of a rig directly.
 type fakePeers struct {
-	mu      sync.Mutex
-	workers map[string]*Worker // by host
-	cut     map[string]bool
-	calls   map[string]int    // by the caller's engine
-	pairs   map[[2]string]int // by the caller's engine and the called one's host
+	mu            sync.Mutex
+	workers       map[string]*Worker // by host
+	unreachable   map[string]bool
+	callsByEngine map[string]int    // by the caller's engine
+	callsByPair   map[[2]string]int // by the caller's engine and the called one's host
 }
 
 func (p *fakePeers) Call(_ context.Context, addr string, req *PeerRequest) (*PeerReply, error) {
 	host, _, _ := net.SplitHostPort(addr)
 	p.mu.Lock()
-	w, cut := p.workers[host], p.cut[host]
-	p.calls[req.From]++
-	p.pairs[[2]string{req.From, host}]++
+	w, cut := p.workers[host], p.unreachable[host]
+	p.callsByEngine[req.From]++
+	p.callsByPair[[2]string{req.From, host}]++
 	p.mu.Unlock()
 	if w == nil || cut {
 		return nil, errors.New("silent")
@@ -214,17 +214,17 @@
 
 // workerRig is a deployment of n agents with their engines.
 type workerRig struct {
-	t       *testing.T
-	store   *rowstore.Store
-	ways    map[string]*rowstore.Client // of each agent, by its engine's address
-	engines *fakeEngines
-	peers   *fakePeers
-	rewards *fakeRewards
-	view    *fleet.View
-	stops   map[string]context.CancelFunc
-	ledger  *Ledger
-	// scored gives each item a reward call.
-	scored bool
+	t            *testing.T
+	store        *rowstore.Store
+	storeClients map[string]*rowstore.Client // of each agent, by its engine's address
+	engines      *fakeEngines
+	peers        *fakePeers
+	rewards      *fakeRewards
+	view         *fleet.View
+	stops        map[string]context.CancelFunc
+	ledger       *Ledger
+	// withRewards gives each item a reward call.
+	withRewards bool
 }
 
 func engineAddr(i int) string { return fmt.Sprintf("10.0.0.%d:80", i+1) }
@@ -232,15 +232,15 @@
 func newWorkerRig(t *testing.T, n int) *workerRig {
 	s := rowstore.New()
 	rig := &workerRig{
-		t: t, store: s, ways: map[string]*rowstore.Client{}, view: fleet.NewView(), stops: map[string]context.CancelFunc{}, ledger: newLedger(s),
+		t: t, store: s, storeClients: map[string]*rowstore.Client{}, view: fleet.NewView(), stops: map[string]context.CancelFunc{}, ledger: newLedger(s),
 		engines: &fakeEngines{engines: map[string]*fakeEngine{}, lengths: map[string]int{}},
-		rewards: &fakeRewards{took: 200 * time.Millisecond, answers: map[string][]error{}, always: map[string]error{}},
-		peers:   &fakePeers{workers: map[string]*Worker{}, cut: map[string]bool{}, calls: map[string]int{}, pairs: map[[2]string]int{}},
+		rewards: &fakeRewards{latency: 200 * time.Millisecond, nextErrors: map[string][]error{}, laterErrors: map[string]error{}},
+		peers:   &fakePeers{workers: map[string]*Worker{}, unreachable: map[string]bool{}, callsByEngine: map[string]int{}, callsByPair: map[[2]string]int{}},
 	}
 	rig.view.SetConfig(&fleet.Config{Version: 1, Services: []fleet.Service{{Name: "svc", Models: []string{"m"}}}})
 	for i := range n {
-		rig.engines.engines[engineAddr(i)] = &fakeEngine{version: 1, fail: map[string][]error{}, cutAfter: map[string]int{}}
-		rig.list(i, false)
+		rig.engines.engines[engineAddr(i)] = &fakeEngine{version: 1, startErrors: map[string][]error{}, breakAfter: map[string]int{}}
+		rig.register(i, false)
 	}
 	for i := range n {
 		rig.start(i)
@@ -249,8 +249,8 @@
 	return rig
 }
 
-// list registers an engine.
-func (r *workerRig) list(i int, draining bool) {
+// register registers an engine.
+func (r *workerRig) register(i int, draining bool) {
 	r.view.UpdateInstances([]fleet.Instance{{
 		ID: fmt.Sprint("engine-", i), Service: "svc", Addr: engineAddr(i), Slots: 4, Draining: draining,
 	}}, nil)
@@ -260,9 +260,9 @@
 func (r *workerRig) start(i int) *Worker {
 	addr := engineAddr(i)
 	way := r.store.Client()
-	r.ways[addr] = way
-	reached := &detour.Store{Own: way, Others: &rigOthers{r, addr}}
-	keeper := r.keeper(reached)
+	r.storeClients[addr] = way
+	reached := &detour.Store{Own: way, Others: &rigPeers{r, addr}}
+	keeper := r.newKeeper(reached)
 	w := NewWorker(WorkerConfig{
 		Direct: way, Quarantine: keeper,
 		Node: fmt.Sprint("agent-", i), Incarnation: fmt.Sprint(time.Now().UnixNano()), Engine: addr, Service: "svc",
@@ -322,7 +322,7 @@
 	items := someItems(n)
 	for i := range items {
 		items[i].Group = ""
-		if r.scored {
+		if r.withRewards {
 			items[i].Reward = &RewardCall{ID: rewardOf(items[i].ID), Host: "h", Path: "/score/" + items[i].ID}
 		}
 	}
@@ -344,8 +344,8 @@
 	}
 }
 
-// whole checks that each text has every event once, in order.
-func (r *workerRig) whole(l *Listing) {
+// requireComplete checks that each text has every event once, in order.
+func (r *workerRig) requireComplete(l *Listing) {
 	r.t.Helper()
 	for _, x := range l.Results {
 		length := 10
--- a/batch/rigpeers_test.go
+++ b/batch/rigpeers_test.go
@@ -8,13 +8,13 @@
 	"mulberryscale.example/store/detour"
 )
 
-// rigOthers are the other agents of a rig, as ways to the store.
-type rigOthers struct {
+// rigPeers are the other agents of a rig, as ways to the store.
+type rigPeers struct {
 	rig  *workerRig
 	self string
 }
 
-func (o *rigOthers) Draw() []store.Store {
+func (o *rigPeers) Draw() []store.Store {
 	var drawn []store.Store
 	for _, addr := range o.rig.addrs() {
 		if addr == o.self {
--- a/batch/run.go
+++ b/batch/run.go
@@ -56,7 +56,7 @@
 		stall.Reset(stallTimeout)
 		w.mu.Lock()
 		t.add(event)
-		w.engine.observe(t.j.job.Model, event.Version, now.Sub(last), event.ID > run.LastEventID+1)
+		w.engine.recordEvent(t.j.job.Model, event.Version, now.Sub(last), event.ID > run.LastEventID+1)
 		fits := t.fits()
 		w.mu.Unlock()
 		last = now
@@ -129,7 +129,7 @@
 	default: // broken or stalled
 		t.breaks++
 		if errors.Is(err, errStalled) {
-			w.engine.stalled()
+			w.engine.recordStall()
 		}
 		t.notBefore = t.notBefore.Add(busyPause << min(t.breaks, 4))
 	}
@@ -139,7 +139,7 @@
 	}
 	at, _ := slices.BinarySearchFunc(w.waiting, t, compareTasks)
 	w.waiting = slices.Insert(w.waiting, at, t)
-	if w.isHeld(t) {
+	if w.isQuarantined(t) {
 		w.Quarantine.Refused()
 		w.Log.WithFields(t.fields()).WithField(observe.FieldContent, t.subject).Warn("item held: engines have ended under it")
 	}
--- a/batch/schedule.go
+++ b/batch/schedule.go
@@ -42,7 +42,7 @@
 			i++
 			continue
 		}
-		if !w.engine.serves(t.j.job) || w.isHeld(t) || w.awaitsTurn(t) {
+		if !w.engine.canServe(t.j.job) || w.isQuarantined(t) || w.awaitsOtherSuspect(t) {
 			i++
 			continue
 		}
@@ -60,7 +60,7 @@
 		t.restart()
 	}
 	w.running[t] = struct{}{}
-	t.sentTo = fleet.Incarnation{ID: instance.ID, Born: w.engine.born}
+	t.sentTo = fleet.Incarnation{ID: instance.ID, Born: w.engine.startedAt}
 	run := Run{
 		Addr: instance.Addr, Instance: instance.ID, Host: t.j.job.Host, Organisation: t.j.job.Organisation, Item: t.item, LastEventID: len(t.text),
 		Deadline: w.timeLeft(t.j.job),
@@ -72,7 +72,7 @@
 		began := time.Now()
 		err := w.stream(ctx, t, run)
 		took := time.Since(began)
-		w.noteEnd(ctx, t, instance, err, took)
+		w.recordOutcome(ctx, t, instance, err, took)
 		w.settle(ctx, t, err, took)
 	}()
 }
--- a/batch/scope_test.go
+++ b/batch/scope_test.go
@@ -31,7 +31,7 @@
 		r.submit("job", 6, func(j *Job) { j.Organisation = "guthi" })
 		time.Sleep(150 * time.Millisecond)
 		r.kill(1)
-		r.whole(r.await("job", 6, 20*time.Second))
+		r.requireComplete(r.await("job", 6, 20*time.Second))
 		for _, run := range r.runs() {
 			if run.organisation != "guthi" {
 				t.Errorf("item %s ran under %q at %s", run.item, run.organisation, run.engine)
--- a/batch/task.go
+++ b/batch/task.go
@@ -65,7 +65,7 @@
 	return cmp.Or(
 		cmp.Compare(a.j.job.turn(), b.j.job.turn()),
 		cmp.Compare(len(b.text), len(a.text)),
-		cmp.Compare(b.item.expected(), a.item.expected()),
+		cmp.Compare(b.item.expectedWork(), a.item.expectedWork()),
 		cmp.Compare(a.item.ID, b.item.ID),
 	)
 }
--- a/batch/worker.go
+++ b/batch/worker.go
@@ -54,7 +54,7 @@
 	ctx     context.Context
 	started chan struct{}
 
-	dealer dealer
+	dealer assignmentCache
 
 	mu       sync.Mutex
 	jobs     map[string]*workJob
@@ -102,7 +102,7 @@
 	wg.Go(func() { store.Follow(ctx, w.Ledger.Store, store.Source{Table: TableJobs, Pace: w.JobsPace}, w) })
 	wg.Go(func() { w.schedule(ctx) })
 	wg.Go(func() { w.watchEngine(ctx) })
-	wg.Go(func() { w.help(ctx) })
+	wg.Go(func() { w.rebalance(ctx) })
 	wg.Go(func() { w.save(ctx) })
 	wg.Go(func() { w.expire(ctx) })
 	wg.Wait()
--- a/batch/worker_test.go
+++ b/batch/worker_test.go
@@ -18,7 +18,7 @@
 		rig := newWorkerRig(t, 3)
 		rig.submit("j", 20, nil)
 		l := rig.await("j", 20, 3*time.Second)
-		rig.whole(l)
+		rig.requireComplete(l)
 		for _, x := range l.Results {
 			if len(x.Versions) != 1 || x.Versions[0] != 1 {
 				t.Fatalf("versions %v", x.Versions)
@@ -33,9 +33,9 @@
 func TestBrokenRunGoesOnAfterItsLastEvent(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
-		rig.engine(0, func(e *fakeEngine) { e.cutAfter["item-000"] = 4 })
+		rig.engine(0, func(e *fakeEngine) { e.breakAfter["item-000"] = 4 })
 		rig.submit("j", 1, nil)
-		rig.whole(rig.await("j", 1, 3*time.Second))
+		rig.requireComplete(rig.await("j", 1, 3*time.Second))
 		runs := rig.runsOf("item-000")
 		if len(runs) != 2 || runs[1].after != 4 {
 			t.Fatalf("runs %v", runs)
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
 				rig := newWorkerRig(t, 1)
-				rig.engine(0, func(e *fakeEngine) { e.fail["item-000"] = c.errs })
+				rig.engine(0, func(e *fakeEngine) { e.startErrors["item-000"] = c.errs })
 				rig.submit("j", 1, nil)
 				l := rig.await("j", 1, 3*time.Second)
 				if l.Results[0].State != c.state || len(rig.runsOf("item-000")) != c.runs {
@@ -82,7 +82,7 @@
 				rig.kill(i)
 			}
 		}
-		rig.whole(rig.await("j", 6, 8*time.Second))
+		rig.requireComplete(rig.await("j", 6, 8*time.Second))
 		runs := rig.runsOf("item-005")
 		last := runs[len(runs)-1]
 		if last.engine == owner || last.after < 20 {
@@ -100,7 +100,7 @@
 		time.Sleep(time.Second)
 		rig.start(0)
 		rig.start(1)
-		rig.whole(rig.await("j", 2, 6*time.Second))
+		rig.requireComplete(rig.await("j", 2, 6*time.Second))
 		runs := rig.runsOf("item-001")
 		if last := runs[len(runs)-1]; last.after < 20 {
 			t.Fatalf("runs %v", runs)
@@ -112,13 +112,13 @@
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 3)
 		rig.peers.mu.Lock()
-		rig.peers.cut["10.0.0.1"] = true
+		rig.peers.unreachable["10.0.0.1"] = true
 		rig.peers.mu.Unlock()
 		for i := range 12 {
 			rig.engines.lengths[fmt.Sprintf("item-%03d", i)] = 60
 		}
 		rig.submit("j", 12, nil)
-		rig.whole(rig.await("j", 12, 10*time.Second))
+		rig.requireComplete(rig.await("j", 12, 10*time.Second))
 	})
 }
 
@@ -126,21 +126,21 @@
 func TestItemsLeaveASlowEngine(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 2)
-		rig.engine(0, func(e *fakeEngine) { e.slow = 5 })
+		rig.engine(0, func(e *fakeEngine) { e.slowdown = 5 })
 		for i := range 4 {
 			rig.engines.lengths[fmt.Sprintf("item-%03d", i)] = 60 // 2.4 s, 12 s if slow
 		}
 		rig.submit("j", 4, nil)
-		rig.whole(rig.await("j", 4, 6*time.Second))
+		rig.requireComplete(rig.await("j", 4, 6*time.Second))
 	})
 }
 
 func TestItemsLeaveAnEngineThatDrains(t *testing.T) {
 	for name, fault := range map[string]func(r *workerRig){
-		"draining": func(r *workerRig) { r.list(0, true) },
+		"draining": func(r *workerRig) { r.register(0, true) },
 		"gone":     func(r *workerRig) { r.view.UpdateInstances(nil, []string{"engine-0"}) },
 		"down":     func(r *workerRig) { r.engine(0, func(e *fakeEngine) { e.down = true }) },
-		"silent":   func(r *workerRig) { r.engine(0, func(e *fakeEngine) { e.silent = true }) },
+		"silent":   func(r *workerRig) { r.engine(0, func(e *fakeEngine) { e.unresponsive = true }) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
@@ -153,10 +153,10 @@
 				fault(rig)
 				at := time.Now()
 				time.Sleep(2 * time.Second)
-				if n := rig.working(0); n != 0 {
+				if n := rig.openStreams(0); n != 0 {
 					t.Errorf("%d runs still there two seconds later", n)
 				}
-				rig.whole(rig.await("j", 9, 9*time.Second))
+				rig.requireComplete(rig.await("j", 9, 9*time.Second))
 				for _, run := range rig.runs() {
 					if run.engine == engineAddr(0) && run.at.Sub(at) > 2*time.Second {
 						t.Errorf("a run began there %v later", run.at.Sub(at))
@@ -177,7 +177,7 @@
 		time.Sleep(time.Second)
 		must(t, rig.ledger.End(t.Context(), "j"))
 		time.Sleep(100 * time.Millisecond)
-		if n := rig.working(0) + rig.working(1); n != 0 {
+		if n := rig.openStreams(0) + rig.openStreams(1); n != 0 {
 			t.Errorf("engines still work on %d items", n)
 		}
 		before := len(rig.runs())
@@ -196,7 +196,7 @@
 		must(t, rig.ledger.End(t.Context(), "first"))
 		time.Sleep(time.Second)
 		rig.submit("second", 1, nil)
-		rig.whole(rig.await("second", 1, 4*time.Second))
+		rig.requireComplete(rig.await("second", 1, 4*time.Second))
 		if last := rig.runsOf("item-000")[1]; last.after < 40 {
 			t.Fatalf("went on after %d", last.after)
 		}
@@ -209,9 +209,9 @@
 		rig := newWorkerRig(t, 2)
 		rig.submit("j", 4, func(j *Job) { j.Owners, j.Ready = []string{engineAddr(0), engineAddr(1)}, 2 })
 		time.Sleep(10 * time.Millisecond)
-		rig.engine(0, func(e *fakeEngine) { e.hang = map[string]bool{"item-100": true} })
+		rig.engine(0, func(e *fakeEngine) { e.stalledItems = map[string]bool{"item-100": true} })
 		rig.submit("k", 101, func(j *Job) { j.Owners, j.Ready = []string{engineAddr(0)}, 1 })
-		rig.whole(rig.await("k", 101, 20*time.Second))
+		rig.requireComplete(rig.await("k", 101, 20*time.Second))
 		var there bool
 		for _, run := range rig.runsOf("item-100") {
 			there = there || run.engine == engineAddr(1)
@@ -228,7 +228,7 @@
 		rig := newWorkerRig(t, 2)
 		for i := range 3 {
 			broken := slices.Repeat([]error{fmt.Errorf("%w: spoiled", ErrBroken)}, 6)
-			rig.engine(0, func(e *fakeEngine) { e.fail[fmt.Sprintf("item-%03d", i)] = broken })
+			rig.engine(0, func(e *fakeEngine) { e.startErrors[fmt.Sprintf("item-%03d", i)] = broken })
 		}
 		rig.engines.lengths["item-003"] = 50
 		rig.peers.mu.Lock()
@@ -246,7 +246,7 @@
 			}
 		}()
 		rig.submit("j", 4, func(j *Job) { j.Owners, j.Ready = []string{engineAddr(0)}, 1 })
-		rig.whole(rig.await("j", 4, 5*time.Second))
+		rig.requireComplete(rig.await("j", 4, 5*time.Second))
 		if runs := rig.runsOf("item-003"); len(runs) != 1 {
 			t.Errorf("runs %v", runs)
 		}
@@ -263,7 +263,7 @@
 		time.Sleep(time.Second)
 		rig.submit("second", 1, func(j *Job) { j.MinVersion = 2 })
 		l := rig.await("second", 1, 8*time.Second)
-		rig.whole(l)
+		rig.requireComplete(l)
 		if v := l.Results[0].Versions; len(v) != 1 || v[0] != 2 {
 			t.Fatalf("versions %v", v)
 		}
@@ -297,7 +297,7 @@
 func TestOrderWithoutAnswerIsGivenAgain(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
-		rig.engine(0, func(e *fakeEngine) { e.loseOrder = true })
+		rig.engine(0, func(e *fakeEngine) { e.loseNextOrder = true })
 		rig.view.SetNamed("m", 2)
 		time.Sleep(12 * time.Second)
 		rig.engine(0, func(e *fakeEngine) {
@@ -315,7 +315,7 @@
 		time.Sleep(100 * time.Millisecond)
 		rig.store.Next(rowstore.Lost, rowstore.Refused, rowstore.Dropped, rowstore.Late, rowstore.Refused)
 		l := rig.await("j", 10, 10*time.Second)
-		rig.whole(l)
+		rig.requireComplete(l)
 		seen := map[string]bool{}
 		for _, x := range l.Results {
 			if seen[x.ID] {
@@ -336,8 +336,8 @@
 		}
 		rig.submit("j", 9, nil)
 		time.Sleep(time.Second)
-		rig.ways[engineAddr(1)].Cut(fmt.Errorf("%w: silent", store.ErrUnknown))
-		rig.whole(rig.await("j", 9, 2500*time.Millisecond))
+		rig.storeClients[engineAddr(1)].Cut(fmt.Errorf("%w: silent", store.ErrUnknown))
+		rig.requireComplete(rig.await("j", 9, 2500*time.Millisecond))
 	})
 }
 
@@ -355,11 +355,11 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 6*time.Second)
 		defer cancel()
 		w.Drain(ctx, time.Second)
-		if n := w.heldNow(); n != 0 {
+		if n := w.itemsLeft(); n != 0 {
 			t.Fatalf("%d items held after the drain", n)
 		}
 		rig.kill(0)
-		rig.whole(rig.await("j", 12, 14*time.Second))
+		rig.requireComplete(rig.await("j", 12, 14*time.Second))
 	})
 }
 
