--- a/limits/bench_test.go
+++ b/limits/bench_test.go
@@ -10,7 +10,7 @@
 	"mulberryscale.example/wire"
 )
 
-// BenchmarkAdmit is the time to admit and end one request, by rows.
+// BenchmarkAdmit measures admitting and completing one request, by the number of rows.
 func BenchmarkAdmit(b *testing.B) {
 	for _, n := range []int{1, 10, 100, 1000} {
 		b.Run(fmt.Sprintf("rows=%d", n), func(b *testing.B) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// BenchmarkExchange is one exchange of demand, both sides, with encoding, and
-// its bytes both ways, by rows that have limits and demand.
+// BenchmarkExchange measures one exchange of demand, both sides with encoding, and
+// its bytes both ways, by the number of rows that have limits and demand.
 func BenchmarkExchange(b *testing.B) {
 	for _, n := range []int{1, 4, 16, 32, 128} {
 		b.Run(fmt.Sprintf("rows=%d", n), func(b *testing.B) {
@@ -45,8 +45,8 @@
 				demand[fmt.Sprintf("trainer-row-%03d", i)] = 123.456 + float64(i)
 			}
 			x, y := NewAverager(now), NewAverager(now)
-			x.begin(now, 1, demand)
-			y.begin(now, 1, demand)
+			x.beginEpoch(now, 1, demand)
+			y.beginEpoch(now, 1, demand)
 			header := wire.Header{From: "entry-00123", Incarnation: "8b4c7f5e-3f1a-4f0e-9b1d-2f6d1a9c0e77", TableVersion: 5300, Addr: "10.1.2.3:7443"}
 			total := 0
 			for b.Loop() {
--- a/limits/fleet_sizes_test.go
+++ b/limits/fleet_sizes_test.go
@@ -10,11 +10,11 @@
 	"mulberryscale.example/table"
 )
 
-// settleRounds are two epochs and some more.
+// settleRounds returns enough rounds for two epochs to complete, with some to spare.
 func settleRounds(entries int) int { return 3*Rounds(entries, 1) + 6 }
 
-// TestRateOverAllEntries: with demand at one entry, shifting to another, the
-// entries together admit no more than the limit and most of it.
+// TestRateOverAllEntries: with all demand at one entry, and after it shifts to another,
+// the entries together admit most of the limit and no more than it.
 func TestRateOverAllEntries(t *testing.T) {
 	const limit = 200.0
 	row := &table.Row{Name: testRow, MaxRPS: limit}
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestCutAndDeath: a cut between entries and the death of one of them do not
-// lift the limit; after the heal all of it is used again.
-func TestCutAndDeath(t *testing.T) {
+// TestPartitionAndCrash: neither a network partition between entries nor the crash of one
+// raises what is admitted above the limit; after each, the whole limit is used again.
+func TestPartitionAndCrash(t *testing.T) {
 	const limit = 400.0
 	row := &table.Row{Name: testRow, MaxRPS: limit}
 	f := newFleet(16, 11)
@@ -55,33 +55,33 @@
 	const rounds = 40
 	ratio := func() float64 { return float64(f.run(rounds, row)) / (rounds * testInterval).Seconds() / limit }
 	for i, n := range f.nodes {
-		n.island = i % 4 / 3
+		n.partition = i % 4 / 3
 	}
-	cut := ratio()
-	cutLate := ratio()
+	partitioned := ratio()
+	partitionedLater := ratio()
 	for _, n := range f.nodes {
-		n.island = 0
+		n.partition = 0
 	}
 	f.run(settleRounds(16), row)
 	healed := ratio()
-	f.nodes[3].dead = true
-	dead := ratio()
+	f.nodes[3].crashed = true
+	crashed := ratio()
 	f.listed--
 	f.run(settleRounds(16), row)
 	delisted := ratio()
-	t.Logf("admitted/limit: cut %.3f then %.3f, healed %.3f, one dead %.3f, and delisted %.3f", cut, cutLate, healed, dead, delisted)
-	for name, r := range map[string]float64{"cut": cut, "cut, later": cutLate, "healed": healed, "dead": dead, "delisted": delisted} {
+	t.Logf("admitted/limit: partitioned %.3f then %.3f, healed %.3f, one crashed %.3f, and delisted %.3f", partitioned, partitionedLater, healed, crashed, delisted)
+	for name, r := range map[string]float64{"partitioned": partitioned, "partitioned, later": partitionedLater, "healed": healed, "crashed": crashed, "delisted": delisted} {
 		if r > 1.1 {
 			t.Errorf("%s: admitted %.3f of the limit", name, r)
 		}
 	}
 	if healed < 0.9 || delisted < 0.9 {
-		t.Errorf("admitted %.3f after the heal and %.3f after the death, want 0.9", healed, delisted)
+		t.Errorf("admitted %.3f after the partition healed and %.3f after the crash, want 0.9", healed, delisted)
 	}
 }
 
-// TestSharesAtDesignSize: the worst skew, all demand at one of 820 entries,
-// still gives that entry nearly all of the limit after two epochs.
+// TestSharesAtDesignSize: with the worst skew, all demand at one of 820 entries, that
+// entry still gets nearly all of the limit after two epochs.
 func TestSharesAtDesignSize(t *testing.T) {
 	const n = 820
 	f := newFleet(n, 3)
@@ -121,15 +121,15 @@
 	})
 }
 
-// TestAveragingKeepsTheSum checks that an exchange moves demand and makes none,
-// whatever rows the two sides know.
+// TestAveragingKeepsTheSum checks that an exchange preserves the sum of demand over both
+// sides, whatever rows the two sides know.
 func TestAveragingKeepsTheSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		draw := rapid.MapOfN(rapid.StringMatching(`r[0-9]{1,2}`), rapid.Float64Range(0.1, 1e4), 0, 60)
 		a, b := NewAverager(now), NewAverager(now)
-		a.begin(now, 1, draw.Draw(t, "a"))
-		b.begin(now, 1, draw.Draw(t, "b"))
+		a.beginEpoch(now, 1, draw.Draw(t, "a"))
+		b.beginEpoch(now, 1, draw.Draw(t, "b"))
 		before := sumOf(a) + sumOf(b)
 		for range 5 {
 			offer := a.Offer()
@@ -155,8 +155,8 @@
 	return sum
 }
 
-// TestConcurrencyShares: all entries' parts together stay near the limit, also
-// where there are more entries than slots.
+// TestConcurrencyShares: the parts of all entries sum to about the limit, also when there
+// are more entries than slots.
 func TestConcurrencyShares(t *testing.T) {
 	for _, n := range []int{1, 4, 16, 64, 820} {
 		for _, limit := range []int{1, 10, 100, 1000} {
@@ -164,12 +164,12 @@
 			f := newFleet(n, 5)
 			even := 1 / float64(n)
 			for _, node := range f.nodes {
-				sum += ConcurrencyShare(limit, even, even, node.set.draw.Float64())
+				sum += ConcurrencyShare(limit, even, even, node.set.rng.Float64())
 			}
 			t.Logf("entries=%d limit=%d: together %d", n, limit, sum)
 			bound := limit + n - 1
 			if limit < n {
-				bound = limit + 10 + limit // four deviations and more
+				bound = limit + 10 + limit // more than four standard deviations above the mean
 			}
 			if sum > bound {
 				t.Errorf("entries=%d limit=%d: parts sum to %d, want at most %d", n, limit, sum, bound)
--- a/limits/fleet_test.go
+++ b/limits/fleet_test.go
@@ -12,22 +12,22 @@
 	testRow      = "guide"
 )
 
-// node is an entry reduced to its limits.
+// node is an entry with nothing but its limits.
 type node struct {
-	set     *Set
-	average *Averager
-	demand  float64 // requests offered a second
-	dead    bool
-	island  int // nodes of different islands do not reach each other
-	offered float64
+	set       *Set
+	average   *Averager
+	demand    float64 // requests a second
+	crashed   bool
+	partition int // nodes of different partitions cannot reach each other
+	offered   float64
 }
 
-// fleet is a number of entries that exchange their demand.
+// fleet is a set of entries that exchange their demand.
 type fleet struct {
 	nodes []*node
 	rng   *rand.Rand
 	now   time.Time
-	// listed is how many entries each believes in.
+	// listed is the number of entries that each node assumes.
 	listed int
 }
 
@@ -39,11 +39,11 @@
 	return f
 }
 
-// exchanges makes one round: each living node begins one exchange.
-func (f *fleet) exchanges() {
+// exchangeRound makes one round: each node that has not crashed initiates one exchange.
+func (f *fleet) exchangeRound() {
 	for _, i := range f.rng.Perm(len(f.nodes)) {
 		a := f.nodes[i]
-		if a.dead {
+		if a.crashed {
 			continue
 		}
 		demand := a.set.MeasureDemand(testInterval)
@@ -51,7 +51,7 @@
 		share, fallback := Shares(a.average.Mean(), f.listed)
 		a.set.SetShares(share, fallback)
 		b := f.nodes[f.rng.IntN(len(f.nodes))]
-		if a == b || b.dead || a.island != b.island {
+		if a == b || b.crashed || a.partition != b.partition {
 			continue
 		}
 		offer := a.average.Offer()
@@ -60,9 +60,9 @@
 	}
 }
 
-// run offers the nodes' demand for some rounds and returns how many requests were admitted.
+// run makes the requests of all nodes for some rounds and returns how many were admitted.
 func (f *fleet) run(rounds int, row *table.Row) (admitted int) {
-	const steps = 10 // of a round
+	const steps = 10 // per round
 	for range rounds {
 		for range steps {
 			f.now = f.now.Add(testInterval / steps)
@@ -70,14 +70,14 @@
 				admitted += n.offer(row, testInterval/steps, f.now)
 			}
 		}
-		f.exchanges()
+		f.exchangeRound()
 	}
 	return admitted
 }
 
-// offer makes the requests of an interval, each of which ends at once.
+// offer makes the requests of an interval, each of which completes at once.
 func (n *node) offer(row *table.Row, interval time.Duration, now time.Time) (admitted int) {
-	if n.dead {
+	if n.crashed {
 		return 0
 	}
 	n.offered += n.demand * interval.Seconds()
@@ -90,10 +90,10 @@
 	return admitted
 }
 
-// shareSum is the sum of the living nodes' shares of the row.
+// shareSum returns the sum of the shares of the row over the nodes that have not crashed.
 func (f *fleet) shareSum() (sum float64) {
 	for _, n := range f.nodes {
-		if !n.dead {
+		if !n.crashed {
 			sum += n.share()
 		}
 	}
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -1,6 +1,6 @@
-// Package limits admits requests by their row's limits, which hold over all
-// entry instances together, without a central counter: each entry enforces its
-// share of a limit, and shares follow the demand that entries tell each other.
+// Package limits admits requests by the limits of their row. A limit applies to all
+// entry instances together, without a central counter: each entry enforces its share
+// of the limit, and shares follow the demand, which the entries exchange by gossip.
 package limits
 
 import (
@@ -15,10 +15,10 @@
 	"mulberryscale.example/table"
 )
 
-// burstTime is how much of a rate may be used at once.
+// burstTime times a rate is its burst, the amount that may be used at once.
 const burstTime = time.Second
 
-// Exceeded says which limit refused a request and when to come back.
+// Exceeded says which limit refused a request, and after how long to retry.
 type Exceeded struct {
 	Code       api.Code
 	RetryAfter time.Duration
@@ -29,17 +29,17 @@
 	mu    sync.Mutex
 	rows  map[string]*rowLimiter
 	share map[string]float64
-	// fallback is the share of rows that have none of their own.
+	// fallback is the share of rows that are not in share.
 	fallback float64
-	draw     *rand.Rand
+	rng      *rand.Rand
 }
 
-// NewSet returns limiters that enforce whole limits until shares are set.
+// NewSet returns limiters that enforce the whole limits until SetShares is called.
 func NewSet() *Set { return NewSeededSet(rand.Uint64()) }
 
-// NewSeededSet is NewSet with repeatable draws; see ConcurrencyShare.
+// NewSeededSet is NewSet with a seed for the random rounding; see ConcurrencyShare.
 func NewSeededSet(seed uint64) *Set {
-	return &Set{rows: map[string]*rowLimiter{}, fallback: 1, draw: rand.New(rand.NewPCG(seed, 0))}
+	return &Set{rows: map[string]*rowLimiter{}, fallback: 1, rng: rand.New(rand.NewPCG(seed, 0))}
 }
 
 // rowLimiter is one row's state at this entry.
@@ -50,14 +50,15 @@
 	limited  bool // the row has a limit
 	// seen counts requests, admitted or not, since the last Demand.
 	seen int
-	// demand is the smoothed rate of seen, a second.
+	// demand is the smoothed rate of requests a second, admitted or not.
 	demand float64
-	// drawn rounds this entry's part of a concurrency limit; renewed at times.
-	drawn   float64
-	drawnAt time.Time
+	// rounding is a random number in [0, 1) that decides how this entry's part of a
+	// concurrency limit is rounded; it is renewed every roundingInterval.
+	rounding   float64
+	roundingAt time.Time
 }
 
-// Ticket is an admitted request. Done must be called once.
+// Ticket is an admitted request. Done must be called exactly once.
 type Ticket struct {
 	set *Set
 	row string
@@ -72,15 +73,15 @@
 	s.fallback = fallback
 }
 
-// Admit counts a request in, or says which limit it exceeds.
+// Admit admits a request and counts it as running, or returns the limit that it exceeds.
 func (s *Set) Admit(row *table.Row, now time.Time) (*Ticket, *Exceeded) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	share := s.shareOf(row.Name)
 	l := s.limiter(row, share, now)
 	l.seen++
-	s.renewDraw(l, now)
-	if row.MaxConcurrency > 0 && l.running >= ConcurrencyShare(row.MaxConcurrency, share, s.fallback, l.drawn) {
+	s.renewRounding(l, now)
+	if row.MaxConcurrency > 0 && l.running >= ConcurrencyShare(row.MaxConcurrency, share, s.fallback, l.rounding) {
 		return nil, &Exceeded{Code: api.CodeConcurrency, RetryAfter: burstTime}
 	}
 	if l.tokens.Limit() != rate.Inf && l.tokens.TokensAt(now) < 1 {
@@ -93,7 +94,7 @@
 	return &Ticket{set: s, row: row.Name}, nil
 }
 
-// Done counts the request out and charges its generated tokens.
+// Done marks the request as completed and charges its generated tokens.
 func (t *Ticket) Done(tokens int, now time.Time) {
 	t.set.mu.Lock()
 	defer t.set.mu.Unlock()
@@ -102,7 +103,7 @@
 	charge(l.tokens, tokens, now)
 }
 
-// charge takes tokens that were already generated, going into debt.
+// charge takes tokens that were already generated; the limiter may go into debt.
 func charge(l *rate.Limiter, tokens int, now time.Time) {
 	if l.Limit() == rate.Inf {
 		return
@@ -115,7 +116,7 @@
 	}
 }
 
-// waitFor is the time until a limiter has one token again.
+// waitFor returns the time until a limiter has one token again.
 func waitFor(l *rate.Limiter, now time.Time) time.Duration {
 	missing := 1 - l.TokensAt(now)
 	if missing <= 0 || l.Limit() <= 0 {
@@ -124,10 +125,11 @@
 	return time.Duration(missing / float64(l.Limit()) * float64(time.Second))
 }
 
-// smoothing is the weight of the newest interval in the demand.
+// smoothing is the weight of the newest interval in the smoothed demand.
 const smoothing = 0.3
 
-// MeasureDemand counts the time since the last call in and returns Demand.
+// MeasureDemand adds the requests since the last call, elapsed ago, to the smoothed demand,
+// and returns Demand.
 func (s *Set) MeasureDemand(elapsed time.Duration) map[string]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,7 +141,8 @@
 	return s.demand()
 }
 
-// Demand is the smoothed demand of each row that has limits, admitted or not, a second.
+// Demand returns the smoothed demand of each row that has limits, in requests a second,
+// admitted or not.
 func (s *Set) Demand() map[string]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +166,7 @@
 	return s.fallback
 }
 
-// limiter returns the row's limiter, set to the row's limits as they are now.
+// limiter returns the row's limiter, updated to the row's current limits.
 func (s *Set) limiter(row *table.Row, share float64, now time.Time) *rowLimiter {
 	l, ok := s.rows[row.Name]
 	if !ok {
@@ -193,7 +196,7 @@
 	l.SetBurstAt(now, burst)
 }
 
-// limitOf is an entry's part of a limit; 0 a second means no limit.
+// limitOf returns this entry's part of a limit and its burst; 0 a second means no limit.
 func limitOf(perSecond, share float64) (rate.Limit, int) {
 	if perSecond <= 0 {
 		return rate.Inf, 0
@@ -203,29 +206,29 @@
 	return rate.Limit(part), max(1, burst)
 }
 
-// drawInterval is how long a draw holds.
-const drawInterval = 10 * time.Second
+// roundingInterval is how long a random rounding is kept.
+const roundingInterval = 10 * time.Second
 
-func (s *Set) renewDraw(l *rowLimiter, now time.Time) {
-	if l.drawnAt.IsZero() || now.Sub(l.drawnAt) >= drawInterval {
-		l.drawn = s.draw.Float64()
-		l.drawnAt = now
+func (s *Set) renewRounding(l *rowLimiter, now time.Time) {
+	if l.roundingAt.IsZero() || now.Sub(l.roundingAt) >= roundingInterval {
+		l.rounding = s.rng.Float64()
+		l.roundingAt = now
 	}
 }
 
-// ConcurrencyShare is an entry's part of a concurrency limit; even is 1 over
-// the number of entries and drawn is random in [0, 1). Where every entry can
-// have a slot it gets at least one, so that a row is shut out nowhere; n entries
-// can then run n-1 requests above the limit. Where there are more entries than
-// slots, the part is rounded up at random in proportion, so that all parts
-// together are the limit in the mean.
-func ConcurrencyShare(limit int, share, even, drawn float64) int {
+// ConcurrencyShare returns an entry's part of a concurrency limit; even is 1 over the
+// number of entries and rounding is random in [0, 1). If there are at least as many slots
+// as entries, each entry gets at least one, so that no entry refuses a row entirely; n
+// entries can then run n-1 requests above the limit. If there are fewer slots, the part
+// is rounded up with a probability equal to its fraction, so that the parts of all
+// entries sum to the limit on average.
+func ConcurrencyShare(limit int, share, even, rounding float64) int {
 	part := float64(limit) * share
 	if float64(limit)*even >= 1 {
 		return max(1, int(part))
 	}
 	whole := math.Floor(part)
-	if drawn < part-whole {
+	if rounding < part-whole {
 		whole++
 	}
 	return int(whole)
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -10,8 +10,8 @@
 
 var testStart = time.Unix(1000, 0)
 
-// TestOverloadIsShedByRow floods one row: it is refused with a time to come
-// back, and another row is admitted as before.
+// TestOverloadIsShedByRow overloads one row: its requests are refused with a RetryAfter,
+// and those of another row are admitted as before.
 func TestOverloadIsShedByRow(t *testing.T) {
 	set := NewSeededSet(1)
 	flooded := &table.Row{Name: "flooded", MaxRPS: 10}
@@ -30,7 +30,7 @@
 		}
 		ticket, exceeded := set.Admit(calm, now)
 		if exceeded != nil {
-			t.Fatalf("the calm row is refused: %+v", exceeded)
+			t.Fatalf("the calm row was refused: %+v", exceeded)
 		}
 		ticket.Done(0, now)
 	}
@@ -39,24 +39,24 @@
 	}
 }
 
-// TestConcurrency refuses what would run above the limit until one is done.
+// TestConcurrency: requests above the concurrency limit are refused until one completes.
 func TestConcurrency(t *testing.T) {
 	set := NewSeededSet(1)
 	row := &table.Row{Name: "r", MaxConcurrency: 2}
 	first, _ := set.Admit(row, testStart)
 	if _, exceeded := set.Admit(row, testStart); exceeded != nil {
-		t.Fatal("the second is refused")
+		t.Fatal("the second request was refused")
 	}
 	if _, exceeded := set.Admit(row, testStart); exceeded == nil || exceeded.Code != api.CodeConcurrency {
-		t.Fatalf("the third: %+v", exceeded)
+		t.Fatalf("third request: got %+v, want a concurrency refusal", exceeded)
 	}
 	first.Done(0, testStart)
 	if _, exceeded := set.Admit(row, testStart); exceeded != nil {
-		t.Fatal("refused though one is done")
+		t.Fatal("refused although one request has completed")
 	}
 }
 
-// TestTokenDebt: tokens above the rate are a debt that time pays off.
+// TestTokenDebt: tokens above the rate block requests until the rate has made up for them.
 func TestTokenDebt(t *testing.T) {
 	set := NewSeededSet(1)
 	row := &table.Row{Name: "r", MaxTPS: 100}
@@ -70,7 +70,7 @@
 	}
 }
 
-// TestDemand is the smoothed rate of requests, admitted or not, of rows with limits.
+// TestDemand: demand is the smoothed rate of requests, admitted or not, of rows with limits.
 func TestDemand(t *testing.T) {
 	set := NewSeededSet(1)
 	limited, free := &table.Row{Name: "limited", MaxRPS: 1}, &table.Row{Name: "free"}
--- a/limits/shares.go
+++ b/limits/shares.go
@@ -1,12 +1,12 @@
 package limits
 
-// evenPart of each limit is shared out evenly whatever the demand, so that an
-// entry at which demand begins can admit at once.
+// evenPart is the part of each limit that is divided evenly among the entries whatever
+// the demand, so that an entry where demand starts can admit requests at once.
 const evenPart = 0.1
 
-// Shares returns this entry's share of each row's limits, given what is known
-// of all entries' demand, and the share of rows of which nothing is known. Over
-// all entries the shares of a row sum to 1, as far as the means are accurate.
+// Shares returns this entry's share of each row's limits for the known mean demand, and
+// the share of rows whose demand is not known. The shares of a row over all entries sum
+// to 1, as far as the means are accurate.
 func Shares(m Mean, entries int) (share map[string]float64, fallback float64) {
 	even := 1 / float64(max(entries, 1))
 	if m.Mean == nil {
@@ -19,7 +19,7 @@
 	return share, even
 }
 
-// shareOf is an entry's share of one row's limits; even is 1 over the entries.
+// shareOf returns an entry's share of one row's limits; even is 1 over the number of entries.
 func shareOf(own, mean, even float64) float64 {
 	if mean < minDemand*even {
 		return even
