--- a/forward/abandoned.go
+++ b/forward/abandoned.go
@@ -10,76 +10,76 @@
 	"mulberryscale.example/quarantine"
 )
 
-// lapseTime is how long after the end of an endpoint the list of instances has
-// dropped it: three heartbeats and what the news takes.
-const lapseTime = 5 * time.Second
+// unlistTime is how long after an endpoint's crash the list of instances has dropped it: three
+// heartbeats and the propagation of the change.
+const unlistTime = 5 * time.Second
 
-// maxLost bounds the sends that are kept, the newest of them.
-const maxLost = 256
+// maxAbandoned limits the sends that are kept; the oldest are dropped.
+const maxAbandoned = 256
 
-// lostSend is a send that got no answer.
-type lostSend struct {
+// abandonedSend is a send without an answer.
+type abandonedSend struct {
 	to   fleet.Instance
 	sent time.Time
-	// subject is its request's, gaveUp when that was given up.
-	subject quarantine.Fingerprint
-	gaveUp  time.Time
+	// fingerprint is that of the request's content, abandonedAt when the request was given up.
+	fingerprint quarantine.Fingerprint
+	abandonedAt time.Time
 }
 
-// lostSends are the sends of requests that were given up: a caller that leaves, or a
-// timeout, hides that an endpoint ends under its request, and the list of instances
-// tells it seconds later. It is safe for concurrent use.
-type lostSends struct {
+// abandonedSends holds the unanswered sends of requests that were given up. If the caller leaves
+// or a timeout passes, nobody sees that the endpoint crashes under the request; the list of
+// instances shows it seconds later. It is safe for concurrent use.
+type abandonedSends struct {
 	mu   sync.Mutex
-	list []lostSend
+	list []abandonedSend
 }
 
-func (l *lostSends) add(sends ...lostSend) {
+func (l *abandonedSends) add(sends ...abandonedSend) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.list = append(l.list, sends...)
-	l.list = l.list[max(0, len(l.list)-maxLost):]
+	l.list = l.list[max(0, len(l.list)-maxAbandoned):]
 }
 
-// ended takes out those whose endpoints have gone from the list without notice, and
-// forgets those that say nothing any more.
-func (l *lostSends) ended(snap *fleet.Snapshot, now time.Time) (ended []lostSend) {
+// takeCrashed removes and returns the sends whose endpoints have left the list without announcing
+// it. It also drops sends whose endpoints are shutting down and those older than unlistTime.
+func (l *abandonedSends) takeCrashed(snap *fleet.Snapshot, now time.Time) (crashed []abandonedSend) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.list = slices.DeleteFunc(l.list, func(s lostSend) bool {
+	l.list = slices.DeleteFunc(l.list, func(s abandonedSend) bool {
 		gone := !snap.Lists(s.to)
 		if gone {
-			ended = append(ended, s)
+			crashed = append(crashed, s)
 		}
-		return gone || snap.Leaves(s.to) || now.Sub(s.gaveUp) > lapseTime
+		return gone || snap.Leaves(s.to) || now.Sub(s.abandonedAt) > unlistTime
 	})
-	return ended
+	return crashed
 }
 
-// keepLost keeps the sends of a call that was given up.
-func (c *call) keepLost() {
-	for _, lost := range c.unanswered {
-		lost.subject, lost.gaveUp = c.subject, time.Now()
-		c.lost.add(lost)
+// keepAbandoned keeps the unanswered sends of a call that was given up.
+func (c *call) keepAbandoned() {
+	for _, send := range c.unanswered {
+		send.fingerprint, send.abandonedAt = c.fingerprint, time.Now()
+		c.abandoned.add(send)
 	}
 }
 
-// noteLost tells the quarantine of the ends that the list of instances has told.
-func (f *Forwarder) noteLost() {
+// reportAbandonedCrashes reports to the quarantine the crashes that the list of instances shows.
+func (f *Forwarder) reportAbandonedCrashes() {
 	now := time.Now()
-	for _, s := range f.lost.ended(f.View.Snapshot(), now) {
+	for _, s := range f.abandoned.takeCrashed(f.View.Snapshot(), now) {
 		f.Quarantine.ReportCrash(quarantine.BrokenRun{
-			Fingerprint: s.subject, Endpoint: s.to.Incarnation(), Addr: s.to.Addr, Took: s.gaveUp.Sub(s.sent), Ago: now.Sub(s.gaveUp),
+			Fingerprint: s.fingerprint, Endpoint: s.to.Incarnation(), Addr: s.to.Addr, Took: s.abandonedAt.Sub(s.sent), Ago: now.Sub(s.abandonedAt),
 		})
 	}
 }
 
-// WatchCrashes looks out for the ends of endpoints that left requests without an answer,
-// until ctx ends.
+// WatchCrashes watches the list of instances for crashes of endpoints that left requests without
+// an answer, until ctx is cancelled.
 func (f *Forwarder) WatchCrashes(ctx context.Context) {
 	for {
 		changed := f.View.Changed()
-		f.noteLost()
+		f.reportAbandonedCrashes()
 		select {
 		case <-changed:
 		case <-ctx.Done():
