--- a/admission/flow.go
+++ b/admission/flow.go
@@ -6,10 +6,10 @@
 	"mulberryscale.example/wire"
 )
 
-// minShare keeps a row with a tiny share from an endless tag.
+// minShare bounds how far one request can advance the start tag of a row with a tiny share.
 const minShare = 1e-6
 
-// rowKey names a flow; a row keeps one for each class.
+// rowKey identifies a flow; a row has one for each class.
 type rowKey struct {
 	row   string
 	class wire.Class
@@ -17,25 +17,26 @@
 
 func (it *Item) key() rowKey { return rowKey{it.Row, it.Class} }
 
-// flow is one row's waiting requests and its place in the virtual time.
+// flow holds one row's waiting requests and its position in virtual time.
 type flow struct {
 	name    string
 	share   float64
 	start   float64 // start tag of the row's next request
-	waiting byOrder
+	waiting itemHeap
 	tokens  int // expected tokens that wait
 	running int
 }
 
 func (f *flow) backlogged() bool { return f.waiting.Len() > 0 }
 
-// arrive brings an idle row up to the virtual time: idleness earns no credit.
-func (f *flow) arrive(virtual float64) { f.start = max(f.start, virtual) }
+// catchUp advances the start tag of an idle row to the virtual time, so that a row
+// gains no credit while idle.
+func (f *flow) catchUp(virtual float64) { f.start = max(f.start, virtual) }
 
-// charge moves the start tag by served tokens; negative ones are given back.
+// charge advances the start tag by served tokens; negative tokens are a refund.
 func (f *flow) charge(tokens int) { f.start += float64(tokens) / f.share }
 
-// class is the rows of one class and their virtual time.
+// class holds the rows of one class and their virtual time.
 type class struct {
 	flows   []*flow
 	virtual float64
@@ -44,9 +45,9 @@
 	tokens  int // expected tokens that wait
 }
 
-// smallest is the backlogged row with the smallest start tag whose next
-// request's model is ready; the earlier row wins a tie.
-func (c *class) smallest(ready func(string) bool) *flow {
+// nextFlow returns the backlogged row with the smallest start tag among those whose next
+// request's model is ready, nil for none; the row that was added first wins a tie.
+func (c *class) nextFlow(ready func(string) bool) *flow {
 	var best *flow
 	for _, f := range c.flows {
 		if !f.backlogged() || !ready(f.waiting[0].Model) {
@@ -66,7 +67,7 @@
 	return &q.classes[1]
 }
 
-// flow finds or makes the item's row and takes over its newest share.
+// flow returns the flow of the item's row, creating it if needed, and updates its share.
 func (q *Queue) flow(it *Item) *flow {
 	f, ok := q.rows[it.key()]
 	if !ok {
@@ -83,9 +84,9 @@
 	return f
 }
 
-// tidy forgets a class's rows when none of them waits or runs: the busy period
-// is over, and rows that left the table do not stay for ever.
-func (q *Queue) tidy(class wire.Class) {
+// resetIfIdle deletes a class's rows and its virtual time when no request of the class waits
+// or runs: the busy period is over, and rows deleted from the table must not accumulate.
+func (q *Queue) resetIfIdle(class wire.Class) {
 	c := q.class(class)
 	if c.waiting > 0 || c.running > 0 {
 		return
@@ -97,17 +98,17 @@
 	c.virtual = 0
 }
 
-// byOrder is a heap: longest expected work first for training, oldest first
-// for interactive requests.
-type byOrder []*Item
+// itemHeap is a heap of the waiting requests of a row: longest expected work first for
+// training, oldest first for interactive requests.
+type itemHeap []*Item
 
-var _ heap.Interface = (*byOrder)(nil)
+var _ heap.Interface = (*itemHeap)(nil)
 
 // Len implements heap.Interface.
-func (h byOrder) Len() int { return len(h) }
+func (h itemHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (h byOrder) Less(i, j int) bool {
+func (h itemHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
 	if a.Class == wire.ClassTraining && a.Tokens != b.Tokens {
 		return a.Tokens > b.Tokens
@@ -116,21 +117,21 @@
 }
 
 // Swap implements heap.Interface.
-func (h byOrder) Swap(i, j int) {
+func (h itemHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index = i
 	h[j].index = j
 }
 
 // Push implements heap.Interface.
-func (h *byOrder) Push(x any) {
+func (h *itemHeap) Push(x any) {
 	it := x.(*Item)
 	it.index = len(*h)
 	*h = append(*h, it)
 }
 
 // Pop implements heap.Interface.
-func (h *byOrder) Pop() any {
+func (h *itemHeap) Pop() any {
 	old := *h
 	last := len(old) - 1
 	it := old[last]
--- a/batch/drain.go
+++ b/batch/drain.go
@@ -15,14 +15,14 @@
 	w.mu.Unlock()
 	runCtx, cancel := context.WithTimeout(ctx, gracePeriod)
 	defer cancel()
-	for w.itemsLeft() > 0 && pause.For(runCtx, drainPollInterval) == nil {
+	for w.itemsLeft() > 0 && pause.Sleep(runCtx, drainPollInterval) == nil {
 		w.pushWaiting(ctx)
 	}
-	for w.itemsLeft() > 0 && pause.For(ctx, drainPollInterval) == nil {
+	for w.itemsLeft() > 0 && pause.Sleep(ctx, drainPollInterval) == nil {
 		statuses := w.queryCapacity(ctx)
 		w.pushItems(ctx, statuses, true)
 	}
-	for w.hasUnsavedResults() && pause.For(ctx, drainPollInterval) == nil {
+	for w.hasUnsavedResults() && pause.Sleep(ctx, drainPollInterval) == nil {
 	}
 }
 
--- a/batch/expiry.go
+++ b/batch/expiry.go
@@ -28,7 +28,7 @@
 // are held are given up by their holders, all others by the agents of the job in
 // the order in which its id ranks them, so that a dead one stops nothing.
 func (w *Worker) expire(ctx context.Context) {
-	for pause.For(ctx, expiryCheckInterval) == nil {
+	for pause.Sleep(ctx, expiryCheckInterval) == nil {
 		for _, j := range w.overdue() {
 			w.failOwnItems(j)
 			w.failOrphans(j)
@@ -75,7 +75,7 @@
 // is this agent's turn.
 func (w *Worker) failOrphans(j *workJob) {
 	rank := slices.Index(rankEngines(j.job.ID, w.participants(j)), w.Engine)
-	if rank < 0 || w.overdueBy(j) < time.Duration(rank+1)*expiryStagger || !w.read(j, true) {
+	if rank < 0 || w.overdueBy(j) < time.Duration(rank+1)*expiryStagger || !w.load(j, true) {
 		return
 	}
 	w.mu.Lock()
--- a/batch/fakerewards_test.go
+++ b/batch/fakerewards_test.go
@@ -30,7 +30,7 @@
 	at time.Time
 }
 
-func (f *fakeRewards) Score(ctx context.Context, ask RewardAsk) (RewardAnswer, error) {
+func (f *fakeRewards) Score(ctx context.Context, ask RewardRequest) (RewardResponse, error) {
 	f.mu.Lock()
 	f.calls = append(f.calls, rewardCall{ask.Call.ID, time.Now()})
 	n := len(f.calls)
@@ -40,20 +40,20 @@
 	}
 	took := f.latency
 	f.mu.Unlock()
-	if pause.For(ctx, took) != nil {
+	if pause.Sleep(ctx, took) != nil {
 		f.mu.Lock()
 		f.cancelled++
 		f.mu.Unlock()
-		return RewardAnswer{}, ErrBroken
+		return RewardResponse{}, ErrBroken
 	}
 	if err != nil {
-		answer := RewardAnswer{MaxAttempts: 4}
+		answer := RewardResponse{MaxAttempts: 4}
 		if errors.Is(err, ErrFailed) {
 			answer.Failures = 1
 		}
 		return answer, err
 	}
-	return RewardAnswer{Score: fmt.Sprintf("score-%d of %s", n, ask.Call.ID), MaxAttempts: 4}, nil
+	return RewardResponse{Score: fmt.Sprintf("score-%d of %s", n, ask.Call.ID), MaxAttempts: 4}, nil
 }
 
 // sends are the sends sends a call.
--- a/batch/handover.go
+++ b/batch/handover.go
@@ -8,12 +8,12 @@
 )
 
 // handOver gives up items for another agent: waiting ones first, the longest of them.
-func (w *Worker) handOver(to string, ask *TakeAsk) *HandedItems {
+func (w *Worker) handOver(to string, ask *TakeRequest) *Handover {
 	w.mu.Lock()
 	j, ok := w.jobs[ask.Job]
 	if !ok || j.ended {
 		w.mu.Unlock()
-		return &HandedItems{Job: ask.Job}
+		return &Handover{Job: ask.Job}
 	}
 	give, stopped := w.detach(w.pickForHandover(j, to, ask))
 	w.mu.Unlock()
@@ -21,7 +21,7 @@
 }
 
 // pickForHandover picks the items to give up. It is called with w.mu held.
-func (w *Worker) pickForHandover(j *workJob, to string, ask *TakeAsk) []*task {
+func (w *Worker) pickForHandover(j *workJob, to string, ask *TakeRequest) []*task {
 	var give []*task
 	for _, t := range w.waiting {
 		if t.j == j && len(give) < ask.Max && !slices.Contains(t.avoid, to) && !w.isQuarantined(t) {
@@ -39,7 +39,7 @@
 func (j *workJob) longestRunning(n int) []*task {
 	var list []*task
 	for _, t := range j.tasks {
-		if t.cancel != nil && !t.whole {
+		if t.cancel != nil && !t.complete {
 			list = append(list, t)
 		}
 	}
@@ -55,40 +55,40 @@
 // two agents would run them. It is called with w.mu held.
 func (w *Worker) detach(tasks []*task) (detached []*task, stopped []chan struct{}) {
 	for _, t := range tasks {
-		if t.leaving || t.j.tasks[t.index] != t {
+		if t.handingOver || t.j.tasks[t.index] != t {
 			continue
 		}
-		t.leaving = true
+		t.handingOver = true
 		detached = append(detached, t)
 		if t.cancel != nil {
-			t.stop(errGiven)
+			t.stop(errHandedOver)
 			stopped = append(stopped, t.stopped)
 			continue
 		}
-		w.forget(t)
+		w.removeTask(t)
 	}
 	return detached, stopped
 }
 
 // packDetached awaits the ends of runs and packs up the tasks.
-func (w *Worker) packDetached(j *workJob, tasks []*task, stopped []chan struct{}, to, why string) *HandedItems {
+func (w *Worker) packDetached(j *workJob, tasks []*task, stopped []chan struct{}, to, why string) *Handover {
 	for _, c := range stopped {
 		<-c
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	handed := &HandedItems{Job: j.job.ID}
+	handed := &Handover{Job: j.job.ID}
 	for _, t := range tasks {
 		if j.tasks[t.index] != nil || j.done[t.index] {
-			t.leaving = false
+			t.handingOver = false
 			continue // it finished before it could be stopped
 		}
-		if t.breaks >= maxBreaks {
+		if t.brokenAnswers >= maxBrokenAnswers {
 			t.avoid = append(t.avoid, w.Engine)
 		}
-		handed.Items = append(handed.Items, Handed{
+		handed.Items = append(handed.Items, HandoverItem{
 			Index: t.index, Text: t.text, Versions: t.versions, Failures: t.failures, Avoid: t.avoid,
-			Whole: t.whole, RewardFailures: t.rewardFailures,
+			Complete: t.complete, RewardFailures: t.rewardFailures,
 		})
 		w.Log.WithFields(t.fields()).WithFields(logrus.Fields{"to": to, "why": why}).Info("item handed over")
 	}
@@ -96,12 +96,12 @@
 }
 
 // accept takes items that another agent gives.
-func (w *Worker) accept(from string, given *HandedItems) int {
+func (w *Worker) accept(from string, given *Handover) int {
 	w.mu.Lock()
 	j, ok := w.jobs[given.Job]
 	refuse := !ok || j.ended || w.stopping
 	w.mu.Unlock()
-	if refuse || !w.read(j, false) {
+	if refuse || !w.load(j, false) {
 		return 0
 	}
 	w.mu.Lock()
@@ -113,9 +113,9 @@
 		}
 		t := &task{
 			index: h.Index, text: h.Text, versions: h.Versions, failures: h.Failures, avoid: h.Avoid,
-			whole: h.Whole, rewardFailures: h.RewardFailures,
+			complete: h.Complete, rewardFailures: h.RewardFailures,
 		}
-		if w.take(j, t) {
+		if w.enqueue(j, t) {
 			w.Log.WithFields(t.fields()).WithField("from", from).Info("item taken over")
 		}
 		n++ // held or done here already counts as taken
--- a/batch/handover_test.go
+++ b/batch/handover_test.go
@@ -19,7 +19,7 @@
 }
 
 // newWaitingWorker is an agent with items of one job that wait.
-func newWaitingWorker(peers PeerCaller, items int) (*Worker, *workJob, []*task) {
+func newWaitingWorker(peers PeerClient, items int) (*Worker, *workJob, []*task) {
 	w := NewWorker(WorkerConfig{
 		Engine: "10.0.0.1:80", View: fleet.NewView(), Peers: peers, Log: observe.Discard(), Counters: observe.NewCounters(),
 	})
@@ -39,7 +39,7 @@
 func TestItemIsHandedToOneAgent(t *testing.T) {
 	others := &acceptingPeers{}
 	w, j, all := newWaitingWorker(others, 4)
-	taken := w.handOver("10.0.0.2:80", &TakeAsk{Job: "j", Max: 2})
+	taken := w.handOver("10.0.0.2:80", &TakeRequest{Job: "j", Max: 2})
 	w.pushJobItems(t.Context(), j, all, []string{"10.0.0.3:80"})
 	if n := len(taken.Items); n != 2 {
 		t.Fatalf("%d items taken, want 2", n)
@@ -63,7 +63,7 @@
 				t.Fatalf("detached %d and %d times", len(detached), len(again))
 			}
 			if !ends {
-				w.forget(running)
+				w.removeTask(running)
 			}
 			close(running.stopped)
 			handed := w.packDetached(j, detached, stopped, "10.0.0.2:80", "taken")
--- a/batch/rebalance.go
+++ b/batch/rebalance.go
@@ -34,22 +34,22 @@
 // rebalance looks after the items of other agents, and gives away its own when its
 // engine cannot run them, until ctx ends.
 func (w *Worker) rebalance(ctx context.Context) {
-	h := &rebalancer{Worker: w, lost: newLostRounds(rand.Float64)}
-	for pause.For(ctx, rebalanceInterval) == nil {
+	h := &rebalancer{Worker: w, lost: newOrphanScans(rand.Float64)}
+	for pause.Sleep(ctx, rebalanceInterval) == nil {
 		jobs := w.openJobs()
 		if len(jobs) == 0 {
 			continue
 		}
 		h.pushUnrunnable(ctx, jobs)
 		h.stealWork(ctx, jobs)
-		h.findLost(ctx, jobs)
+		h.findOrphans(ctx, jobs)
 	}
 }
 
 // rebalancer is what an agent remembers between its looks at the others.
 type rebalancer struct {
 	*Worker
-	lost *lostRounds
+	lost *orphanScans
 	// stealPause is the present stealPause between rounds that ask for work, asked when the
 	// last one was; newest is the newest job at that time.
 	stealPause time.Duration
@@ -82,7 +82,7 @@
 func (h *rebalancer) stealWork(ctx context.Context, jobs []*workJob) {
 	jobs = slices.DeleteFunc(slices.Clone(jobs), func(j *workJob) bool { return !h.engineCanServe(j) || !h.participatesLocking(j) })
 	h.mu.Lock()
-	free := h.free()
+	free := h.freeSlots()
 	h.mu.Unlock()
 	if free == 0 || len(jobs) == 0 || h.engineUnavailable() {
 		return
@@ -114,7 +114,7 @@
 func (w *Worker) repeatedlyBroken() map[*workJob][]*task {
 	byJob := map[*workJob][]*task{}
 	for _, t := range w.waiting {
-		if t.breaks >= maxBreaks && !w.isQuarantined(t) {
+		if t.brokenAnswers >= maxBrokenAnswers && !w.isQuarantined(t) {
 			byJob[t.j] = append(byJob[t.j], t)
 		}
 	}
@@ -208,7 +208,7 @@
 	statuses := map[string]*Status{}
 	for _, e := range engines {
 		wg.Go(func() {
-			reply, err := w.call(ctx, e, &PeerRequest{Status: &StatusAsk{Jobs: ids}})
+			reply, err := w.call(ctx, e, &PeerRequest{Status: &StatusRequest{Jobs: ids}})
 			if err != nil || reply.Status == nil {
 				return
 			}
@@ -236,15 +236,15 @@
 		if n == 0 {
 			continue
 		}
-		ask := &TakeAsk{Job: j.job.ID, Max: min(free-taken, (n+1)/2), Running: running}
-		if !w.read(j, false) {
+		ask := &TakeRequest{Job: j.job.ID, Max: min(free-taken, (n+1)/2), Running: running}
+		if !w.load(j, false) {
 			continue
 		}
 		reply, err := w.call(ctx, engine, &PeerRequest{Take: ask})
-		if err != nil || reply.Handed == nil {
+		if err != nil || reply.Handover == nil {
 			continue
 		}
-		taken += w.accept(engine, reply.Handed)
+		taken += w.accept(engine, reply.Handover)
 	}
 	return taken
 }
@@ -265,8 +265,8 @@
 	for _, e := range engines {
 		s := statuses[e]
 		held := len(s.Jobs[job].Running) + len(s.Jobs[job].Waiting)
-		if held > 0 && pace > 0 && s.Pace > slowest && float64(s.Pace) > slowRatio*float64(pace) {
-			engine, n, slowest = e, 2*held, s.Pace // all of them
+		if held > 0 && pace > 0 && s.EventInterval > slowest && float64(s.EventInterval) > slowRatio*float64(pace) {
+			engine, n, slowest = e, 2*held, s.EventInterval // all of them
 		}
 	}
 	if n > 0 {
--- a/batch/rebalance_test.go
+++ b/batch/rebalance_test.go
@@ -20,7 +20,7 @@
 	for i := range running {
 		s.Running = append(s.Running, waiting+i)
 	}
-	return &Status{Up: true, Pace: pace, Jobs: map[string]JobStatus{"j": s}}
+	return &Status{Up: true, EventInterval: pace, Jobs: map[string]JobStatus{"j": s}}
 }
 
 // TestHelpGoesToTheSlowEngineFirst has one agent with items that wait for a
@@ -191,9 +191,9 @@
 		host, _, _ := net.SplitHostPort(before)
 		rig.kill(holder)
 		never := func() float64 { return 0.99 }
-		h := &rebalancer{Worker: rig.peers.workers[host], lost: newLostRounds(never)}
+		h := &rebalancer{Worker: rig.peers.workers[host], lost: newOrphanScans(never)}
 		h.lost.due(time.Now(), agents)
-		h.findLost(t.Context(), h.openJobs())
+		h.findOrphans(t.Context(), h.openJobs())
 		time.Sleep(50 * time.Millisecond)
 		if runs := rig.runsOf("item-000"); len(runs) != 2 {
 			t.Errorf("sent %d times, want again right after the neighbour looked", len(runs))
--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -73,7 +73,7 @@
 	r := newRig(4)
 	r.serve(100, 1)
 	r.serve(100, 5)
-	r.now = r.now.Add(5 * slowMemory)
+	r.now = r.now.Add(5 * slowdownMemory)
 	r.serve(50, 1)
 	if n := r.serve(200, 1); n < 30 {
 		t.Errorf("got %d of 200 after it had recovered", n)
@@ -116,7 +116,7 @@
 // endpoints and go to the same one, since each looked before the other had begun.
 func TestRequestsThatLookTogetherAreApart(t *testing.T) {
 	r := newRig(2)
-	q := Query{Candidates: r.candidates, Zone: "z", Request: "same", Apart: true, Now: r.now}
+	q := Query{Candidates: r.candidates, Zone: "z", Request: "same", AvoidRisky: true, Now: r.now}
 	first, ok := r.Take(q, true)
 	if !ok {
 		t.Fatal("no instance for the first")
