--- a/batch/orphans.go
+++ b/batch/orphans.go
@@ -55,20 +55,20 @@
 
 // findOrphans finds items that no agent holds and that are not done, and deals
 // them out.
-func (h *helper) findOrphans(ctx context.Context, jobs []*workJob) {
-	jobs = slices.DeleteFunc(slices.Clone(jobs), func(j *workJob) bool { return !h.takesPart(j) })
+func (h *rebalancer) findOrphans(ctx context.Context, jobs []*workJob) {
+	jobs = slices.DeleteFunc(slices.Clone(jobs), func(j *workJob) bool { return !h.participates(j) })
 	if len(jobs) == 0 {
 		return
 	}
-	others := h.engines(jobs)
+	others := h.peerEngines(jobs)
 	round := h.lost.due(time.Now(), len(others)+1)
 	if !round && len(others) > 0 && h.lost.neighbourDue(time.Now()) {
 		next := neighbour(h.Engine, others)
-		_, lives := h.ask(ctx, jobs, []string{next})[next]
+		_, lives := h.queryStatuses(ctx, jobs, []string{next})[next]
 		round = !lives
 	}
 	if round {
-		h.reassignOrphans(ctx, jobs, h.ask(ctx, jobs, others))
+		h.reassignOrphans(ctx, jobs, h.queryStatuses(ctx, jobs, others))
 	}
 }
 
@@ -150,7 +150,7 @@
 	saved := w.resumableTexts(j, true)
 	shares := map[string]*Handover{}
 	for _, i := range lost {
-		e := engines[best(j.items[i].ID, engines)]
+		e := engines[highestRanked(j.items[i].ID, engines)]
 		if shares[e] == nil {
 			shares[e] = &Handover{Job: j.job.ID}
 		}
