--- a/batch/orphans.go
+++ b/batch/orphans.go
@@ -57,20 +57,20 @@
 
 // findOrphans looks for items that no agent holds and that are not done, if a scan
 // is due or the neighbour does not answer, and reassigns them.
-func (h *helper) findOrphans(ctx context.Context, jobs []*workJob) {
-	jobs = slices.DeleteFunc(slices.Clone(jobs), func(j *workJob) bool { return !h.takesPart(j) })
+func (h *rebalancer) findOrphans(ctx context.Context, jobs []*workJob) {
+	jobs = slices.DeleteFunc(slices.Clone(jobs), func(j *workJob) bool { return !h.participates(j) })
 	if len(jobs) == 0 {
 		return
 	}
-	others := h.engines(jobs)
+	others := h.peerEngines(jobs)
 	scan := h.lost.due(time.Now(), len(others)+1)
 	if !scan && len(others) > 0 && h.lost.neighbourDue(time.Now()) {
 		next := neighbour(h.Engine, others)
-		_, alive := h.ask(ctx, jobs, []string{next})[next]
+		_, alive := h.queryStatuses(ctx, jobs, []string{next})[next]
 		scan = !alive
 	}
 	if scan {
-		h.reassignOrphans(ctx, jobs, h.ask(ctx, jobs, others))
+		h.reassignOrphans(ctx, jobs, h.queryStatuses(ctx, jobs, others))
 	}
 }
 
@@ -153,7 +153,7 @@
 	saved := w.resumableTexts(j, true)
 	shares := map[string]*Handover{}
 	for _, i := range open {
-		e := engines[best(j.items[i].ID, engines)]
+		e := engines[highestRanked(j.items[i].ID, engines)]
 		if shares[e] == nil {
 			shares[e] = &Handover{Job: j.job.ID}
 		}
