--- a/batch/progress.go
+++ b/batch/progress.go
@@ -16,49 +16,49 @@
 	"mulberryscale.example/transport/codec"
 )
 
-// The text of long items is saved while they run, so that an item whose agent
-// dies goes on where it was instead of at its beginning: the longest items take
-// seven seconds and decide when a step is done.
+// The text of long items is saved while they run, so that an item is resumed after
+// its saved text when its agent crashes, instead of starting over: the longest items
+// take seven seconds and decide when a training step is done.
 //
 //	batch_progress   part job:   segments of text, appended
-//	batch_leftovers  part organisation and model: the text of items whose job ended before them,
-//	                 named by the item, for a later job that asks for them again
+//	batch_leftovers  part organisation and model: the text of items that were unfinished when
+//	                 their job ended, named by the item, for a later job that asks for them again
 const (
 	tableProgress  = "batch_progress"
 	tableLeftovers = "batch_leftovers"
 )
 
 const (
-	// saveInterval is the least time between two saves of one agent. A crash
-	// costs that much of each running item.
+	// saveInterval is the minimum time between two saves of one agent. A crash
+	// loses up to that much of the progress of each running item.
 	saveInterval = 700 * time.Millisecond
-	// saveWriteShare is the share of the store's writes that all agents together
+	// saveWriteShare is the share of the store's write rate that all agents together
 	// may use to save text; with many agents each saves less often.
 	saveWriteShare = 0.25
-	// minSavedEvents is the number of events below which an item is not worth saving.
+	// minSavedEvents is the number of events from which on a text is worth saving.
 	minSavedEvents = 12
-	// leftoverRetention is how long the text of an unfinished item is kept: a later
-	// step asks for it within two or three steps, if at all.
+	// leftoverRetention is how long the text of an unfinished item is kept: a trainer
+	// asks for it again within two or three steps, if at all.
 	leftoverRetention = 40 * time.Second
 )
 
-// segment is a part of an item's text: the events after From.
+// segment is a part of an item's text: the events that follow the first From events.
 type segment struct {
 	Index int `cbor:"1,keyasint"`
-	// Lineage names the run that the text belongs to. Text of two lineages is
-	// never joined, since each run generates its own.
+	// Lineage identifies the generation that the text belongs to. Segments of two
+	// lineages are never joined, since each generates a text of its own.
 	Lineage  string   `cbor:"2,keyasint"`
 	From     int      `cbor:"3,keyasint"`
 	Events   []string `cbor:"4,keyasint"`
 	Versions []uint64 `cbor:"5,keyasint"`
-	// Complete says that the text ends with Events.
+	// Complete is true if the text ends with Events.
 	Complete bool `cbor:"6,keyasint,omitempty"`
-	// RewardFailures is how many failures the item's reward call had been
-	// answered with when the segment was written.
+	// RewardFailures is the number of failures of the item's reward call when the
+	// segment was written.
 	RewardFailures int `cbor:"7,keyasint,omitempty"`
 }
 
-// leftover is the text of an unfinished item of an ended job.
+// leftover is the text of an item that was unfinished when its job ended.
 type leftover struct {
 	Events   []string      `cbor:"1,keyasint"`
 	Versions []uint64      `cbor:"2,keyasint"`
@@ -66,42 +66,42 @@
 	Complete bool          `cbor:"4,keyasint,omitempty"`
 }
 
-// savedText is text that an item can go on from.
+// savedText is text from which an item can be resumed.
 type savedText struct {
 	events   []string
 	versions []uint64
 	complete bool
-	// rewardFailures are those of the reward call in the same job.
+	// rewardFailures is the number of failures of the reward call in the same job.
 	rewardFailures int
 }
 
-// newTask is a newTask that goes on from the text.
+// newTask returns a task that resumes after the text.
 func (s savedText) newTask(index int) *task {
 	return &task{index: index, text: s.events, versions: s.versions, complete: s.complete, rewardFailures: s.rewardFailures}
 }
 
-// handoverItem is an item with the text, as one agent gives it to another.
+// handoverItem returns an item with the text, for the handover to another agent.
 func (s savedText) handoverItem(index int) HandoverItem {
 	return HandoverItem{Index: index, Text: s.events, Versions: s.versions, Complete: s.complete, RewardFailures: s.rewardFailures}
 }
 
-// saveProgress appends segments. It is tried once: the next save repeats what
-// was not acknowledged.
+// saveProgress appends segments. It is not retried: the next save repeats the
+// segments that were not acknowledged.
 func (l *Ledger) saveProgress(ctx context.Context, jobID, name string, segments []segment) error {
 	data, err := codec.Marshal(segments)
 	if err != nil {
 		return fmt.Errorf("%w: encode progress: %v", store.ErrInvalid, err)
 	}
 	tx := store.Tx{}
-	for i, piece := range splitBytes(data, l.rowLimit()) {
+	for i, chunk := range splitBytes(data, l.rowLimit()) {
 		key := store.Key{Table: tableProgress, Part: jobID, Name: fmt.Sprintf("%s/%03d", name, i)}
-		tx.Put = append(tx.Put, store.Row{Key: key, Value: piece})
+		tx.Put = append(tx.Put, store.Row{Key: key, Value: chunk})
 	}
 	_, err = l.Store.Commit(ctx, tx)
 	return err
 }
 
-// progress reads the longest text that fits of each item of a job, by index.
+// progress reads the best saved text of each item of a job, by index, see joinSegments.
 func (l *Ledger) progress(ctx context.Context, job *Job) (map[int]savedText, error) {
 	s, err := store.ListAll(ctx, l.Store, store.Range{Table: tableProgress, Part: job.ID})
 	if err != nil {
@@ -118,7 +118,8 @@
 	return joinSegments(all), nil
 }
 
-// joinRows joins the rows of each transaction; they are named alike but for a number.
+// joinRows joins the values of the rows of each transaction; the names of its rows
+// differ only in a sequence number.
 func joinRows(rows []store.Row) [][]byte {
 	slices.SortFunc(rows, func(a, b store.Row) int {
 		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Name, b.Name))
@@ -133,10 +134,10 @@
 	return joined
 }
 
-// joinSegments joins segments within each lineage and keeps the best text of
-// each item: a whole one, or else the longest. Failures of the reward call are
-// counted by each holder on top of those it was told of, so the largest count
-// is one that was reached.
+// joinSegments joins segments within each lineage and keeps the best text of each
+// item: a complete one, or else the longest. Each agent that holds the item adds its
+// failures of the reward call to the count that it received, so the largest count
+// was really reached.
 func joinSegments(segments []segment) map[int]savedText {
 	slices.SortStableFunc(segments, func(a, b segment) int { return cmp.Compare(a.From, b.From) })
 	byLineage := map[string]savedText{}
@@ -162,13 +163,13 @@
 	return best
 }
 
-// extend returns the text with a segment; false if there is a gap before it or
-// it says nothing new.
+// extend returns the text extended by a segment; false if there is a gap before the
+// segment or it adds nothing.
 func (s savedText) extend(next segment) (savedText, bool) {
 	end := next.From + len(next.Events)
 	longer := end > len(s.events)
-	ends := next.Complete && !s.complete && end == len(s.events)
-	if next.From > len(s.events) || (!longer && !ends) {
+	completes := next.Complete && !s.complete && end == len(s.events)
+	if next.From > len(s.events) || (!longer && !completes) {
 		return s, false
 	}
 	s.events = append(slices.Clip(s.events[:next.From]), next.Events...)
@@ -176,15 +177,16 @@
 	return s, true
 }
 
-// betterThan reports whether an item should go on from the text instead of another.
-func (s savedText) betterThan(than savedText) bool {
-	if s.complete != than.complete {
+// betterThan reports whether an item should be resumed from this text rather than
+// from another.
+func (s savedText) betterThan(other savedText) bool {
+	if s.complete != other.complete {
 		return s.complete
 	}
-	return len(s.events) > len(than.events)
+	return len(s.events) > len(other.events)
 }
 
-// saveTexts keeps the text of running items in the store until ctx ends.
+// saveTexts saves the text of running items periodically until ctx is done.
 func (w *Worker) saveTexts(ctx context.Context) {
 	for n := 1; pause.Sleep(ctx, w.saveInterval()) == nil; n++ {
 		w.mu.Lock()
@@ -196,8 +198,9 @@
 	}
 }
 
-// saveInterval grows with the number of agents, so that their saves together
-// stay within their share of the store's writes.
+// saveInterval returns the time between two saves. It grows with the number of
+// agents, so that their saves together stay within saveWriteShare of the store's
+// write rate.
 func (w *Worker) saveInterval() time.Duration {
 	agents := len(w.View.Snapshot().OfService(w.Service))
 	if w.StoreWriteRate == 0 {
@@ -207,8 +210,8 @@
 	return max(saveInterval, fair)
 }
 
-// unsavedSegments cuts the new text of running items, and of whole ones that wait for
-// their score, into segments. It is called with w.mu held.
+// unsavedSegments returns the unsaved text of running items and of complete ones that
+// wait for their score, by job. It is called with w.mu held.
 func (w *Worker) unsavedSegments() map[*workJob][]segment {
 	due := map[*workJob][]segment{}
 	for t := range w.running {
@@ -224,7 +227,7 @@
 	return due
 }
 
-// segment is what the store does not know yet of the task.
+// segment returns the part of the task's text and state that is not saved yet.
 func (t *task) segment() segment {
 	return segment{
 		Index: t.index, Lineage: t.lineage, From: t.saved, Events: slices.Clone(t.text[t.saved:]),
@@ -232,6 +235,7 @@
 	}
 }
 
+// saveSegments saves segments of a job and records what was saved in its tasks.
 func (w *Worker) saveSegments(ctx context.Context, j *workJob, segments []segment, name string) {
 	if err := w.Ledger.saveProgress(ctx, j.job.ID, name, segments); err != nil {
 		w.Log.WithError(err).WithField(observe.FieldJob, j.job.ID).Warn("text not saved")
@@ -248,7 +252,8 @@
 	}
 }
 
-// saveLeftovers keeps the text of items, by id, that their job's end cut off.
+// saveLeftovers stores the texts, by item id, that were unfinished when their job
+// ended.
 func (w *Worker) saveLeftovers(j *workJob, texts map[string]savedText) {
 	now, ok := w.Now()
 	if !ok {
@@ -258,7 +263,7 @@
 	for id, text := range texts {
 		data, err := codec.Marshal(leftover{Events: text.events, Versions: text.versions, Saved: now, Complete: text.complete})
 		if err != nil || len(data) > w.Ledger.rowLimit() {
-			continue // begins anew if it is asked for again
+			continue // is generated from the beginning if it is asked for again
 		}
 		tx.Put = append(tx.Put, store.Row{Key: w.leftoverKey(j, id), Value: data})
 	}
@@ -266,14 +271,15 @@
 		return
 	}
 	_, err := w.Ledger.Store.Commit(w.ctx, tx)
-	w.Log.WithError(err).WithFields(logrus.Fields{observe.FieldJob: j.job.ID, "items": len(tx.Put)}).Info("unfinished text kept")
+	w.Log.WithError(err).WithFields(logrus.Fields{observe.FieldJob: j.job.ID, "items": len(tx.Put)}).Info("unfinished text saved")
 }
 
 func (w *Worker) leftoverKey(j *workJob, item string) store.Key {
 	return store.Key{Table: tableLeftovers, Part: ScopedID(j.job.Organisation, cmp.Or(j.job.Model, j.job.Route)), Name: item}
 }
 
-// leftovers reads the text of a job's items that earlier jobs left unfinished.
+// leftovers reads the unfinished texts of earlier jobs, by item id, and deletes the
+// expired ones.
 func (w *Worker) leftovers(j *workJob) map[string]savedText {
 	key := w.leftoverKey(j, "")
 	s, err := store.ListAll(w.ctx, w.Ledger.Store, store.Range{Table: key.Table, Part: key.Part})
--- a/batch/results.go
+++ b/batch/results.go
@@ -12,26 +12,28 @@
 
 // Tables of the results.
 //
-//	batch_results_NN  part job ID: what was appended, one transaction a batch of results
-//	batch_done        part job ID: the ids of the items of each such batch, in the same transaction
+//	batch_results_NN  part job ID: the results, one transaction for each batch of them
+//	batch_done        part job ID: the item ids of each such batch, in the same transaction
 //
-// Results are spread over tables by their jobs, since a feed is of a whole table:
-// whoever reads a job hears of few others. Who only wants to know which items are
-// done reads batch_done, a hundredth of the texts.
+// Results are sharded over tables by job, since a feed covers an entire table: the
+// reader of a job receives few results of other jobs. Agents that only need to know
+// which items are done read batch_done, which is a hundredth of the size.
 const (
 	tableDone     = "batch_done"
 	resultsPrefix = "batch_results_"
-	// resultTables is the number of tables that results are spread over. The store
-	// takes 100 tables of everybody together; six trainers have a dozen open jobs.
+	// resultTables is the number of tables that results are sharded over. The store
+	// takes 100 tables from all its clients together; six trainers have a dozen open
+	// jobs.
 	resultTables = 48
 )
 
-// maxAppendBytes bounds one append: the store takes 1 MB a transaction, in an
-// encoding that needs four bytes for three.
+// maxAppendBytes bounds the output of the results in one append: the store limits a
+// transaction to 1 MB, in an encoding that needs four bytes for three.
 const maxAppendBytes = 512 << 10
 
-// Append adds results to a job's list. The name must be new for each batch and
-// the same for each repetition of one, so that a batch is appended once.
+// Append adds a batch of results to a job's list. The name identifies the batch: it
+// is unique to the batch and the same in each retry, so that the batch is appended
+// only once.
 func (l *Ledger) Append(ctx context.Context, jobID, name string, results []Result) error {
 	data, err := codec.Marshal(results)
 	if err != nil {
@@ -42,14 +44,14 @@
 		return fmt.Errorf("%w: encode ids: %v", store.ErrInvalid, err)
 	}
 	tx := store.Tx{}
-	for i, piece := range splitBytes(data, l.rowLimit()) {
+	for i, chunk := range splitBytes(data, l.rowLimit()) {
 		key := store.Key{Table: resultsTable(jobID), Part: jobID, Name: fmt.Sprintf("%s/%03d", name, i)}
 		tx.If = append(tx.If, store.Condition{Key: key})
-		tx.Put = append(tx.Put, store.Row{Key: key, Value: piece})
+		tx.Put = append(tx.Put, store.Row{Key: key, Value: chunk})
 	}
-	for i, piece := range splitBytes(done, l.rowLimit()) {
+	for i, chunk := range splitBytes(done, l.rowLimit()) {
 		key := store.Key{Table: tableDone, Part: jobID, Name: fmt.Sprintf("%s/%03d", name, i)}
-		tx.Put = append(tx.Put, store.Row{Key: key, Value: piece})
+		tx.Put = append(tx.Put, store.Row{Key: key, Value: chunk})
 	}
 	return l.commitOnce(ctx, tx)
 }
@@ -62,7 +64,7 @@
 	return ids
 }
 
-// Done reads the ids of the items of a job that have a result.
+// Done returns the ids of the items of a job that have a result.
 func (l *Ledger) Done(ctx context.Context, jobID string) (map[string]bool, error) {
 	s, err := store.ListAll(ctx, l.Store, store.Range{Table: tableDone, Part: jobID})
 	if err != nil {
@@ -81,7 +83,8 @@
 	return done, nil
 }
 
-// Results reads all results of a job so far, and the version up to which they are whole.
+// Results reads all results of a job so far; Listing.Version is the version up to which
+// they are complete.
 func (l *Ledger) Results(ctx context.Context, jobID string) (*Listing, error) {
 	s, err := store.ListAll(ctx, l.Store, store.Range{Table: resultsTable(jobID), Part: jobID})
 	if err != nil {
@@ -91,7 +94,7 @@
 	return listing, listing.Load(s)
 }
 
-// resultsTable is the table of a job's results.
+// resultsTable returns the table that holds a job's results.
 func resultsTable(jobID string) string {
 	return fmt.Sprintf("%s%02d", resultsPrefix, xxhash.Sum64String(jobID)%resultTables)
 }
--- a/batch/reward.go
+++ b/batch/reward.go
@@ -11,46 +11,45 @@
 	"mulberryscale.example/observe"
 )
 
-// RewardRequest is one send of a reward call.
+// RewardRequest is one attempt of a reward call.
 type RewardRequest struct {
 	Call *RewardCall
-	// QueueTime orders calls that wait for each other, the lowest first.
+	// QueueTime orders waiting calls, the lowest first, see Job.queueTime.
 	QueueTime time.Duration
-	// TimeLeft is how long the item may still take.
+	// TimeLeft is the time left until the item expires.
 	TimeLeft time.Duration
 }
 
-// RewardResponse is what came of a send that the service answered.
+// RewardResponse is the outcome of an attempt that the service answered.
 type RewardResponse struct {
-	// Score is the signature of the answer.
+	// Score is the signature of the service's response.
 	Score string
-	// Failures are the endpoints' own failures of just this call that were met,
-	// also if the call got a score after them.
+	// Failures is the number of failures that endpoints themselves returned for this
+	// call, also if it got a score after them.
 	Failures int
-	// MaxAttempts is how many failures the route allows the call; it is set for
-	// ErrFailed too.
+	// MaxAttempts is the number of failures that the route allows for the call; it is
+	// also set with ErrFailed.
 	MaxAttempts int
 }
 
 // RewardClient sends reward calls.
 type RewardClient interface {
-	// Score sends a call to endpoints of its route until one has answered. Its
-	// error is, or wraps, ErrNotRun, ErrFailed or ErrBroken; ErrFailed says that
-	// Failures is above 0.
-	Score(ctx context.Context, ask RewardRequest) (RewardResponse, error)
+	// Score sends a call to endpoints of its route until one has answered. Its error
+	// is or wraps ErrNotRun, ErrFailed or ErrBroken; with ErrFailed, Failures is above 0.
+	Score(ctx context.Context, req RewardRequest) (RewardResponse, error)
 }
 
 const (
-	// rewardRetryPause is the pause before a reward call that got no score is sent
-	// again, a fifth of the 200 ms that one takes. It doubles with each send in
-	// a row that no endpoint answered.
+	// rewardRetryPause is the backoff before a reward call that got no score is
+	// retried, a fifth of the 200 ms that a call takes. It doubles with each
+	// consecutive attempt that no endpoint answered.
 	rewardRetryPause = 40 * time.Millisecond
-	// maxRewardDoublings bounds that pause at 640 ms.
+	// maxRewardDoublings bounds the backoff at 640 ms.
 	maxRewardDoublings = 4
 )
 
-// scoreOrFinish lets a task whose text has its last event be scored, or finishes it
-// if it needs no score. It is called with w.mu held.
+// scoreOrFinish starts to score a task whose text is complete, or finishes it if it
+// needs no score. It is called with w.mu held.
 func (w *Worker) scoreOrFinish(t *task) {
 	t.complete = true
 	if t.item.Reward == nil {
@@ -70,34 +69,34 @@
 	}()
 }
 
-// score sends a task's reward call until it has a score. ErrFailed says that
-// the call failed as often as its route allows; any other error is ctx's.
+// score retries a task's reward call until it has a score. ErrFailed means that the
+// call failed as often as its route allows; any other error is the context's.
 func (w *Worker) score(ctx context.Context, t *task) (string, error) {
-	for silent := 0; ; {
+	for unanswered := 0; ; {
 		began := time.Now()
-		answer, err := w.Rewards.Score(ctx, RewardRequest{Call: t.item.Reward, QueueTime: t.j.job.queueTime(), TimeLeft: w.timeLeft(t.j.job)})
+		response, err := w.Rewards.Score(ctx, RewardRequest{Call: t.item.Reward, QueueTime: t.j.job.queueTime(), TimeLeft: w.timeLeft(t.j.job)})
 		if err == nil {
-			return answer.Score, nil
+			return response.Score, nil
 		}
 		if ctx.Err() != nil {
 			return "", context.Cause(ctx)
 		}
-		silent++
+		unanswered++
 		if errors.Is(err, ErrFailed) {
-			silent = 0
-			if w.addRewardFailures(t, answer.Failures) >= answer.MaxAttempts {
+			unanswered = 0
+			if w.addRewardFailures(t, response.Failures) >= response.MaxAttempts {
 				return "", err
 			}
 		}
 		w.Counters.Retry(t.j.job.Route, rewardReason(err))
 		w.rewardLogger(t).WithError(err).WithField("took_ms", time.Since(began).Milliseconds()).Info("item not scored yet")
-		if err := pause.Sleep(ctx, rewardRetryPause<<min(silent, maxRewardDoublings)); err != nil {
+		if err := pause.Sleep(ctx, rewardRetryPause<<min(unanswered, maxRewardDoublings)); err != nil {
 			return "", err
 		}
 	}
 }
 
-// addRewardFailures counts failures of a reward call and returns how many there were.
+// addRewardFailures adds to a task's count of reward failures and returns the sum.
 func (w *Worker) addRewardFailures(t *task, failures int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -105,7 +104,7 @@
 	return t.rewardFailures
 }
 
-// handleScore decides what follows from the end of a task's scoring.
+// handleScore finishes or removes a task after its scoring returned.
 func (w *Worker) handleScore(ctx context.Context, t *task, score string, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -125,12 +124,12 @@
 	case errors.Is(stopped, errExpired):
 		log.Warn("item given up: its time is up before it has a score")
 		w.finish(t, StateFailed, "")
-	default: // its job ended, another agent has it, or this process ends
+	default: // its job has ended, it is handed over, or this process stops
 		w.removeTask(t)
 	}
 }
 
-// rewardLogger is the logger of what happens to a task's reward call.
+// rewardLogger returns the logger for a task's reward call.
 func (w *Worker) rewardLogger(t *task) logrus.FieldLogger {
 	return w.Log.WithFields(logrus.Fields{
 		observe.FieldItem: t.item.ID, observe.FieldJob: t.j.job.ID, observe.FieldReward: t.item.Reward.ID,
@@ -138,7 +137,7 @@
 	})
 }
 
-// Reasons for which a reward call is sent again.
+// Reasons for which a reward call is retried.
 const (
 	reasonRewardNotRun = "reward_not_run"
 	reasonRewardFailed = "reward_failed"
--- a/batch/run.go
+++ b/batch/run.go
@@ -11,28 +11,29 @@
 	"mulberryscale.example/observe"
 )
 
-// Causes for which a run is stopped.
+// Causes for which a run is cancelled.
 var (
 	errJobEnded        = errors.New("batch: the job has ended")
-	errHandedOver      = errors.New("batch: given to another agent")
+	errHandedOver      = errors.New("batch: handed over to another agent")
 	errStalled         = errors.New("batch: no event for too long")
-	errEngineRestarted = errors.New("batch: the engine started again")
-	errExpired         = errors.New("batch: the item's time is up")
+	errEngineRestarted = errors.New("batch: the engine restarted")
+	errExpired         = errors.New("batch: the item has expired")
 )
 
 const (
 	// stallTimeout is how long a run may go without an event. Events come every
-	// 40 ms, on an engine that is slowed down tenfold every 400 ms; the first
-	// one also waits for the prompt to be read.
+	// 40 ms, on an engine that is slowed down tenfold every 400 ms; the first one
+	// also waits for the engine to process the prompt.
 	stallTimeout = 1500 * time.Millisecond
-	// runRetryPause is the pause before an engine that did not take a run is asked again.
+	// runRetryPause is the backoff before a run that the engine did not take is retried.
 	runRetryPause = 40 * time.Millisecond
-	// maxBrokenAnswers is how many broken answers without any event in between an item
-	// may meet here before another agent is asked to take it. It does not come back.
+	// maxBrokenAnswers is the number of broken or stalled answers, without any event in
+	// between, after which an item is handed over to another agent. It is not handed
+	// back to this one.
 	maxBrokenAnswers = 2
 )
 
-// stream reads a run's answer to its end; nil says that the answer is whole.
+// stream starts a run and reads its events; nil means that the answer is complete.
 func (w *Worker) stream(ctx context.Context, t *task, run Run) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -57,10 +58,10 @@
 		w.mu.Lock()
 		t.add(event)
 		w.engine.recordEvent(t.j.job.Model, event.Version, now.Sub(last), event.ID > run.LastEventID+1)
-		fits := t.textAllowed()
+		allowed := t.textAllowed()
 		w.mu.Unlock()
 		last = now
-		if !fits {
+		if !allowed {
 			return errVersion
 		}
 	}
@@ -68,7 +69,7 @@
 
 var errVersion = errors.New("batch: weight version out of the job's bounds")
 
-// cause prefers the reason for which ctx was cancelled.
+// cause returns the cause for which ctx was cancelled, or err if it was not.
 func cause(ctx context.Context, err error) error {
 	if c := context.Cause(ctx); c != nil {
 		return c
@@ -76,7 +77,7 @@
 	return err
 }
 
-// handleRunEnd decides what follows from the end of a run.
+// handleRunEnd scores, finishes, removes or retries a task after its run returned.
 func (w *Worker) handleRunEnd(ctx context.Context, t *task, err error, took time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -106,7 +107,7 @@
 	w.retryOrFail(t, err)
 }
 
-// retryOrFail lets a task wait for another run, or fails it for good. It is called
+// retryOrFail queues a task for another run, or finishes it as failed. It is called
 // with w.mu held.
 func (w *Worker) retryOrFail(t *task, err error) {
 	t.notBefore = time.Now()
@@ -141,11 +142,11 @@
 	w.waiting = slices.Insert(w.waiting, at, t)
 	if w.isQuarantined(t) {
 		w.Quarantine.CountRefused()
-		w.Log.WithFields(t.fields()).WithField(observe.FieldContent, t.subject).Warn("item held: engines have ended under it")
+		w.Log.WithFields(t.fields()).WithField(observe.FieldContent, t.subject).Warn("item quarantined: engines have crashed under it")
 	}
 }
 
-// finish hands a result to the outbox. It is called with w.mu held.
+// finish puts a task's result into the outbox. It is called with w.mu held.
 func (w *Worker) finish(t *task, state State, score string) {
 	t.finished = true
 	r := Result{ID: t.item.ID, State: state, Group: t.item.Group}
@@ -155,7 +156,8 @@
 	t.j.outbox.put(t.index, r)
 }
 
-// removeTask lets go of a task. It is called with w.mu held.
+// removeTask removes a task from its job and from the waiting ones. It is called with
+// w.mu held.
 func (w *Worker) removeTask(t *task) {
 	if t.j.tasks[t.index] == t {
 		delete(t.j.tasks, t.index)
@@ -163,7 +165,7 @@
 	w.waiting = slices.DeleteFunc(w.waiting, func(o *task) bool { return o == t })
 }
 
-// Reasons for which an item is run again.
+// Reasons for which a run is retried.
 const (
 	reasonNotRun          = "not_run"
 	reasonFailed          = "failed"
--- a/batch/schedule.go
+++ b/batch/schedule.go
@@ -10,7 +10,8 @@
 	"mulberryscale.example/fleet"
 )
 
-// schedule starts what waits whenever something changes.
+// schedule starts waiting tasks, at each wake-up and at least every scheduleInterval,
+// until ctx is done.
 func (w *Worker) schedule(ctx context.Context) {
 	for ctx.Err() == nil {
 		next := w.startWaiting(ctx)
@@ -22,10 +23,11 @@
 	}
 }
 
-// scheduleInterval is how often the scheduler looks by itself.
+// scheduleInterval is the maximum time between two runs of the scheduler.
 const scheduleInterval = 200 * time.Millisecond
 
-// startWaiting starts what can start and says when to look again.
+// startWaiting starts the waiting tasks that can run now and returns the time until
+// the next run of the scheduler.
 func (w *Worker) startWaiting(ctx context.Context) time.Duration {
 	instance, ok := w.instance()
 	w.mu.Lock()
@@ -52,7 +54,7 @@
 	return next
 }
 
-// start runs a task. It is called with w.mu held.
+// start sends a task to the engine. It is called with w.mu held.
 func (w *Worker) start(ctx context.Context, t *task, instance fleet.Instance) {
 	ctx, t.cancel = context.WithCancelCause(ctx)
 	t.stopped = make(chan struct{})
@@ -77,7 +79,7 @@
 	}()
 }
 
-// timeLeft is how long an item of a job may still run.
+// timeLeft returns the time left until the items of a job expire, at least a second.
 func (w *Worker) timeLeft(job *Job) time.Duration {
 	now, ok := w.Now()
 	if !ok {
--- a/batch/scope.go
+++ b/batch/scope.go
@@ -5,16 +5,17 @@
 	"strings"
 )
 
-// scopeSeparator stands between an organisation and the id of one of its jobs.
+// scopeSeparator separates an organisation from the id of one of its jobs.
 const scopeSeparator = ":"
 
-// maxJobID bounds a scoped id in bytes: it is part of the names of rows, which
-// the store bounds at 200, and of objects.
+// maxJobID bounds a scoped id in bytes: it is part of the names of objects and of
+// rows, which the store limits to 200.
 const maxJobID = 180
 
-// ScopedID is the id of a client's job within its organisation; the empty name is no
-// organisation. Jobs of two organisations never have the same, so that whoever
-// asks under one name finds nothing of another's, and takes no id from it.
+// ScopedID returns the id under which a client's job is stored: its id, scoped to its
+// organisation; the empty name means none. Scoped ids of two organisations never
+// collide, so that a client neither finds another organisation's jobs nor takes up
+// an id of theirs.
 func ScopedID(organisation, id string) string {
 	if organisation == "" && !strings.Contains(id, scopeSeparator) {
 		return id
@@ -22,12 +23,12 @@
 	return url.QueryEscape(organisation) + scopeSeparator + id
 }
 
-// validJobID reports whether a job of a scoped id can be in the store.
+// validJobID reports whether the store can hold a job with the scoped id.
 func validJobID(scoped string) bool {
 	return len(scoped) <= maxJobID && !strings.Contains(scoped, "/")
 }
 
-// ClientID is the id by which a job's client knows it.
+// ClientID returns the id that the client gave to the job with a scoped id.
 func ClientID(scoped string) string {
 	if _, id, ok := strings.Cut(scoped, scopeSeparator); ok {
 		return id
@@ -35,5 +36,5 @@
 	return scoped
 }
 
-// scopedID is the job's id in the store.
+// scopedID returns the job's id in the store.
 func (s *Submission) scopedID() string { return ScopedID(s.Organisation, s.ID) }
--- a/batch/task.go
+++ b/batch/task.go
@@ -14,53 +14,55 @@
 	"mulberryscale.example/quarantine"
 )
 
-// task is an item that is held here.
+// task is an item that this agent holds: it waits, runs, is scored, or its result is
+// being appended.
 type task struct {
 	j     *workJob
 	item  *Item
 	index int
-	// text are the events so far, versions those that generated them.
+	// text holds the events so far, versions the weight versions that generated them.
 	text     []string
 	versions []uint64
-	// lineage names the text; saved is how many of its events are in the store.
+	// lineage identifies the text; saved is the number of its events in the store.
 	lineage string
 	saved   int
-	// complete says that the text has its last event; such a task waits for its
-	// score or for its result to be appended, and needs the engine no more.
+	// complete is true if the text has its last event; such a task waits for its
+	// score or for its result to be appended, and no longer needs the engine.
 	complete bool
-	// failures counts the engine's failures, breaks its broken answers since
-	// the last event.
+	// failures counts the runs that the engine failed, brokenAnswers the answers that
+	// broke off or stalled since the last event.
 	failures      int
 	brokenAnswers int
-	// rewardFailures counts the failures that the reward call was answered
-	// with, by all holders of the item as far as is known.
+	// rewardFailures counts the failures of the reward call, over all agents that have
+	// held the item, as far as is known.
 	rewardFailures int
-	// savedComplete says that the store knows the text as whole, savedFailures how
-	// many failures of the reward call it knows of.
+	// savedComplete is true if the text is saved as complete; savedFailures is the
+	// saved number of failures of the reward call.
 	savedComplete bool
 	savedFailures int
-	// avoid are engines where it broke off again and again.
+	// avoid are the addresses of engines whose answers to the item broke off repeatedly.
 	avoid []string
-	// notBefore is when it may be sent again.
+	// notBefore is the earliest time of the next run.
 	notBefore time.Time
-	// cancel stops the run, or the scoring of a whole text; nil while none of
-	// them goes on.
+	// cancel cancels the run, or the scoring of a complete text; nil if neither is in
+	// progress.
 	cancel context.CancelCauseFunc
-	// stopped is closed when the run or the scoring has ended.
+	// stopped is closed when the run or the scoring has returned.
 	stopped chan struct{}
-	// sentTo is the incarnation of the engine that it was last sent to.
+	// sentTo is the incarnation of the engine to which the item was last sent.
 	sentTo fleet.Incarnation
 	// subject names its content, empty until it is asked for.
 	subject quarantine.Fingerprint
-	// handingOver says that it is being handed over to another agent.
+	// handingOver is true while the item is being handed over to another agent.
 	handingOver bool
-	// finished says that the outbox has the result.
+	// finished is true if the result is in the outbox.
 	finished bool
 }
 
-// compareTasks orders tasks by when they should start: those of the job whose turn
-// comes first, mostly the older one, since a trainer's next step waits for it; within a job those that ran
-// before, then the longest, since the longest decides when a job is done.
+// compareTasks orders tasks by when they should start: by the queue time of their
+// job, so mostly the older job first, since a trainer's next step waits for it;
+// within a job those that ran before, then the longest, since the longest decides
+// when the job is done.
 func compareTasks(a, b *task) int {
 	return cmp.Or(
 		cmp.Compare(a.j.job.queueTime(), b.j.job.queueTime()),
@@ -70,17 +72,17 @@
 	)
 }
 
-// stop ends the run if there is one. It is called with the worker's mu held.
+// stop cancels the run or the scoring, if any. It is called with the worker's mu held.
 func (t *task) stop(cause error) {
 	if t.cancel != nil {
 		t.cancel(cause)
 	}
 }
 
-// textAllowed reports whether the text may be used under the job's bounds.
+// textAllowed reports whether the job allows the weight versions of the text.
 func (t *task) textAllowed() bool { return t.j.job.allowsVersions(t.versions) }
 
-// allowsVersions reports whether text of some versions may be used in the job.
+// allowsVersions reports whether the job allows text of these weight versions.
 func (j *Job) allowsVersions(versions []uint64) bool {
 	if len(versions) == 0 {
 		return true
@@ -91,21 +93,21 @@
 	return !j.SingleVersion || len(versions) == 1
 }
 
-// discardText drops the text.
+// discardText discards the text, so that the next run starts from the beginning.
 func (t *task) discardText() {
 	t.text, t.versions, t.complete = nil, nil, false
 	t.beginLineage()
 }
 
-// beginLineage names the text anew, so that the store knows nothing of it yet.
+// beginLineage gives the text a new lineage, of which nothing is saved yet.
 func (t *task) beginLineage() {
 	t.lineage, t.saved, t.savedComplete, t.savedFailures = newLineage(), 0, false, 0
 }
 
-// newLineage names a new text.
+// newLineage returns a unique lineage.
 func newLineage() string { return uuid.NewString() }
 
-// add takes an event.
+// add appends an event to the text.
 func (t *task) add(e Event) {
 	t.text = append(t.text, e.Data)
 	t.brokenAnswers = 0
@@ -114,6 +116,7 @@
 	}
 }
 
+// fields returns the log fields of a task.
 func (t *task) fields() logrus.Fields {
 	return logrus.Fields{
 		observe.FieldItem: t.item.ID, observe.FieldJob: t.j.job.ID, "events": len(t.text),
--- a/batch/update.go
+++ b/batch/update.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// feedWait is how long the store may hold a feed call that has nothing to
-	// tell of a job. Whoever waits longer asks again, so that a feed that has gone
-	// silent hides nothing for longer.
+	// feedWait is how long the store may hold a feed call while there is no change.
+	// Callers that wait longer call again, so that a feed that no longer responds
+	// delays results no longer than that.
 	feedWait = 400 * time.Millisecond
-	// feedGrace is how long after its time to wait a feed call may be answered
-	// before the list is read whole instead. Together with updateWait it is below
-	// the second after which every entry must show what one has shown.
+	// feedGrace is how late, after its time to wait, a feed call may return before
+	// the entire list is read instead. The sum of feedWait and feedGrace is below the
+	// second after which every entry must show the results that one has shown.
 	feedGrace = 500 * time.Millisecond
-	// updateTimeout bounds an update: a silent feed, then the list.
+	// updateTimeout bounds an update: a feed call that times out, then reading the list.
 	updateTimeout = feedWait + feedGrace + 1500*time.Millisecond
 )
 
-// update is one reading of what is new in a job's list, shared by all callers
-// that read the job meanwhile.
+// update is one update of a job's list, shared by all callers that read the job
+// while it is in flight.
 type update struct {
-	done  chan struct{} // closed at its end
+	done  chan struct{} // closed when the update is done
 	began time.Time
 	err   error // set before done is closed
 }
 
-// errUpdatePending says that an update has not ended in the caller's time.
+// errUpdatePending means that an update was not done within the time that a caller waits.
 var errUpdatePending = errors.New("batch: the job's list is still being read")
 
-// await waits for the update's end, for limit at most.
+// await waits until the update is done, at most for limit, and returns its error. It
+// returns nil at the limit while the feed call may still be waiting for a change.
 func (u *update) await(ctx context.Context, limit time.Duration) error {
 	select {
 	case <-u.done:
@@ -44,7 +45,7 @@
 		return u.err
 	case <-time.After(limit):
 		if time.Since(u.began) < feedWait+feedGrace {
-			return nil // the feed is listened to and has told of nothing
+			return nil // the feed call is still waiting: there is no change
 		}
 		return errUpdatePending
 	case <-ctx.Done():
@@ -52,13 +53,13 @@
 	}
 }
 
-// maxListAge is how old a list may be while the feed is being listened to: an
-// update that hears nothing ends within it and is followed by the next.
+// maxListAge is how old a list may be while an update is in flight: an update
+// without changes is done within it and followed by the next.
 const maxListAge = feedWait + 100*time.Millisecond
 
-// inFlight is the update in flight, if any; current says that the list was up to
-// date a moment ago and the feed is listened to since, so that there is nothing to
-// catch up with. An update alone says nothing: it may be the first in seconds.
+// inFlight returns the update in flight, if any; current says that the list was up to
+// date less than maxListAge ago and the feed is watched since, so that nothing is
+// missing. An update in flight alone does not show that: it may be the first in seconds.
 func (r *Reader) inFlight(j *cachedJob) (u *update, current bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,7 +67,8 @@
 	return u, u != nil && j.listing != nil && time.Since(j.freshAt) < maxListAge
 }
 
-// startUpdate begins an update unless one is in flight; the store may hold it for wait.
+// startUpdate starts an update unless one is in flight, and returns it; the store may
+// hold its feed call for wait.
 func (r *Reader) startUpdate(id string, j *cachedJob, wait time.Duration) *update {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,7 +78,7 @@
 	u := &update{done: make(chan struct{}), began: time.Now()}
 	j.update = u
 	go func() {
-		// No caller's context: others may have joined it.
+		// Not the context of the caller: others may share the update.
 		ctx, cancel := context.WithTimeout(context.Background(), updateTimeout)
 		defer cancel()
 		err := r.fetch(ctx, id, j, wait)
@@ -91,8 +93,9 @@
 	return u
 }
 
-// fetch brings a job's list up to date: from the feed of its table, or whole
-// where none is known, the feed gives no answer or no longer reaches back.
+// fetch brings a job's list up to date: from the feed of its table, or by reading the
+// entire list if none is cached, or if the feed does not respond or no longer has the
+// changes since the list's version.
 func (r *Reader) fetch(ctx context.Context, id string, j *cachedJob, wait time.Duration) error {
 	r.mu.Lock()
 	known := j.listing
@@ -116,13 +119,13 @@
 	return nil
 }
 
-// fullFeedBytes is the size of an answer from which on the feed may have been cut
-// off: the store bounds a page at 1 MB, and does not say so of feeds.
+// fullFeedBytes is the size from which on a feed's response may be truncated: the
+// store limits a page to 1 MB, and does not tell whether that applies to feeds.
 const fullFeedBytes = 128 << 10
 
-// fetchFeed applies what the feed tells of a job after a version, to the end. A
-// list that is read up to the middle of what has changed would hide positions
-// that others have shown.
+// fetchFeed applies all changes of a job after a version, as the feed returns them. A
+// list that had only some of the changes would lack positions that other entries have
+// shown already.
 func (r *Reader) fetchFeed(ctx context.Context, id string, listing *Listing, version uint64, wait time.Duration) error {
 	for {
 		s, err := r.callFeed(ctx, id, version, wait)
@@ -139,7 +142,7 @@
 	}
 }
 
-// callFeed makes one call.
+// callFeed makes one call to the feed of a job's table.
 func (r *Reader) callFeed(ctx context.Context, id string, version uint64, wait time.Duration) (store.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+feedGrace)
 	defer cancel()
--- a/batch/worker.go
+++ b/batch/worker.go
@@ -13,44 +13,46 @@
 	"mulberryscale.example/store"
 )
 
-// WorkerConfig is what a Worker runs with.
+// WorkerConfig holds the settings and dependencies of a Worker.
 type WorkerConfig struct {
-	// Node names this process; Incarnation is new at each start.
+	// Node is the name of this process; Incarnation is unique to each of its starts.
 	Node, Incarnation string
-	// Engine is the address of the engine beside this process, Service its service.
+	// Engine is the address of the engine beside this process, Service the engine's service.
 	Engine, Service string
-	// PeerPort is where the agents listen, on the machines of their engines.
+	// PeerPort is the port on which all agents listen, on the machines of their engines.
 	PeerPort int
 	View     *fleet.View
 	Ledger   *Ledger
 	// Direct is this process's own path to the store, by which it makes calls for
-	// others; nil makes none.
+	// others; nil means that it makes none.
 	Direct store.Store
-	// Demand is fed by the worker.
+	// Demand is updated by the worker from the jobs it reads.
 	Demand *Demand
 	// JobsPace is how the jobs are followed.
 	JobsPace store.Pace
-	// StoreWriteRate is the store's write calls a second for all processes; 0 is unknown.
+	// StoreWriteRate is the number of write calls a second that the store takes from all
+	// processes together; 0 means unknown.
 	StoreWriteRate int
 	Engines        EngineClient
-	// Rewards scores whole texts; nil where no job has reward calls.
+	// Rewards scores complete texts; nil if no job has reward calls.
 	Rewards RewardClient
 	Peers   PeerClient
-	// Quarantine keeps items that end engines away from them; nil keeps none.
+	// Quarantine keeps items that crash engines away from them; nil disables that.
 	Quarantine *quarantine.Tracker
-	// Now is the store's clock; false before it is known.
+	// Now returns the store's clock; false before it is known.
 	Now      func() (time.Duration, bool)
 	Log      logrus.FieldLogger
 	Counters *observe.Counters
 }
 
-// Worker runs the items of batch jobs on the engine beside it: its own part of
-// each job, and what other agents give or leave. It is safe for concurrent use.
+// Worker runs items of batch jobs on the engine beside it: its own part of each job,
+// and items that other agents hand over or leave orphaned. It is safe for concurrent
+// use.
 type Worker struct {
 	WorkerConfig
 	// wakeup wakes the scheduler.
 	wakeup chan struct{}
-	// ctx is the one that Run was called with; started is closed once it is set.
+	// ctx is the context of Run; started is closed once it is set.
 	ctx     context.Context
 	started chan struct{}
 
@@ -58,35 +60,37 @@
 
 	mu       sync.Mutex
 	jobs     map[string]*workJob
-	waiting  []*task // in the order in which they are to start
+	waiting  []*task // in the order of compareTasks
 	running  map[*task]struct{}
-	scoring  map[*task]struct{} // whole texts that wait for their score
+	scoring  map[*task]struct{} // tasks with complete text that wait for their score
 	stopping bool
 	engine   engineState
-	// token is the fencing token of this incarnation's orders: the store's
-	// version at its start, so that it grows over restarts.
+	// token is the fencing token of this incarnation's orders: the store's version at
+	// its start, so that it does not decrease over restarts.
 	token uint64
 }
 
-// workJob is a job that is open as far as is known here.
+// workJob is a job as this worker knows it.
 type workJob struct {
 	job *Job
-	// items are nil until they have been read.
+	// items is nil until it is read; owners holds for each item the index of its owner
+	// in Job.Owners.
 	items  []Item
 	owners []int
-	// tasks are the items held here, by index; done are those whose results
-	// this process has appended or found in the store.
+	// tasks are the items held here, by index; done are those whose results this
+	// process has appended or found in the store.
 	tasks map[int]*task
 	done  map[int]bool
-	// finished says that every item is known to be listed.
+	// finished is true if all items are known to have results, ended if the client has
+	// ended the job.
 	finished bool
 	ended    bool
 	outbox   *outbox
-	// orphansChecked is when the items without a holder were last looked for.
+	// orphansChecked is when orphaned items of the job were last looked for.
 	orphansChecked time.Time
 }
 
-// NewWorker returns a worker; Run must run.
+// NewWorker returns a worker; it does nothing until Run is called.
 func NewWorker(cfg WorkerConfig) *Worker {
 	return &Worker{
 		WorkerConfig: cfg, wakeup: make(chan struct{}, 1), started: make(chan struct{}), jobs: map[string]*workJob{},
@@ -94,7 +98,7 @@
 	}
 }
 
-// Run works until ctx ends; what still runs then is cut off. It is called once.
+// Run works until ctx is done; runs in progress are then cancelled. It is called once.
 func (w *Worker) Run(ctx context.Context) {
 	w.ctx = ctx
 	close(w.started)
@@ -108,7 +112,7 @@
 	wg.Wait()
 }
 
-// wake makes the scheduler look again.
+// wake makes the scheduler run again.
 func (w *Worker) wake() {
 	select {
 	case w.wakeup <- struct{}{}:
@@ -120,7 +124,7 @@
 func (w *Worker) Replace(s store.Snapshot) {
 	w.mu.Lock()
 	if w.token == 0 {
-		w.token = s.Version + 1 // an empty store has version 0, which is no token
+		w.token = s.Version + 1 // an empty store has version 0, which is not a valid token
 	}
 	w.mu.Unlock()
 	w.Apply(s)
@@ -154,14 +158,14 @@
 	w.removeExpiredJobs(s.Now)
 }
 
-// Load is how many items take a place at the engine or wait for one.
+// Load returns the number of items that run on the engine or wait for a slot.
 func (w *Worker) Load() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.waiting) + len(w.running)
 }
 
-// instance is the engine's incarnation, if it is registered and takes work.
+// instance returns the engine's instance; false unless it is registered and takes work.
 func (w *Worker) instance() (fleet.Instance, bool) {
 	i, ok := w.View.Snapshot().AtAddr(w.Engine)
 	return i, ok && !i.Draining && i.Service == w.Service
