--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -15,10 +15,10 @@
 		took        time.Duration
 		want        error
 	}{
-		"whole":           {2 * time.Second, time.Hour, 2 * time.Second, nil},
-		"cut short":       {2 * time.Second, time.Second, time.Second, errStop},
-		"none":            {0, time.Hour, 0, nil},
-		"none, at an end": {-time.Second, -1, 0, errStop},
+		"complete":                {2 * time.Second, time.Hour, 2 * time.Second, nil},
+		"cancelled":               {2 * time.Second, time.Second, time.Second, errStop},
+		"none":                    {0, time.Hour, 0, nil},
+		"none, already cancelled": {-time.Second, -1, 0, errStop},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/quarantine/history_test.go
+++ b/quarantine/history_test.go
@@ -57,17 +57,17 @@
 		want  State
 		wait  time.Duration
 	}{
-		"nothing known":         {newHistory(), RequestLimit, 0, Clear, 0},
-		"one end":               {sequentialCrashes(1, at), RequestLimit, 0, Suspect, 0},
-		"ends together":         {simultaneousCrashes(5, at), RequestLimit, 0, Suspect, 0},
-		"second send beside":    {overlappingCrashes(at), RequestLimit, 10 * time.Second, Quarantined, 20 * time.Second},
-		"two ends":              {sequentialCrashes(2, at), RequestLimit, 10 * time.Second, Quarantined, 20 * time.Second},
-		"two ends of an item":   {sequentialCrashes(2, at), ItemLimit, 0, Suspect, 0},
-		"three ends of an item": {sequentialCrashes(3, at), ItemLimit, 0, Quarantined, 30 * time.Second},
-		"first trial due":       {sequentialCrashes(2, at), RequestLimit, 30 * time.Second, TrialDue, 0},
-		"first trial claimed":   {withTrials(sequentialCrashes(2, at), at+30*time.Second), RequestLimit, 40 * time.Second, Quarantined, 5*time.Minute - 10*time.Second},
-		"second trial due":      {withTrials(sequentialCrashes(3, at), at+30*time.Second), RequestLimit, 6 * time.Minute, TrialDue, 0},
-		"no trial left":         {withTrials(sequentialCrashes(5, at), 1, 2, 3), RequestLimit, 23 * time.Hour, Quarantined, time.Hour},
+		"nothing known":            {newHistory(), RequestLimit, 0, Clear, 0},
+		"one crash":                {sequentialCrashes(1, at), RequestLimit, 0, Suspect, 0},
+		"simultaneous crashes":     {simultaneousCrashes(5, at), RequestLimit, 0, Suspect, 0},
+		"overlapping sends":        {overlappingCrashes(at), RequestLimit, 10 * time.Second, Quarantined, 20 * time.Second},
+		"two crashes":              {sequentialCrashes(2, at), RequestLimit, 10 * time.Second, Quarantined, 20 * time.Second},
+		"two crashes of an item":   {sequentialCrashes(2, at), ItemLimit, 0, Suspect, 0},
+		"three crashes of an item": {sequentialCrashes(3, at), ItemLimit, 0, Quarantined, 30 * time.Second},
+		"first trial due":          {sequentialCrashes(2, at), RequestLimit, 30 * time.Second, TrialDue, 0},
+		"first trial claimed":      {withTrials(sequentialCrashes(2, at), at+30*time.Second), RequestLimit, 40 * time.Second, Quarantined, 5*time.Minute - 10*time.Second},
+		"second trial due":         {withTrials(sequentialCrashes(3, at), at+30*time.Second), RequestLimit, 6 * time.Minute, TrialDue, 0},
+		"no trial left":            {withTrials(sequentialCrashes(5, at), 1, 2, 3), RequestLimit, 23 * time.Hour, Quarantined, time.Hour},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, wait := c.h.state(c.limit, at+c.after)
@@ -111,8 +111,8 @@
 		h      *history
 		memory time.Duration
 	}{
-		"suspect": {sequentialCrashes(1, time.Hour), suspectTTL},
-		"held":    {sequentialCrashes(2, time.Hour), quarantineTTL},
+		"suspect":     {sequentialCrashes(1, time.Hour), suspectTTL},
+		"quarantined": {sequentialCrashes(2, time.Hour), quarantineTTL},
 	} {
 		if c.h.expired(time.Hour+c.memory) || !c.h.expired(time.Hour+c.memory+1) {
 			t.Errorf("%s: not remembered for exactly %v", name, c.memory)
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -45,11 +45,11 @@
 
 func TestEndsAreKnownToAllProcesses(t *testing.T) {
 	for name, outcomes := range map[string][]rowstore.Outcome{
-		"written":         nil,
-		"refused once":    {rowstore.Refused},
-		"answer lost":     {rowstore.Lost},
-		"lost altogether": {rowstore.Dropped, rowstore.Dropped},
-		"done late":       {rowstore.Late},
+		"written":            nil,
+		"refused once":       {rowstore.Refused},
+		"answer lost":        {rowstore.Lost},
+		"request lost twice": {rowstore.Dropped, rowstore.Dropped},
+		"applied late":       {rowstore.Late},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
