--- a/background/gate.go
+++ b/background/gate.go
@@ -8,64 +8,68 @@
 	"time"
 )
 
-// Gate lets calls to one service through, as many at a time as its window
-// allows and the most urgent first. It is safe for concurrent use.
+// Gate limits the concurrent calls to one service to the size of its window, and
+// admits the most urgent first. It is safe for concurrent use.
 type Gate struct {
 	mu      sync.Mutex
 	window  Window
 	open    int
-	waiting []*waiter // in the order in which they are let through
+	waiting []*waiter // in the order in which they will be admitted
 }
 
+// waiter is a call that waits for admission.
 type waiter struct {
-	rank time.Duration
-	pass chan struct{} // closed when it is let through
+	rank     time.Duration
+	admitted chan struct{} // closed on admission
 }
 
-// Enter waits until a call may begin; calls of a lower rank go first, those of
-// one rank in order of arrival. After nil, Leave must be called.
+// Enter waits until a call may start; calls of a lower rank go first, those of equal
+// rank in order of arrival. If it returns nil, Leave must be called when the call has
+// completed; else it returns the cause of ctx.
 func (g *Gate) Enter(ctx context.Context, rank time.Duration, s ServiceCapacity) error {
 	g.mu.Lock()
-	w := &waiter{rank: rank, pass: make(chan struct{})}
-	at, _ := slices.BinarySearchFunc(g.waiting, w, func(a, b *waiter) int {
-		return cmp.Or(cmp.Compare(a.rank, b.rank), -1) // behind those of its rank
+	w := &waiter{rank: rank, admitted: make(chan struct{})}
+	i, _ := slices.BinarySearchFunc(g.waiting, w, func(a, b *waiter) int {
+		return cmp.Or(cmp.Compare(a.rank, b.rank), -1) // after those of equal rank
 	})
-	g.waiting = slices.Insert(g.waiting, at, w)
+	g.waiting = slices.Insert(g.waiting, i, w)
 	g.admit(s)
 	g.mu.Unlock()
 	select {
-	case <-w.pass:
+	case <-w.admitted:
 		return nil
 	case <-ctx.Done():
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if at := slices.Index(g.waiting, w); at >= 0 {
-		g.waiting = slices.Delete(g.waiting, at, at+1)
+	if i := slices.Index(g.waiting, w); i >= 0 {
+		g.waiting = slices.Delete(g.waiting, i, i+1)
 		return context.Cause(ctx)
 	}
-	g.end(s) // it was let through just now
+	g.release(s) // it was admitted in the meantime
 	return context.Cause(ctx)
 }
 
-// Leave says that a call has ended, after what it told has been noted.
-func (g *Gate) Leave(s ServiceCapacity, note func(w *Window, now time.Time)) {
+// Leave removes a completed call. update is called first, to record in the window what the
+// call's answer said of the service's load.
+func (g *Gate) Leave(s ServiceCapacity, update func(w *Window, now time.Time)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	note(&g.window, time.Now())
-	g.end(s)
+	update(&g.window, time.Now())
+	g.release(s)
 }
 
-func (g *Gate) end(s ServiceCapacity) {
+// release frees the slot of a call. The caller holds g.mu.
+func (g *Gate) release(s ServiceCapacity) {
 	g.open--
 	g.window.CallDone(g.open, time.Now())
 	g.admit(s)
 }
 
-// admit lets through what the window allows. It is called with g.mu held.
+// admit admits as many waiting calls as the window allows. The caller holds g.mu.
 func (g *Gate) admit(s ServiceCapacity) {
 	for len(g.waiting) > 0 && g.open < g.window.Size(s, g.open, time.Now()) {
-		close(g.waiting[0].pass)
+		close(g.waiting[0].admitted)
 		g.waiting = g.waiting[1:]
 		g.open++
 	}
--- a/background/racelimit_test.go
+++ b/background/racelimit_test.go
@@ -1,4 +1,4 @@
 package background
 
-// The race detector and bubbles of testing/synctest need one processor.
+// The race detector and bubbles of testing/synctest need one processor; see racelimit.
 import _ "mulberryscale.example/internal/racelimit"
--- a/background/window.go
+++ b/background/window.go
@@ -1,21 +1,21 @@
-// Package background decides how many calls of a background kind a process keeps
-// open at a service that interactive callers share.
+// Package background limits how many background calls a process keeps open to a
+// service that also receives interactive requests.
 //
-// The pattern: bursts of background calls, from many senders that know nothing
-// of each other, beside interactive requests on endpoints that admit in order of
-// arrival and know no priorities. A background call has seconds to spare, an
-// interactive request a tenth of one; whatever waits in an endpoint's queue is
-// in front of the next interactive request. So the senders together should fill
-// a part of the places only, and wait for their turn in their own processes,
-// where a call that has become urgent can still go first.
+// The load it is made for: bursts of background calls, from many senders that do not
+// coordinate, next to interactive requests, on endpoints that admit requests in order
+// of arrival and have no priorities. A background call has seconds to spare, an
+// interactive request a tenth of a second; every call in an endpoint's queue delays the
+// next interactive request. So all senders together should use only a part of the
+// slots, and queue their calls in their own processes, where a call that has become
+// urgent can still go first.
 //
-// Measured by paired plays of a deployment with 24 places, nine senders and bursts
-// of a hundred calls, the window raised what all callers earned by 0.047 ± 0.007
-// of 1; without it 16 in 100 interactive requests took over 150 ms, with it 0.4
-// (package loadmodel, pattern short-desk).
+// In paired runs of a deployment with 24 slots, nine senders and bursts of a hundred
+// calls, the window raised the score of all callers by 0.047 ± 0.007 of 1; without it
+// 16 in 100 interactive requests took over 150 ms, with it 0.4 (package loadmodel,
+// pattern short-desk).
 //
 // Window has no clock, network or goroutine of its own; Gate reads the clock and
-// lets goroutines wait.
+// blocks the calling goroutines.
 package background
 
 import (
@@ -26,95 +26,94 @@
 )
 
 const (
-	// target is the share of an endpoint's places that background calls may
-	// fill. The rest is for interactive requests, and for what other senders
-	// have begun since the load was told: a told load is as old as the pause
-	// between two answers of the endpoint, during which each sender begins one
-	// call more.
-	target = 0.7
-	// spare is how many free places an endpoint should have for the next
+	// targetUse is the share of an endpoint's slots that background calls may use.
+	// The rest is for interactive requests, and for calls that other senders have
+	// started since the load was reported: a reported load is as old as the time
+	// between two answers of the endpoint, in which each sender starts one more
+	// call.
+	targetUse = 0.7
+	// spareSlots is how many free slots an endpoint should keep for the next
 	// interactive request.
-	spare = 1
-	// fewShare is the share of the target below which the window grows by a call
-	// for each answer, so that it doubles with each round of them: where 4 of 36
-	// senders have all calls, half of these were answered within 0.40 s instead of
-	// 0.64 s (package loadmodel, pattern few-senders).
-	fewShare = 0.5
-	// backOff is what an overloaded endpoint's answer shrinks the window to, as
-	// a share of it.
-	backOff = 0.6
-	// backOffPause is the least time between two shrinkings: answers that were
-	// under way together tell of the same queue.
-	backOffPause = 100 * time.Millisecond
-	// idleTime is how long without an open call makes the window forget what it
-	// learnt: bursts of all senders begin together, so each begins anew with its
-	// fair share.
+	spareSlots = 1
+	// doublingShare is the share of targetUse up to which the window grows by one call
+	// for each answer, so that it doubles with each round of answers. With all calls at
+	// 4 of 36 senders, half of the calls were answered within 0.40 s instead of 0.64 s
+	// (package loadmodel, pattern few-senders).
+	doublingShare = 0.5
+	// shrinkFactor is the factor by which the answer of an overloaded endpoint shrinks
+	// the window.
+	shrinkFactor = 0.6
+	// minShrinkInterval is the least time between two shrinks: answers that were in
+	// flight at the same time report the same queue.
+	minShrinkInterval = 100 * time.Millisecond
+	// idleTime is the time without an open call after which the window is reset to
+	// the sender's fair share: the bursts of all senders start at the same time.
 	idleTime = 500 * time.Millisecond
-	// minWindow lets a sender go on when it is told nothing.
+	// minWindow lets a sender make calls even when it knows nothing of the service.
 	minWindow = 1
 )
 
-// ServiceCapacity is what a sender can know of a service without asking anybody.
+// ServiceCapacity is what a sender knows of a service without any communication for it.
 type ServiceCapacity struct {
-	// Slots are those of all endpoints of the service.
+	// Slots is the number of slots of all endpoints of the service together.
 	Slots int
-	// Senders are the processes that send such calls, this one among them.
+	// Senders is the number of processes that send such calls, this one included.
 	Senders int
 }
 
-// fair is the window at which all senders together reach the target.
-func (s ServiceCapacity) fair() float64 {
-	return max(minWindow, target*float64(s.Slots)/float64(max(1, s.Senders)))
+// fairWindow returns the window with which all senders together reach targetUse.
+func (s ServiceCapacity) fairWindow() float64 {
+	return max(minWindow, targetUse*float64(s.Slots)/float64(max(1, s.Senders)))
 }
 
-// most is the window at which one sender alone does.
-func (s ServiceCapacity) most() float64 { return max(minWindow, target*float64(s.Slots)) }
+// maxWindow returns the window with which one sender alone reaches targetUse.
+func (s ServiceCapacity) maxWindow() float64 { return max(minWindow, targetUse*float64(s.Slots)) }
 
-// Window bounds one sender's open calls. It begins with the sender's fair share,
-// grows while endpoints tell of room, since other senders may have nothing to
-// send, and shrinks when one tells of a queue. It is not safe for concurrent use.
+// Window bounds the open calls of one sender. It starts at the sender's fair share,
+// grows while endpoints report free slots, since other senders may have nothing to
+// send, and shrinks when an endpoint reports a queue. It is not safe for concurrent use.
 type Window struct {
-	size     float64 // 0 before the first call
-	idleFrom time.Time
-	shrunk   time.Time
+	size       float64 // 0 before the first call
+	idleSince  time.Time
+	lastShrink time.Time
 }
 
-// Size is how many calls may be open.
+// Size returns how many calls may be open, given how many are.
 func (w *Window) Size(s ServiceCapacity, open int, now time.Time) int {
-	if w.size == 0 || (open == 0 && now.Sub(w.idleFrom) > idleTime) {
-		w.size = s.fair()
+	if w.size == 0 || (open == 0 && now.Sub(w.idleSince) > idleTime) {
+		w.size = s.fairWindow()
 	}
-	w.size = min(max(w.size, minWindow), s.most())
+	w.size = min(max(w.size, minWindow), s.maxWindow())
 	return int(math.Round(w.size))
 }
 
-// CallDone says that an open call has ended, and how many are left open.
+// CallDone records that a call has completed; open is the number of calls still open.
 func (w *Window) CallDone(open int, now time.Time) {
 	if open == 0 {
-		w.idleFrom = now
+		w.idleSince = now
 	}
 }
 
-// ObserveLoad takes the load that an endpoint told with an answer.
+// ObserveLoad adjusts the window to the load that an endpoint reported with an answer.
 func (w *Window) ObserveLoad(load fleet.Load, now time.Time) {
 	switch {
-	case load.Waiting > 0 || load.Running >= load.Places-spare:
+	case load.Waiting > 0 || load.Running >= load.Places-spareSlots:
 		w.shrink(now)
-	case float64(load.Running) <= fewShare*target*float64(load.Places):
+	case float64(load.Running) <= doublingShare*targetUse*float64(load.Places):
 		w.size++
-	case float64(load.Running) <= target*float64(load.Places):
+	case float64(load.Running) <= targetUse*float64(load.Places):
 		w.size += 1 / max(w.size, minWindow)
 	}
 }
 
-// Declined says that an endpoint had no room for a call. One that does not
-// answer says nothing of its load.
+// Declined shrinks the window, since an endpoint had no slot for a call. It is not
+// called for an endpoint that does not answer, whose load is unknown.
 func (w *Window) Declined(now time.Time) { w.shrink(now) }
 
 func (w *Window) shrink(now time.Time) {
-	if now.Sub(w.shrunk) < backOffPause {
+	if now.Sub(w.lastShrink) < minShrinkInterval {
 		return
 	}
-	w.shrunk = now
-	w.size = max(minWindow, backOff*w.size)
+	w.lastShrink = now
+	w.size = max(minWindow, shrinkFactor*w.size)
 }
--- a/background/window_test.go
+++ b/background/window_test.go
@@ -13,19 +13,19 @@
 )
 
 var (
-	start = time.Date(2000, time.January, 1, 0, 0, 0, 0, time.UTC)
-	share = ServiceCapacity{Slots: 24, Senders: 9}
+	start    = time.Date(2000, time.January, 1, 0, 0, 0, 0, time.UTC)
+	capacity = ServiceCapacity{Slots: 24, Senders: 9}
 )
 
-func TestWindowBeginsWithItsFairShare(t *testing.T) {
+func TestWindowStartsAtFairShare(t *testing.T) {
 	for name, c := range map[string]struct {
 		share ServiceCapacity
 		want  int
 	}{
-		"nine senders":           {ServiceCapacity{Slots: 24, Senders: 9}, 2}, // 0.7 x 24 / 9
-		"alone":                  {ServiceCapacity{Slots: 24, Senders: 1}, 17},
-		"more senders than room": {ServiceCapacity{Slots: 24, Senders: 100}, 1},
-		"nothing known":          {ServiceCapacity{}, 1},
+		"nine senders":            {ServiceCapacity{Slots: 24, Senders: 9}, 2}, // 0.7 x 24 / 9
+		"alone":                   {ServiceCapacity{Slots: 24, Senders: 1}, 17},
+		"more senders than slots": {ServiceCapacity{Slots: 24, Senders: 100}, 1},
+		"nothing known":           {ServiceCapacity{}, 1},
 	} {
 		var w Window
 		if got := w.Size(c.share, 0, start); got != c.want {
@@ -34,32 +34,33 @@
 	}
 }
 
-func TestWindowFollowsWhatEndpointsTell(t *testing.T) {
-	tell := func(w *Window, n int, l fleet.Load) int {
+func TestWindowFollowsReportedLoad(t *testing.T) {
+	observe := func(w *Window, n int, l fleet.Load) int {
 		now := start
 		for range n {
-			now = now.Add(backOffPause)
+			now = now.Add(minShrinkInterval)
 			w.ObserveLoad(l, now)
 		}
-		return w.Size(share, 1, now)
+		return w.Size(capacity, 1, now)
 	}
 	var w Window
-	w.Size(share, 0, start)
-	if got := tell(&w, 10, fleet.Load{Running: 1, Places: 6}); got != 12 {
-		t.Errorf("after ten answers of idle endpoints: %d", got)
+	w.Size(capacity, 0, start)
+	if got := observe(&w, 10, fleet.Load{Running: 1, Places: 6}); got != 12 {
+		t.Errorf("after ten answers of idle endpoints: window %d, want 12", got)
 	}
-	if got := tell(&w, 100, fleet.Load{Running: 1, Places: 6}); got != 17 {
-		t.Errorf("alone, it may fill its share of all places: %d", got)
+	if got := observe(&w, 100, fleet.Load{Running: 1, Places: 6}); got != 17 {
+		t.Errorf("without other load, up to its share of all slots: window %d, want 17", got)
 	}
-	if got := tell(&w, 1, fleet.Load{Running: 6, Waiting: 2, Places: 6}); got != 10 {
-		t.Errorf("after an answer that tells of a queue: %d", got)
+	if got := observe(&w, 1, fleet.Load{Running: 6, Waiting: 2, Places: 6}); got != 10 {
+		t.Errorf("after an answer that reports a queue: window %d, want 10", got)
 	}
-	if got := tell(&w, 20, fleet.Load{Running: 5, Places: 6}); got != 1 {
-		t.Errorf("endpoints without a spare place: %d", got)
+	if got := observe(&w, 20, fleet.Load{Running: 5, Places: 6}); got != 1 {
+		t.Errorf("endpoints without a spare slot: window %d, want 1", got)
 	}
 }
 
-// Answers that were under way together tell of one queue.
+// TestOneQueueShrinksTheWindowOnce: answers that were in flight at the same time report the same
+// queue, so the window shrinks once for all of them.
 func TestOneQueueShrinksTheWindowOnce(t *testing.T) {
 	var w Window
 	w.Size(ServiceCapacity{Slots: 100, Senders: 7}, 0, start)
@@ -67,26 +68,26 @@
 		w.ObserveLoad(fleet.Load{Running: 6, Waiting: 9, Places: 6}, start)
 	}
 	if got := w.Size(ServiceCapacity{Slots: 100, Senders: 7}, 1, start); got != 6 {
-		t.Fatalf("%d, want 0.6 of 10", got)
+		t.Fatalf("window %d, want 0.6 of 10", got)
 	}
 }
 
-func TestIdleWindowForgets(t *testing.T) {
+func TestIdleWindowIsReset(t *testing.T) {
 	var w Window
-	w.Size(share, 0, start)
+	w.Size(capacity, 0, start)
 	for range 50 {
 		w.ObserveLoad(fleet.Load{Places: 6}, start)
 	}
 	w.CallDone(0, start)
-	if got := w.Size(share, 0, start.Add(idleTime/2)); got != 17 {
-		t.Errorf("after a short pause: %d", got)
+	if got := w.Size(capacity, 0, start.Add(idleTime/2)); got != 17 {
+		t.Errorf("after a short pause: window %d, want 17", got)
 	}
-	if got := w.Size(share, 0, start.Add(2*idleTime)); got != 2 {
-		t.Errorf("after a long one: %d", got)
+	if got := w.Size(capacity, 0, start.Add(2*idleTime)); got != 2 {
+		t.Errorf("after a long pause: window %d, want 2", got)
 	}
 }
 
-func TestWindowStaysWithinItsBounds(t *testing.T) {
+func TestWindowStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := ServiceCapacity{Slots: rapid.IntRange(0, 200).Draw(t, "places"), Senders: rapid.IntRange(0, 50).Draw(t, "senders")}
 		var w Window
@@ -100,15 +101,16 @@
 			open = rapid.IntRange(0, 3).Draw(t, "open")
 			w.CallDone(open, now)
 			if n := w.Size(s, open, now); n < 1 || n > max(1, s.Slots) {
-				t.Fatalf("%d calls at %d places", n, s.Slots)
+				t.Fatalf("window %d for %d slots", n, s.Slots)
 			}
 		}
 	})
 }
 
-func noted(*Window, time.Time) {}
+// noUpdate is a Gate.Leave argument that leaves the window as it is.
+func noUpdate(*Window, time.Time) {}
 
-func TestGateLetsTheMostUrgentThroughFirst(t *testing.T) {
+func TestGateAdmitsMostUrgentFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &Gate{}
 		one := ServiceCapacity{Slots: 1, Senders: 1}
@@ -127,21 +129,22 @@
 				order = append(order, i)
 				mu.Unlock()
 				time.Sleep(time.Second)
-				g.Leave(one, noted)
+				g.Leave(one, noUpdate)
 			}()
 			synctest.Wait()
 		}
-		g.Leave(one, noted)
+		g.Leave(one, noUpdate)
 		time.Sleep(10 * time.Second)
 		mu.Lock()
 		defer mu.Unlock()
 		if want := [4]int{3, 1, 0, 2}; len(order) != 4 || [4]int(order) != want {
-			t.Fatalf("let through in the order %v, want %v", order, want)
+			t.Fatalf("admitted in the order %v, want %v", order, want)
 		}
 	})
 }
 
-func TestCallThatIsGivenUpLeavesItsTurn(t *testing.T) {
+// TestCancelledCallLeavesQueue: a call that is cancelled while it waits does not keep a slot.
+func TestCancelledCallLeavesQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &Gate{}
 		one := ServiceCapacity{Slots: 1, Senders: 1}
@@ -151,9 +154,9 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if err := g.Enter(ctx, 0, one); err == nil {
-			t.Fatal("two calls at one place")
+			t.Fatal("two calls were admitted with one slot")
 		}
-		g.Leave(one, noted)
+		g.Leave(one, noUpdate)
 		if err := g.Enter(t.Context(), 0, one); err != nil || g.open != 1 {
 			t.Fatalf("%d open, %v", g.open, err)
 		}
--- a/reward/caller.go
+++ b/reward/caller.go
@@ -1,4 +1,4 @@
-// Package reward sends the calls that score the texts of batch items to the
+// Package reward sends reward calls, which score the texts of batch items, to the
 // services that their routes name.
 package reward
 
@@ -17,18 +17,18 @@
 	"mulberryscale.example/observe"
 )
 
-// Caller is a batch.RewardClient. It is safe for concurrent use.
+// Caller implements batch.RewardClient. It is safe for concurrent use.
 type Caller struct {
 	View    *fleet.View
 	Forward *forward.Forwarder
-	// Service is the one whose agents send reward calls, this process among them.
+	// Service is the service whose agents send reward calls, this process among them.
 	Service string
 
 	mu    sync.Mutex
-	gates map[string]*background.Gate // by the service that scores
+	gates map[string]*background.Gate // by scoring service
 }
 
-// gate is the one before a service.
+// gate returns the gate for calls to a scoring service, creating it if needed.
 func (c *Caller) gate(service string) *background.Gate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,8 +41,8 @@
 	return c.gates[service]
 }
 
-// share is what is known of a service that scores.
-func (c *Caller) share(service string) background.ServiceCapacity {
+// capacity returns the slots of a scoring service and the number of its senders.
+func (c *Caller) capacity(service string) background.ServiceCapacity {
 	snap := c.View.Snapshot()
 	s := background.ServiceCapacity{Senders: len(snap.OfService(c.Service))}
 	for _, i := range snap.OfService(service) {
@@ -51,14 +51,14 @@
 	return s
 }
 
-// maxSends is how many endpoints may work at a call at once: the second is asked
-// when the first has not answered for longer than most calls take, since it may
-// be slow, or its answer lost.
+// maxSends bounds the endpoints that work on one call at the same time. A second one is
+// asked (a hedge) when the first has not answered for longer than most calls take: it may
+// be slow, or its answer may be lost.
 const maxSends = 2
 
 // Score implements batch.RewardClient.
-func (c *Caller) Score(ctx context.Context, ask batch.RewardRequest) (batch.RewardResponse, error) {
-	call := ask.Call
+func (c *Caller) Score(ctx context.Context, request batch.RewardRequest) (batch.RewardResponse, error) {
+	call := request.Call
 	config := c.View.Snapshot().Config
 	if config == nil {
 		return batch.RewardResponse{}, fmt.Errorf("%w: no configuration yet", batch.ErrNotRun)
@@ -71,16 +71,16 @@
 	route.MaxAttempts = min(maxSends, matched.MaxAttempts)
 	service := route.Backend(call.ID)
 	gate := c.gate(service)
-	asked := time.Now()
-	if err := gate.Enter(ctx, ask.QueueTime, c.share(service)); err != nil {
+	queuedAt := time.Now()
+	if err := gate.Enter(ctx, request.QueueTime, c.capacity(service)); err != nil {
 		return batch.RewardResponse{}, fmt.Errorf("%w: %w", batch.ErrNotRun, err)
 	}
-	c.Forward.Counters.Observe(observe.NameRewardWait, route.Name, time.Since(asked))
+	c.Forward.Counters.Observe(observe.NameRewardWait, route.Name, time.Since(queuedAt))
 	answer, err := c.Forward.Do(ctx, &forward.Request{
 		ID: call.ID, Route: &route, Method: http.MethodPost, Target: call.Path, Host: call.Host, Header: http.Header{},
-		Body: call.Body, Deadline: time.Now().Add(min(ask.TimeLeft, route.Timeout)),
+		Body: call.Body, Deadline: time.Now().Add(min(request.TimeLeft, route.Timeout)),
 	})
-	gate.Leave(c.share(service), func(w *background.Window, now time.Time) {
+	gate.Leave(c.capacity(service), func(w *background.Window, now time.Time) {
 		switch {
 		case isDeclined(err):
 			w.Declined(now)
@@ -89,20 +89,20 @@
 		}
 	})
 	if err != nil {
-		return notAnswered(err, matched)
+		return classifyError(err, matched)
 	}
-	return judge(answer, matched)
+	return classifyAnswer(answer, matched)
 }
 
-// isDeclined reports whether endpoints had no room.
+// isDeclined reports whether a call failed because endpoints had no free slot.
 func isDeclined(err error) bool {
 	var refusal *forward.Refusal
 	return errors.As(err, &refusal) && refusal.Reason == forward.ReasonDeclined
 }
 
-// notAnswered says what a call came to that no endpoint answered, or none but
-// with failures.
-func notAnswered(err error, route *fleet.Route) (batch.RewardResponse, error) {
+// classifyError returns the result of a call that no endpoint answered, or that every
+// answering endpoint failed.
+func classifyError(err error, route *fleet.Route) (batch.RewardResponse, error) {
 	var refusal *forward.Refusal
 	switch {
 	case errors.As(err, &refusal) && refusal.NotRun:
@@ -113,10 +113,10 @@
 	return batch.RewardResponse{}, fmt.Errorf("%w: %w", batch.ErrBroken, err)
 }
 
-// judge says what an endpoint's answer means for the item. Of failures only 500
-// says that the call itself failed there; others, such as 504 at the deadline
-// handed on, say nothing of it.
-func judge(answer *forward.Answer, route *fleet.Route) (batch.RewardResponse, error) {
+// classifyAnswer returns the result of an endpoint's answer. Of the error statuses, only
+// 500 means that the call itself failed at the endpoint; others, such as 504 at the
+// deadline passed on, do not.
+func classifyAnswer(answer *forward.Answer, route *fleet.Route) (batch.RewardResponse, error) {
 	out := batch.RewardResponse{MaxAttempts: route.MaxAttempts, Failures: answer.Failures}
 	switch {
 	case answer.Status >= http.StatusInternalServerError && answer.Failures > 0:
--- a/reward/caller_test.go
+++ b/reward/caller_test.go
@@ -13,21 +13,21 @@
 	"mulberryscale.example/observe"
 )
 
-// sender answers every send alike and keeps what was sent.
-type sender struct {
+// fakeSender gives every request the same answer, and records the requests.
+type fakeSender struct {
 	answer *forward.Answer
 	err    error
 	sent   []forward.Request
 	to     []string
 }
 
-func (s *sender) Send(_ context.Context, to fleet.Instance, r *forward.Request, _ time.Duration) (*forward.Answer, error) {
+func (s *fakeSender) Send(_ context.Context, to fleet.Instance, r *forward.Request, _ time.Duration) (*forward.Answer, error) {
 	s.sent, s.to = append(s.sent, *r), append(s.to, to.Service)
 	return s.answer, s.err
 }
 
-// rig is a caller before a service with two endpoints.
-func rig(s *sender) *Caller {
+// newTestCaller returns a caller of a service with two endpoints.
+func newTestCaller(s *fakeSender) *Caller {
 	view := fleet.NewView()
 	config := &fleet.Config{Version: 1, Services: []fleet.Service{{Name: "scores"}, {Name: "others"}}, Routes: []fleet.Route{{
 		Name: "r", Host: "s.example", Prefix: "/s/", Kind: fleet.KindSafe, Timeout: 3 * time.Second, Objective: 800 * time.Millisecond,
@@ -42,17 +42,18 @@
 	return &Caller{View: view, Forward: forward.New(view, s, "z", observe.Discard(), observe.NewCounters())}
 }
 
-func ask(path string) batch.RewardRequest {
+// newRequest returns a reward call with ten seconds left.
+func newRequest(path string) batch.RewardRequest {
 	return batch.RewardRequest{Call: &batch.RewardCall{ID: "r1", Host: "s.example", Path: path, Body: []byte("body")}, TimeLeft: 10 * time.Second}
 }
 
-func TestWhatAnAnswerMeansForAnItem(t *testing.T) {
+func TestAnswerClassification(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer *forward.Answer
 		err    error
 		score  string
 		want   error
-		// sent is how many endpoints were asked, failures how many failed it.
+		// sent is the number of endpoints asked, failures how many of them failed the call.
 		sent, failures int
 	}{
 		"scored":              {&forward.Answer{Status: 200, Signature: "s"}, nil, "s", nil, 1, 0},
@@ -67,8 +68,8 @@
 		"reset":               {nil, fmt.Errorf("%w: reset", forward.ErrBroken), "", batch.ErrBroken, 2, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &sender{answer: c.answer, err: c.err}
-			got, err := rig(s).Score(t.Context(), ask("/s/1"))
+			s := &fakeSender{answer: c.answer, err: c.err}
+			got, err := newTestCaller(s).Score(t.Context(), newRequest("/s/1"))
 			if got.Score != c.score || !errors.Is(err, c.want) {
 				t.Fatalf("got %q, %v", got.Score, err)
 			}
@@ -82,9 +83,11 @@
 	}
 }
 
-func TestCallIsSentAsItIsByItsRoute(t *testing.T) {
-	s := &sender{answer: &forward.Answer{Status: 200, Signature: "s"}}
-	if _, err := rig(s).Score(t.Context(), ask("/s/%41?q=%20")); err != nil {
+// TestCallIsSentUnchangedByItsRoute: path, host and body go out unchanged, without headers, and
+// the deadline is bounded by the timeout of the route.
+func TestCallIsSentUnchangedByItsRoute(t *testing.T) {
+	s := &fakeSender{answer: &forward.Answer{Status: 200, Signature: "s"}}
+	if _, err := newTestCaller(s).Score(t.Context(), newRequest("/s/%41?q=%20")); err != nil {
 		t.Fatal(err)
 	}
 	r := s.sent[0]
@@ -96,20 +99,20 @@
 	}
 }
 
-// The route is the one in force when the call is sent.
-func TestRouteThatIsGoneOrMoved(t *testing.T) {
-	s := &sender{answer: &forward.Answer{Status: 200, Signature: "s"}}
-	c := rig(s)
-	if _, err := c.Score(t.Context(), ask("/t/1")); !errors.Is(err, batch.ErrNotRun) || len(s.sent) != 0 {
+// TestRouteRemovedOrChanged: a call uses the configuration that is current when it is sent.
+func TestRouteRemovedOrChanged(t *testing.T) {
+	s := &fakeSender{answer: &forward.Answer{Status: 200, Signature: "s"}}
+	c := newTestCaller(s)
+	if _, err := c.Score(t.Context(), newRequest("/t/1")); !errors.Is(err, batch.ErrNotRun) || len(s.sent) != 0 {
 		t.Fatalf("no route: got %v, %d sends", err, len(s.sent))
 	}
-	moved := *c.View.Snapshot().Config
-	moved.Version = 2
-	moved.Routes = []fleet.Route{moved.Routes[0]}
-	moved.Routes[0].Backends = []fleet.Backend{{Service: "others", Weight: 1}}
-	moved.Index()
-	c.View.SetConfig(&moved)
-	if _, err := c.Score(t.Context(), ask("/s/1")); err != nil || s.to[0] != "others" {
-		t.Fatalf("moved: got %v, sent to %v", err, s.to)
+	changed := *c.View.Snapshot().Config
+	changed.Version = 2
+	changed.Routes = []fleet.Route{changed.Routes[0]}
+	changed.Routes[0].Backends = []fleet.Backend{{Service: "others", Weight: 1}}
+	changed.Index()
+	c.View.SetConfig(&changed)
+	if _, err := c.Score(t.Context(), newRequest("/s/1")); err != nil || s.to[0] != "others" {
+		t.Fatalf("changed route: got %v, sent to %v", err, s.to)
 	}
 }
