--- a/attempt/attempt.go
+++ b/attempt/attempt.go
@@ -38,7 +38,7 @@
 
 // Run sends run to the agent and waits until it is done. The error is always an *api.Refusal,
 // whose NotRun is true only when the agent proved it or nothing was sent. The caller counts the
-// run in a.Sends.
+// run in a.InFlight.
 func (c *Client) Run(ctx context.Context, a *membership.Agent, run *wire.Run, onChunk OnChunk) (*wire.Done, error) {
 	var done *wire.Done
 	err := c.call(ctx, a.ID, a.Addr, &wire.Request{Run: run}, func(r *wire.Reply) bool {
@@ -84,7 +84,7 @@
 func (c *Client) call(ctx context.Context, id, addr string, req *wire.Request, done func(*wire.Reply) bool) error {
 	s, err := c.Dialer.Open(ctx, addr)
 	if err != nil {
-		c.View.Suspect(id)
+		c.View.MarkSuspect(id)
 		return transportRefusal(ctx, err, StepOpen, id, api.NotRunTrue)
 	}
 	defer s.Close()
@@ -114,10 +114,10 @@
 func (c *Client) updateView(id string, r *wire.Reply) {
 	c.Observe(r.Header)
 	if r.Report != nil {
-		c.View.Reported(r.Header, *r.Report, time.Now())
+		c.View.ApplyReport(r.Header, *r.Report, time.Now())
 	}
 	if r.Refusal != nil && r.Refusal.Code == api.CodeDraining {
-		c.View.Leaving(id)
+		c.View.MarkLeaving(id)
 	}
 }
 
--- a/background/window.go
+++ b/background/window.go
@@ -97,11 +97,11 @@
 // ObserveLoad adjusts the window to the load that an endpoint reported with an answer.
 func (w *Window) ObserveLoad(load fleet.Load, now time.Time) {
 	switch {
-	case load.Waiting > 0 || load.Running >= load.Places-spareSlots:
+	case load.Waiting > 0 || load.Running >= load.Slots-spareSlots:
 		w.shrink(now)
-	case float64(load.Running) <= doublingShare*targetUse*float64(load.Places):
+	case float64(load.Running) <= doublingShare*targetUse*float64(load.Slots):
 		w.size++
-	case float64(load.Running) <= targetUse*float64(load.Places):
+	case float64(load.Running) <= targetUse*float64(load.Slots):
 		w.size += 1 / max(w.size, minWindow)
 	}
 }
--- a/background/window_test.go
+++ b/background/window_test.go
@@ -45,16 +45,16 @@
 	}
 	var w Window
 	w.Size(capacity, 0, start)
-	if got := observe(&w, 10, fleet.Load{Running: 1, Places: 6}); got != 12 {
+	if got := observe(&w, 10, fleet.Load{Running: 1, Slots: 6}); got != 12 {
 		t.Errorf("after ten answers of idle endpoints: window %d, want 12", got)
 	}
-	if got := observe(&w, 100, fleet.Load{Running: 1, Places: 6}); got != 17 {
+	if got := observe(&w, 100, fleet.Load{Running: 1, Slots: 6}); got != 17 {
 		t.Errorf("without other load, up to its share of all slots: window %d, want 17", got)
 	}
-	if got := observe(&w, 1, fleet.Load{Running: 6, Waiting: 2, Places: 6}); got != 10 {
+	if got := observe(&w, 1, fleet.Load{Running: 6, Waiting: 2, Slots: 6}); got != 10 {
 		t.Errorf("after an answer that reports a queue: window %d, want 10", got)
 	}
-	if got := observe(&w, 20, fleet.Load{Running: 5, Places: 6}); got != 1 {
+	if got := observe(&w, 20, fleet.Load{Running: 5, Slots: 6}); got != 1 {
 		t.Errorf("endpoints without a spare slot: window %d, want 1", got)
 	}
 }
@@ -65,7 +65,7 @@
 	var w Window
 	w.Size(ServiceCapacity{Slots: 100, Senders: 7}, 0, start)
 	for range 10 {
-		w.ObserveLoad(fleet.Load{Running: 6, Waiting: 9, Places: 6}, start)
+		w.ObserveLoad(fleet.Load{Running: 6, Waiting: 9, Slots: 6}, start)
 	}
 	if got := w.Size(ServiceCapacity{Slots: 100, Senders: 7}, 1, start); got != 6 {
 		t.Fatalf("window %d, want 0.6 of 10", got)
@@ -76,7 +76,7 @@
 	var w Window
 	w.Size(capacity, 0, start)
 	for range 50 {
-		w.ObserveLoad(fleet.Load{Places: 6}, start)
+		w.ObserveLoad(fleet.Load{Slots: 6}, start)
 	}
 	w.CallDone(0, start)
 	if got := w.Size(capacity, 0, start.Add(idleTime/2)); got != 17 {
@@ -96,7 +96,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond)
 			w.ObserveLoad(fleet.Load{
 				Running: rapid.IntRange(0, 8).Draw(t, "running"), Waiting: rapid.IntRange(0, 3).Draw(t, "waiting"),
-				Places: rapid.IntRange(1, 8).Draw(t, "places of one"),
+				Slots: rapid.IntRange(1, 8).Draw(t, "places of one"),
 			}, now)
 			open = rapid.IntRange(0, 3).Draw(t, "open")
 			w.CallDone(open, now)
--- a/batch/enginerestart_test.go
+++ b/batch/enginerestart_test.go
@@ -60,7 +60,7 @@
 		time.Sleep(time.Second)
 		w := rig.peers.workers["10.0.0.1"]
 		rig.engine(0, func(e *fakeEngine) { e.startedAt, e.sequence, e.version = 1000, 9, 7 })
-		rig.view.UpdateInstances([]fleet.Instance{{ID: "engine-0", Service: "svc", Addr: engineAddr(0), Slots: 4, Born: 1000}}, nil)
+		rig.view.UpdateInstances([]fleet.Instance{{ID: "engine-0", Service: "svc", Addr: engineAddr(0), Slots: 4, StartedAt: 1000}}, nil)
 		time.Sleep(time.Second)
 		w.mu.Lock()
 		defer w.mu.Unlock()
--- a/batch/enginestate.go
+++ b/batch/enginestate.go
@@ -109,7 +109,7 @@
 	for ctx.Err() == nil {
 		changed := w.View.Changed()
 		if i, ok := w.View.Snapshot().AtAddr(w.Engine); ok {
-			w.checkRestart(i.Born)
+			w.checkRestart(i.StartedAt)
 		}
 		if time.Since(reported) >= w.reportInterval() {
 			w.updateReport(ctx)
@@ -158,7 +158,7 @@
 	}
 	w.engine.reset(born)
 	for t := range w.running {
-		if t.sentTo.Born < born {
+		if t.sentTo.StartedAt < born {
 			t.stop(errEngineRestarted)
 		}
 	}
--- a/batch/intake.go
+++ b/batch/intake.go
@@ -187,7 +187,7 @@
 // priority is the rank of the organisation, which goes before that of the route.
 func (s *Submission) priority(config *fleet.Config) int {
 	if config != nil {
-		if o := config.NamedOrganisation(s.Organisation); o != nil {
+		if o := config.OrganisationByName(s.Organisation); o != nil {
 			return o.Priority
 		}
 	}
--- a/batch/quarantine.go
+++ b/batch/quarantine.go
@@ -68,7 +68,7 @@
 		w.Quarantine.ReportServed(run.Fingerprint)
 	case errors.Is(context.Cause(ctx), errEngineRestarted):
 		w.Quarantine.ReportCrash(run)
-	case errors.Is(err, ErrBroken) && ctx.Err() == nil && !w.View.Snapshot().Leaves(engine):
+	case errors.Is(err, ErrBroken) && ctx.Err() == nil && !w.View.Snapshot().IsDraining(engine):
 		w.Quarantine.ReportBroken(ctx, run)
 	}
 }
--- a/batch/schedule.go
+++ b/batch/schedule.go
@@ -62,7 +62,7 @@
 		t.discardText()
 	}
 	w.running[t] = struct{}{}
-	t.sentTo = fleet.Incarnation{ID: instance.ID, Born: w.engine.startedAt}
+	t.sentTo = fleet.Incarnation{ID: instance.ID, StartedAt: w.engine.startedAt}
 	run := Run{
 		Addr: instance.Addr, Instance: instance.ID, Host: t.j.job.Host, Organisation: t.j.job.Organisation, Item: t.item, LastEventID: len(t.text),
 		Deadline: w.timeLeft(t.j.job),
--- a/claims/bench_test.go
+++ b/claims/bench_test.go
@@ -38,7 +38,7 @@
 				for i := range atOnce {
 					key := fmt.Sprintf("key-%d-%d", made, i)
 					all.Go(func() {
-						if _, _, err := store.Make(b.Context(), "row", key, Claim{Owner: key}); err != nil {
+						if _, _, err := store.Create(b.Context(), "row", key, Claim{Owner: key}); err != nil {
 							b.Error(err)
 						}
 					})
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -48,16 +48,16 @@
 	etag platform.ETag
 }
 
-// ErrUndecided says that it could not be learnt whether a claim was written.
+// ErrOutcomeUnknown says that it could not be learnt whether a claim was written.
 // Nothing has been sent, and its owner must not send anything.
-var ErrUndecided = errors.New("claims: outcome of the claim is not known")
+var ErrOutcomeUnknown = errors.New("claims: outcome of the claim is not known")
 
 // Store keeps claims in the table service. Claims that are made at the same
 // time are written together. It is safe for concurrent use.
 type Store struct {
 	table platform.TableService
-	// Retried is told of each reading back; it may be nil.
-	Retried func(retry.Reason)
+	// OnRetry is told of each reading back; it may be nil.
+	OnRetry func(retry.Reason)
 	writes  batcher
 }
 
@@ -66,10 +66,10 @@
 	return &Store{table: table, writes: batcher{table: table}}
 }
 
-// Make creates the claim of a row's key. When there is one already, it is
+// Create creates the claim of a row's key. When there is one already, it is
 // returned with mine false. When nothing was written, the error says why, such
 // as platform.ErrUnavailable; else it is ErrUndecided.
-func (s *Store) Make(ctx context.Context, row, key string, c Claim) (claim Claim, mine bool, err error) {
+func (s *Store) Create(ctx context.Context, row, key string, c Claim) (claim Claim, mine bool, err error) {
 	return s.write(ctx, row, key, c, "")
 }
 
@@ -108,14 +108,14 @@
 			return found, found.Owner == c.Owner, nil
 		case errors.Is(err, platform.ErrNotFound):
 			// The write may still arrive; its owner gives up and sends nothing.
-			return Claim{}, false, ErrUndecided
+			return Claim{}, false, ErrOutcomeUnknown
 		}
-		if s.Retried != nil {
-			s.Retried(retry.ReasonReadBack)
+		if s.OnRetry != nil {
+			s.OnRetry(retry.ReasonReadBack)
 		}
 		select {
 		case <-ctx.Done():
-			return Claim{}, false, ErrUndecided
+			return Claim{}, false, ErrOutcomeUnknown
 		case <-time.After(delays.NextBackOff()):
 		}
 	}
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -38,7 +38,7 @@
 }
 
 func (m *made) claim(t *testing.T, s *Store, key, owner string) {
-	_, mine, err := s.Make(t.Context(), "row", key, Claim{Owner: owner})
+	_, mine, err := s.Create(t.Context(), "row", key, Claim{Owner: owner})
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err != nil {
@@ -105,7 +105,7 @@
 func TestTakenKeyFailsNoOther(t *testing.T) {
 	inBubble(t, func(t *testing.T, table *countedTable, s *Store) {
 		for i := 0; i < 200; i += 50 {
-			if _, mine, err := NewStore(table).Make(t.Context(), "row", fmt.Sprint("key-", i), Claim{Owner: "other"}); !mine || err != nil {
+			if _, mine, err := NewStore(table).Create(t.Context(), "row", fmt.Sprint("key-", i), Claim{Owner: "other"}); !mine || err != nil {
 				t.Fatal(mine, err)
 			}
 		}
@@ -133,12 +133,12 @@
 	inBubble(t, func(t *testing.T, table *countedTable, s *Store) {
 		table.Slow(time.Second)
 		for i := range maxCommits {
-			go s.Make(t.Context(), "row", fmt.Sprint("busy-", i), Claim{Owner: "a"})
+			go s.Create(t.Context(), "row", fmt.Sprint("busy-", i), Claim{Owner: "a"})
 			synctest.Wait()
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		if _, mine, err := s.Make(ctx, "row", "late", Claim{Owner: "a"}); mine || err == nil {
+		if _, mine, err := s.Create(ctx, "row", "late", Claim{Owner: "a"}); mine || err == nil {
 			t.Errorf("got mine %v, %v", mine, err)
 		}
 		time.Sleep(5 * time.Second)
@@ -151,7 +151,7 @@
 // TestTakeOver lets two callers take over a claim at a time: one wins.
 func TestTakeOver(t *testing.T) {
 	inBubble(t, func(t *testing.T, table *countedTable, s *Store) {
-		old, _, err := s.Make(t.Context(), "row", "key", Claim{Owner: "a"})
+		old, _, err := s.Create(t.Context(), "row", "key", Claim{Owner: "a"})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/mulberryctl/duties.go
+++ b/cmd/mulberryctl/duties.go
@@ -87,7 +87,7 @@
 		switch {
 		case term.Done:
 			line.State = "done"
-		case age < duty.ActTime:
+		case age < duty.TermDuration:
 			line.State = "acting"
 		}
 		lines = append(lines, line)
--- a/duty/order.go
+++ b/duty/order.go
@@ -7,67 +7,67 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// KeepHolder says whether the last holder should go first at work that falls due at
+// ShouldPreferHolder says whether the last holder should go first at work that falls due at
 // an interval. A holder that is drawn anew for each piece is better where it can be:
 // whoever did the last piece may have been struck for it. With each third holder
 // struck, pieces were 12 ms late at most instead of 262, at 15 calls to the store
 // each instead of 17 (TestHoldersThatAreStruck). But another holder may begin only
 // when the last one's sends are a lease ago.
-func KeepHolder(interval, lease time.Duration) bool {
-	return interval < ActTime+lease+guardTime+turnStep
+func ShouldPreferHolder(interval, lease time.Duration) bool {
+	return interval < TermDuration+lease+guardTime+turnStep
 }
 
-// Order says who goes first at a piece of work. It protects nothing: two that go
+// CandidateOrder says who goes first at a piece of work. It protects nothing: two that go
 // at once cost a call each, since the store lets one claim. It keeps all others
 // from asking the store at each piece.
-type Order struct {
+type CandidateOrder struct {
 	// Self is this process, Others are all that may hold the duty, as far as it knows.
 	Self   string
 	Others func() []string
-	// Keep lets the last holder go first. Otherwise a holder is drawn anew for each
+	// PreferHolder lets the last holder go first. Otherwise a holder is drawn anew for each
 	// piece.
-	Keep bool
-	// Lookers is how many processes look after a piece; 0 is ManyLookers.
-	Lookers int
+	PreferHolder bool
+	// Candidates is how many processes look after a piece; 0 is ManyCandidates.
+	Candidates int
 }
 
 const (
 	// turnStep is between the turns of two processes: twice the slowest answer of
 	// the store on an ordinary day, so that the second finds what the first has done.
 	turnStep = 250 * time.Millisecond
-	// ManyLookers is for work that must be done in time: if a third of the machines
+	// ManyCandidates is for work that must be done in time: if a third of the machines
 	// has no path to the store, one in twenty thousand pieces finds no looker in its
 	// turn; the next piece's lookers do it then.
-	ManyLookers = 10
-	// FewLookers is for work that may wait for the next piece.
-	FewLookers = 3
+	ManyCandidates = 10
+	// FewCandidates is for work that may wait for the next piece.
+	FewCandidates = 3
 )
 
-func (o *Order) lookers() int {
-	if o.Lookers > 0 {
-		return o.Lookers
+func (o *CandidateOrder) lookers() int {
+	if o.Candidates > 0 {
+		return o.Candidates
 	}
-	return ManyLookers
+	return ManyCandidates
 }
 
-// Turn is how long after a piece is due this process looks after it; false is
+// Delay is how long after a piece is due this process looks after it; false is
 // not at all. held says that this process did the last piece.
-func (o *Order) Turn(piece uint64, held bool) (time.Duration, bool) {
-	if o.Keep && held {
+func (o *CandidateOrder) Delay(piece uint64, held bool) (time.Duration, bool) {
+	if o.PreferHolder && held {
 		return 0, true
 	}
 	rank := o.rank(piece)
 	if rank >= o.lookers() {
 		return 0, false
 	}
-	if o.Keep {
+	if o.PreferHolder {
 		rank++
 	}
 	return time.Duration(rank) * turnStep, true
 }
 
 // rank is this process's place in an order that is drawn anew for each piece.
-func (o *Order) rank(piece uint64) int {
+func (o *CandidateOrder) rank(piece uint64) int {
 	own := weight(piece, o.Self)
 	rank := 0
 	for _, other := range slices.Compact(slices.Sorted(slices.Values(o.Others()))) {
--- a/duty/order_test.go
+++ b/duty/order_test.go
@@ -20,8 +20,8 @@
 		for piece := range uint64(pieces) {
 			at := map[int64]bool{}
 			for _, name := range names {
-				o := &Order{Self: name, Others: func() []string { return names }}
-				delay, mine := o.Turn(piece, false)
+				o := &CandidateOrder{Self: name, Others: func() []string { return names }}
+				delay, mine := o.Delay(piece, false)
 				if !mine {
 					continue
 				}
@@ -30,7 +30,7 @@
 					firsts[name]++
 				}
 			}
-			if len(at) != ManyLookers {
+			if len(at) != ManyCandidates {
 				t.Fatalf("%d processes: %d turns at a piece", n, len(at))
 			}
 		}
@@ -46,7 +46,7 @@
 // holders with a lease of 3 s, one of 2 s does not.
 func TestShortIntervalsKeepTheirHolder(t *testing.T) {
 	for interval, want := range map[time.Duration]bool{5 * time.Second: false, 2 * time.Second: true} {
-		if got := KeepHolder(interval, 3*time.Second); got != want {
+		if got := ShouldPreferHolder(interval, 3*time.Second); got != want {
 			t.Errorf("%s: %v", interval, got)
 		}
 	}
@@ -54,18 +54,18 @@
 
 func TestTheLastHolderGoesFirst(t *testing.T) {
 	others := func() []string { return []string{"a", "b", "c"} }
-	o := &Order{Self: "a", Others: others, Keep: true}
-	if delay, mine := o.Turn(1, true); delay != 0 || !mine {
+	o := &CandidateOrder{Self: "a", Others: others, PreferHolder: true}
+	if delay, mine := o.Delay(1, true); delay != 0 || !mine {
 		t.Errorf("got %s, %v", delay, mine)
 	}
 	for piece := range uint64(20) {
-		if delay, mine := o.Turn(piece, false); delay < turnStep || !mine {
+		if delay, mine := o.Delay(piece, false); delay < turnStep || !mine {
 			t.Errorf("others wait for the last holder: got %s, %v", delay, mine)
 		}
 	}
 	// One that does not know the list yet looks after each piece itself.
-	alone := &Order{Self: "a", Others: func() []string { return nil }}
-	if delay, mine := alone.Turn(7, false); delay != 0 || !mine {
+	alone := &CandidateOrder{Self: "a", Others: func() []string { return nil }}
+	if delay, mine := alone.Delay(7, false); delay != 0 || !mine {
 		t.Errorf("got %s, %v", delay, mine)
 	}
 }
--- a/duty/performer.go
+++ b/duty/performer.go
@@ -54,16 +54,16 @@
 	// Next is the first piece after one that is done, and when it is due; found is
 	// false if none is done yet.
 	Next(done uint64, found bool) (piece uint64, due time.Time)
-	// Coming is the first piece that falls due after a moment, and when.
-	Coming(after time.Time) (piece uint64, due time.Time)
+	// NextDue is the first piece that falls due after a moment, and when.
+	NextDue(after time.Time) (piece uint64, due time.Time)
 	// Decide says what is to be sent for a piece, given the work of the last one that
 	// was decided, nil if none was. nil means that there is nothing to do for it.
 	Decide(ctx context.Context, piece uint64, last []byte) ([]byte, error)
 	// Send sends what was decided, once, unless acting says that it may not be sent
 	// any more. nil means that it was accepted.
 	Send(ctx context.Context, f Fence, acting func() bool, work []byte) error
-	// Settled hears that a piece was recorded as done by this process.
-	Settled(ctx context.Context, piece uint64)
+	// OnDone hears that a piece was recorded as done by this process.
+	OnDone(ctx context.Context, piece uint64)
 }
 
 // Pauses of a performer.
@@ -79,15 +79,15 @@
 
 // Performer does the work of one duty when it is this process's turn.
 type Performer struct {
-	Seat     *Seat
-	Order    *Order
+	Terms    *TermStore
+	Order    *CandidateOrder
 	Work     Work
 	Log      logrus.FieldLogger
 	Counters *observe.Counters
 
 	machine *chart.Machine[State, Trigger]
-	read    Read
-	held    *Held
+	read    StoredTerm
+	held    *HeldTerm
 	piece   uint64
 	// holder says that this process did the last piece that it knows of.
 	holder bool
@@ -146,8 +146,8 @@
 func (p *Performer) nextTurn(now time.Time) time.Time {
 	after := now.Add(-time.Duration(p.Order.lookers()) * turnStep) // of these pieces a turn may still come
 	for {
-		piece, due := p.Work.Coming(after)
-		if delay, mine := p.Order.Turn(piece, p.holder); mine && due.Add(delay).After(now) {
+		piece, due := p.Work.NextDue(after)
+		if delay, mine := p.Order.Delay(piece, p.holder); mine && due.Add(delay).After(now) {
 			return due.Add(delay)
 		}
 		if due.Sub(now) > farAhead {
@@ -162,11 +162,11 @@
 
 // look reads the term and says whether work is open.
 func (p *Performer) look(ctx context.Context) Trigger {
-	r, err := p.Seat.Read(ctx)
+	r, err := p.Terms.Read(ctx)
 	if err != nil {
 		return p.miss(err, "duty's term not read")
 	}
-	p.read, p.holder = r, r.Found && r.Machine == p.Seat.Machine
+	p.read, p.holder = r, r.Found && r.Machine == p.Terms.Machine
 	p.piece = r.Piece
 	if !r.Found || r.Done {
 		piece, due := p.Work.Next(r.Piece, r.Found)
@@ -175,7 +175,7 @@
 		}
 		p.piece = piece
 	}
-	wait, err := p.Seat.Wait(r)
+	wait, err := p.Terms.Wait(r)
 	if err != nil {
 		return p.miss(err, "duty's term not judged")
 	}
@@ -199,7 +199,7 @@
 		}
 		work = decided
 	}
-	held, err := p.Seat.Claim(ctx, p.read, p.piece, work)
+	held, err := p.Terms.Claim(ctx, p.read, p.piece, work)
 	if errors.Is(err, ErrTaken) {
 		p.again = time.Now().Add(missPause)
 		return triggerMissed
@@ -214,14 +214,14 @@
 
 // act sends the work.
 func (p *Performer) act(ctx context.Context) Trigger {
-	if !p.held.Acting() {
+	if !p.held.MaySend() {
 		p.log().Warn("duty's term is over with its work unsettled")
 		p.again = time.Now()
 		return triggerExpired
 	}
-	if err := p.Work.Send(ctx, p.held.Fence, p.held.Acting, p.held.Work); err != nil {
+	if err := p.Work.Send(ctx, p.held.Fence, p.held.MaySend, p.held.Work); err != nil {
 		p.log().WithError(err).Warn("duty's work not accepted yet")
-		p.Counters.Retry(p.Seat.Subject, reasonNotAccepted)
+		p.Counters.Retry(p.Terms.Subject, reasonNotAccepted)
 		_ = pause.Sleep(ctx, sendPause) // the end of ctx is looked at next
 		return triggerUnsettled
 	}
@@ -234,23 +234,23 @@
 // record writes that the work is done. If that fails, whoever looks next sends it
 // once more as it was, which changes nothing.
 func (p *Performer) record(ctx context.Context) Trigger {
-	if err := p.held.Record(ctx); err != nil {
+	if err := p.held.RecordDone(ctx); err != nil {
 		return p.miss(err, "duty's work not recorded as done")
 	}
 	p.log().Info("duty's work done")
-	p.Work.Settled(ctx, p.held.Piece)
+	p.Work.OnDone(ctx, p.held.Piece)
 	return triggerRecorded
 }
 
 // miss logs a failure and has the term looked at again soon.
 func (p *Performer) miss(err error, what string) Trigger {
-	p.Log.WithError(err).WithField("duty", p.Seat.Subject).Warn(what)
+	p.Log.WithError(err).WithField("duty", p.Terms.Subject).Warn(what)
 	p.again = time.Now().Add(missPause)
 	return triggerMissed
 }
 
 func (p *Performer) log() logrus.FieldLogger {
 	return p.Log.WithFields(logrus.Fields{
-		"duty": p.Seat.Subject, "piece": p.held.Piece, "token": p.held.Fence.Token, "began_ms": p.held.Began.Milliseconds(),
+		"duty": p.Terms.Subject, "piece": p.held.Piece, "token": p.held.Fence.Token, "began_ms": p.held.Began.Milliseconds(),
 	})
 }
--- a/duty/seat.go
+++ b/duty/term.go
@@ -20,9 +20,9 @@
 
 // Times of a term.
 const (
-	// ActTime is how long after its beginning a holder may send: three sends of
+	// TermDuration is how long after its beginning a holder may send: three sends of
 	// which each may take sendTime.
-	ActTime = 1500 * time.Millisecond
+	TermDuration = 1500 * time.Millisecond
 	// guardTime is added to the time between two holders for what may differ
 	// between the store's clock and ours within a call, some milliseconds.
 	guardTime = 200 * time.Millisecond
@@ -42,7 +42,7 @@
 	// Machine tells holders apart: a process that was replaced may bear the name of
 	// the one before it.
 	Machine string `cbor:"2,keyasint"`
-	// Began is the store's clock at the beginning. Nothing is sent after Began + ActTime.
+	// Began is the store's clock at the beginning. Nothing is sent after Began + TermDuration.
 	Began time.Duration `cbor:"3,keyasint"`
 	// Piece numbers the work; it never falls.
 	Piece uint64 `cbor:"4,keyasint"`
@@ -67,8 +67,8 @@
 	errNoClock = errors.New("duty: the store's clock is not known yet")
 )
 
-// Seat is a subject's row as one process sees it.
-type Seat struct {
+// TermStore is a subject's row as one process sees it.
+type TermStore struct {
 	Rows    store.Rows
 	Clock   Clock
 	Subject string
@@ -78,28 +78,28 @@
 	Lease time.Duration
 }
 
-// Read is a term as it was read.
-type Read struct {
+// StoredTerm is a term as it was read.
+type StoredTerm struct {
 	Term
 	// Found is false if there has been no term yet.
 	Found   bool
 	version uint64
 }
 
-func (s *Seat) key() store.Key { return store.Key{Table: Table, Name: s.Subject} }
+func (s *TermStore) key() store.Key { return store.Key{Table: Table, Name: s.Subject} }
 
 // Read reads the term.
-func (s *Seat) Read(ctx context.Context) (Read, error) {
+func (s *TermStore) Read(ctx context.Context) (StoredTerm, error) {
 	rows, err := s.Rows.List(ctx, store.Range{Table: Table, From: s.Subject, To: s.Subject + "\x00"})
 	if err != nil {
-		return Read{}, err
+		return StoredTerm{}, err
 	}
 	if len(rows.Rows) == 0 {
-		return Read{}, nil
+		return StoredTerm{}, nil
 	}
-	r := Read{Found: true, version: rows.Rows[0].Version}
+	r := StoredTerm{Found: true, version: rows.Rows[0].Version}
 	if r.Term, err = DecodeTerm(rows.Rows[0].Value); err != nil {
-		return Read{}, fmt.Errorf("duty %s: %w", s.Subject, err)
+		return StoredTerm{}, fmt.Errorf("duty %s: %w", s.Subject, err)
 	}
 	return r, nil
 }
@@ -116,7 +116,7 @@
 // Wait is how long it takes until this machine may follow on a term; 0 is at
 // once. Another machine's last send must be Lease ago: its call could else be
 // overtaken by ours, which bears a higher token, and two holders could take turns.
-func (s *Seat) Wait(r Read) (time.Duration, error) {
+func (s *TermStore) Wait(r StoredTerm) (time.Duration, error) {
 	earliest, _, ok := s.Clock.Bounds()
 	if !ok {
 		return 0, errNoClock
@@ -124,32 +124,32 @@
 	if !r.Found || r.Machine == s.Machine {
 		return 0, nil
 	}
-	return max(0, r.Began+ActTime+s.Lease+guardTime-earliest), nil
+	return max(0, r.Began+TermDuration+s.Lease+guardTime-earliest), nil
 }
 
-// Held is a term of this process.
-type Held struct {
+// HeldTerm is a term of this process.
+type HeldTerm struct {
 	Term
-	seat    *Seat
+	seat    *TermStore
 	version uint64
 }
 
 // Claim begins a term for a piece of work on condition that r is still the term
 // in the store. An error other than ErrTaken leaves open whether the row was
 // written; nothing may be sent on it.
-func (s *Seat) Claim(ctx context.Context, r Read, piece uint64, work []byte) (*Held, error) {
+func (s *TermStore) Claim(ctx context.Context, r StoredTerm, piece uint64, work []byte) (*HeldTerm, error) {
 	began, _, ok := s.Clock.Bounds()
 	if !ok {
 		return nil, errNoClock
 	}
-	h := &Held{seat: s, Term: Term{
+	h := &HeldTerm{seat: s, Term: Term{
 		Fence: Fence{Holder: s.Name, Token: r.Fence.Token + 1}, Machine: s.Machine, Began: began, Piece: piece, Work: work,
 	}}
 	return h, h.write(ctx, r.version)
 }
 
 // write puts the term in the place of one of a version.
-func (h *Held) write(ctx context.Context, version uint64) error {
+func (h *HeldTerm) write(ctx context.Context, version uint64) error {
 	value, err := codec.Marshal(h.Term)
 	if err != nil {
 		return fmt.Errorf("encode a term: %w", err)
@@ -165,15 +165,15 @@
 	return err
 }
 
-// Acting reports whether something may be sent now: the store's clock cannot be
+// MaySend reports whether something may be sent now: the store's clock cannot be
 // past the end of the term.
-func (h *Held) Acting() bool {
+func (h *HeldTerm) MaySend() bool {
 	_, latest, ok := h.seat.Clock.Bounds()
-	return ok && latest < h.Began+ActTime
+	return ok && latest < h.Began+TermDuration
 }
 
-// Record writes that the work is done.
-func (h *Held) Record(ctx context.Context) error {
+// RecordDone writes that the work is done.
+func (h *HeldTerm) RecordDone(ctx context.Context) error {
 	h.Done = true
 	return h.write(ctx, h.version)
 }
--- a/duty/seat_test.go
+++ b/duty/term_test.go
@@ -19,12 +19,12 @@
 	return c.earliest, c.latest, !c.unknown
 }
 
-func newSeat(rows store.Rows, name string) (*Seat, *fakeClock) {
+func newSeat(rows store.Rows, name string) (*TermStore, *fakeClock) {
 	clock := &fakeClock{earliest: 10 * time.Second, latest: 10 * time.Second}
-	return &Seat{Rows: rows, Clock: clock, Subject: "usage", Machine: name, Name: "process on " + name, Lease: testLease}, clock
+	return &TermStore{Rows: rows, Clock: clock, Subject: "usage", Machine: name, Name: "process on " + name, Lease: testLease}, clock
 }
 
-func claim(t *testing.T, s *Seat, piece uint64, work string) *Held {
+func claim(t *testing.T, s *TermStore, piece uint64, work string) *HeldTerm {
 	t.Helper()
 	r, err := s.Read(t.Context())
 	if err != nil {
@@ -65,22 +65,22 @@
 	b, clockB := newSeat(rows, "b")
 	clockA.earliest, clockA.latest = 10*time.Second, 11*time.Second
 	h := claim(t, a, 7, "counts")
-	if h.Began != 10*time.Second || !h.Acting() {
+	if h.Began != 10*time.Second || !h.MaySend() {
 		t.Fatalf("got %+v", h)
 	}
-	clockA.latest = 10*time.Second + ActTime
-	if h.Acting() {
+	clockA.latest = 10*time.Second + TermDuration
+	if h.MaySend() {
 		t.Error("acts though its term may be over")
 	}
 	clockA.unknown = true
-	if h.Acting() {
+	if h.MaySend() {
 		t.Error("acts without a clock")
 	}
 	read, err := b.Read(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	clockB.earliest, clockB.latest = 10*time.Second+ActTime+testLease, time.Hour
+	clockB.earliest, clockB.latest = 10*time.Second+TermDuration+testLease, time.Hour
 	if wait, err := b.Wait(read); err != nil || wait != guardTime {
 		t.Errorf("got %s, %v", wait, err)
 	}
@@ -104,7 +104,7 @@
 	rows := rowstore.New()
 	a, _ := newSeat(rows, "a")
 	rows.Next(rowstore.Lost)
-	if _, err := a.Claim(t.Context(), Read{}, 7, nil); !errors.Is(err, store.ErrUnknown) {
+	if _, err := a.Claim(t.Context(), StoredTerm{}, 7, nil); !errors.Is(err, store.ErrUnknown) {
 		t.Fatalf("got %v", err)
 	}
 	if h := claim(t, a, 7, "counts"); h.Fence.Token != 2 {
@@ -118,10 +118,10 @@
 	b, _ := newSeat(rows, "b")
 	h := claim(t, a, 7, "counts")
 	next := claim(t, b, 7, "counts")
-	if err := h.Record(t.Context()); !errors.Is(err, ErrTaken) {
+	if err := h.RecordDone(t.Context()); !errors.Is(err, ErrTaken) {
 		t.Errorf("got %v", err)
 	}
-	if err := next.Record(t.Context()); err != nil {
+	if err := next.RecordDone(t.Context()); err != nil {
 		t.Error(err)
 	}
 	if r, err := a.Read(t.Context()); err != nil || !r.Done || r.Piece != 7 || r.Machine != "b" {
--- a/duty/world_test.go
+++ b/duty/world_test.go
@@ -183,8 +183,8 @@
 	m.stop, m.done = stop, done
 	m.mu.Unlock()
 	p := &Performer{
-		Seat:  &Seat{Rows: machineRows{m}, Clock: machineClock{m}, Subject: "usage", Machine: m.name, Name: m.name, Lease: testLease},
-		Order: &Order{Self: m.name, Others: m.world.names, Keep: m.world.keep},
+		Terms: &TermStore{Rows: machineRows{m}, Clock: machineClock{m}, Subject: "usage", Machine: m.name, Name: m.name, Lease: testLease},
+		Order: &CandidateOrder{Self: m.name, Others: m.world.names, PreferHolder: m.world.keep},
 		Work:  machineWork{m}, Log: observe.Discard(), Counters: observe.NewCounters(),
 	}
 	go func() {
@@ -300,7 +300,7 @@
 	return piece, dueOf(piece)
 }
 
-func (w machineWork) Coming(after time.Time) (uint64, time.Time) {
+func (w machineWork) NextDue(after time.Time) (uint64, time.Time) {
 	piece := pieceAt(after.Add(-testDelay))
 	return piece, dueOf(piece)
 }
@@ -313,7 +313,7 @@
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, piece), w.world.decided), nil
 }
 
-func (w machineWork) Settled(context.Context, uint64) {}
+func (w machineWork) OnDone(context.Context, uint64) {}
 
 func (w machineWork) Send(ctx context.Context, f Fence, acting func() bool, work []byte) error {
 	w.thaw(ctx)
--- a/e2e/soak_engine_test.go
+++ b/e2e/soak_engine_test.go
@@ -135,7 +135,7 @@
 func (e *soakEngine) entry() (i fleetview.Instance, beats uint64) {
 	e.beats++
 	return fleetview.Instance{
-		ID: e.id, Born: e.born, Service: e.service, Addr: e.addr, Zone: e.zone, Slots: soakSlots, Draining: e.draining,
+		ID: e.id, StartedAt: e.born, Service: e.service, Addr: e.addr, Zone: e.zone, Slots: soakSlots, Draining: e.draining,
 		Versions: maps.Clone(e.versions),
 	}, e.beats
 }
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -160,8 +160,8 @@
 // routesOf are a host's routes, the longest prefix first.
 func (c *Config) routesOf(host string) []*Route { return c.byHost[strings.ToLower(host)] }
 
-// Names reports whether a service is one of the configuration's.
-func (c *Config) Names(service string) bool { return c.Service(service) != nil }
+// HasService reports whether a service is one of the configuration's.
+func (c *Config) HasService(service string) bool { return c.Service(service) != nil }
 
 // Service returns a service by name, or nil.
 func (c *Config) Service(name string) *Service {
--- a/fleet/incarnation.go
+++ b/fleet/incarnation.go
@@ -7,24 +7,24 @@
 // running endpoint, such as its load or its speed, is kept by its incarnation.
 type Incarnation struct {
 	ID string
-	// Born is the Unix millisecond of its start; 0 if it does not say.
-	Born int64
+	// StartedAt is the Unix millisecond of its start; 0 if it does not say.
+	StartedAt int64
 }
 
 // Incarnation is the instance's.
-func (i Instance) Incarnation() Incarnation { return Incarnation{ID: i.ID, Born: i.Born} }
+func (i Instance) Incarnation() Incarnation { return Incarnation{ID: i.ID, StartedAt: i.StartedAt} }
 
 // Load is what an endpoint tells of itself with its answers: requests that run,
 // that wait in its queue, and the places for running ones.
 type Load struct {
 	Running int
 	Waiting int
-	Places  int
+	Slots   int
 }
 
-// Births are the newest births that are known of endpoints, by id, so that an
+// LatestIncarnations are the newest births that are known of endpoints, by id, so that an
 // older one seen later changes nothing. It is not safe for concurrent use.
-type Births struct {
+type LatestIncarnations struct {
 	newest map[string]birth
 }
 
@@ -37,32 +37,34 @@
 // remembered: lists and reports of it lag by some seconds at most.
 const birthMemory = 2 * time.Minute
 
-// NewBirths knows no births yet.
-func NewBirths() *Births { return &Births{newest: map[string]birth{}} }
+// NewLatestIncarnations knows no births yet.
+func NewLatestIncarnations() *LatestIncarnations {
+	return &LatestIncarnations{newest: map[string]birth{}}
+}
 
-// Order says how a birth stands to the newest that is known of the id, and
+// Observe says how a birth stands to the newest that is known of the id, and
 // remembers it if it is newer.
-func (b *Births) Order(i Incarnation, now time.Time) BirthOrder {
+func (b *LatestIncarnations) Observe(i Incarnation, now time.Time) IncarnationOrder {
 	known := b.newest[i.ID]
 	switch {
-	case i.Born == 0 && known.born > 0:
-		return BirthUntold
-	case i.Born < known.born:
-		return BirthOlder
+	case i.StartedAt == 0 && known.born > 0:
+		return IncarnationUnknown
+	case i.StartedAt < known.born:
+		return IncarnationOlder
 	}
-	order := BirthSame
-	if i.Born > known.born && known.born > 0 {
-		order = BirthNewer
+	order := IncarnationCurrent
+	if i.StartedAt > known.born && known.born > 0 {
+		order = IncarnationNewer
 	}
-	if i.Born > 0 {
-		b.newest[i.ID] = birth{i.Born, now}
+	if i.StartedAt > 0 {
+		b.newest[i.ID] = birth{i.StartedAt, now}
 	}
 	b.forget(now)
 	return order
 }
 
 // forget drops births that were not heard of for long.
-func (b *Births) forget(now time.Time) {
+func (b *LatestIncarnations) forget(now time.Time) {
 	for id, known := range b.newest {
 		if now.Sub(known.seen) > birthMemory {
 			delete(b.newest, id)
@@ -70,18 +72,18 @@
 	}
 }
 
-// BirthOrder is how a birth stands to the newest known.
-type BirthOrder int
+// IncarnationOrder is how a birth stands to the newest known.
+type IncarnationOrder int
 
 // Orders of births.
 const (
-	// BirthSame is the newest known, or the first of its id.
-	BirthSame BirthOrder = iota
-	// BirthNewer is a start again under an id that is known.
-	BirthNewer
-	// BirthOlder is a former incarnation, seen late.
-	BirthOlder
-	// BirthUntold says nothing of its birth though the endpoint has told one
+	// IncarnationCurrent is the newest known, or the first of its id.
+	IncarnationCurrent IncarnationOrder = iota
+	// IncarnationNewer is a start again under an id that is known.
+	IncarnationNewer
+	// IncarnationOlder is a former incarnation, seen late.
+	IncarnationOlder
+	// IncarnationUnknown says nothing of its birth though the endpoint has told one
 	// before, so it is not the endpoint's own word.
-	BirthUntold
+	IncarnationUnknown
 )
--- a/fleet/organisation.go
+++ b/fleet/organisation.go
@@ -33,14 +33,14 @@
 	Priority int
 }
 
-// Organised reports whether requests bear the key of an organisation.
-func (c *Config) Organised() bool { return len(c.Organisations) > 0 }
+// HasOrganisations reports whether requests bear the key of an organisation.
+func (c *Config) HasOrganisations() bool { return len(c.Organisations) > 0 }
 
 // Organisation returns the organisation that holds a key, or nil.
 func (c *Config) Organisation(key APIKey) *Organisation { return c.byKey[key.digest()] }
 
-// NamedOrganisation returns an organisation by name, or nil.
-func (c *Config) NamedOrganisation(name string) *Organisation { return c.byName[name] }
+// OrganisationByName returns an organisation by name, or nil.
+func (c *Config) OrganisationByName(name string) *Organisation { return c.byName[name] }
 
 // JobRoutes reports whether a host has routes for batch jobs whose clients need a
 // key, and such whose clients need none.
--- a/fleet/organisation_test.go
+++ b/fleet/organisation_test.go
@@ -22,10 +22,10 @@
 			t.Errorf("the key belongs to %q, want %q", got, want)
 		}
 	}
-	if o := c.NamedOrganisation("trust"); o == nil || o.Name != "trust" || c.NamedOrganisation("none") != nil {
+	if o := c.OrganisationByName("trust"); o == nil || o.Name != "trust" || c.OrganisationByName("none") != nil {
 		t.Errorf("got %v", o)
 	}
-	if !c.Organised() || (&Config{}).Organised() {
+	if !c.HasOrganisations() || (&Config{}).HasOrganisations() {
 		t.Error("a configuration is organised if it has organisations")
 	}
 }
@@ -68,7 +68,7 @@
 	if v.ConfigAge(now) < time.Hour {
 		t.Error("nothing was heard yet")
 	}
-	v.HearConfig(now)
+	v.ConfirmConfig(now)
 	if age := v.ConfigAge(now.Add(2 * time.Second)); age != 2*time.Second {
 		t.Errorf("got %s", age)
 	}
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -17,22 +17,22 @@
 	Addr    string // ip:port
 	Zone    string
 	Slots   int
-	// Born is the Unix millisecond of its start; 0 if it does not say.
-	Born int64
+	// StartedAt is the Unix millisecond of its start; 0 if it does not say.
+	StartedAt int64
 	// Draining instances get no new work.
 	Draining bool
 	// Versions are the weight versions of its models.
 	Versions map[string]uint64
-	// Entry is the store's version of its entry: of two instances at an address
+	// RowVersion is the store's version of its entry: of two instances at an address
 	// the one with the newer entry lives, and the other was there before it.
-	Entry uint64
+	RowVersion uint64
 }
 
-// Says reports whether an instance's entry says the same as another one's,
+// SameContent reports whether an instance's entry says the same as another one's,
 // whenever either was written.
-func (i Instance) Says(other Instance) bool {
+func (i Instance) SameContent(other Instance) bool {
 	return i.ID == other.ID && i.Service == other.Service && i.Addr == other.Addr && i.Zone == other.Zone &&
-		i.Slots == other.Slots && i.Born == other.Born && i.Draining == other.Draining && maps.Equal(i.Versions, other.Versions)
+		i.Slots == other.Slots && i.StartedAt == other.StartedAt && i.Draining == other.Draining && maps.Equal(i.Versions, other.Versions)
 }
 
 // Snapshot is what is believed at one moment. It is immutable.
@@ -62,13 +62,13 @@
 	return found, ok
 }
 
-// Leaves reports whether an instance that was listed says that it leaves.
-func (s *Snapshot) Leaves(i Instance) bool {
-	return s.Lists(i) && s.Instances[i.ID].Draining
+// IsDraining reports whether an instance that was listed says that it leaves.
+func (s *Snapshot) IsDraining(i Instance) bool {
+	return s.Contains(i) && s.Instances[i.ID].Draining
 }
 
-// Lists reports whether the list has just this incarnation of an instance.
-func (s *Snapshot) Lists(i Instance) bool {
+// Contains reports whether the list has just this incarnation of an instance.
+func (s *Snapshot) Contains(i Instance) bool {
 	now, listed := s.Instances[i.ID]
 	return listed && now.Incarnation() == i.Incarnation()
 }
@@ -117,9 +117,9 @@
 	return done
 }
 
-// HearConfig notes that a read which began at a moment told all of the operators'
+// ConfirmConfig notes that a read which began at a moment told all of the operators'
 // rows that was new then.
-func (v *View) HearConfig(asked time.Time) { v.configHeard.Store(&asked) }
+func (v *View) ConfirmConfig(asked time.Time) { v.configHeard.Store(&asked) }
 
 // ConfigAge is how long ago the configuration in force was the newest for sure.
 // It goes on while the process stands still: of the monotonic clock, which may
@@ -177,7 +177,7 @@
 	if i.Draining != other.Draining {
 		return other.Draining
 	}
-	return i.Entry > other.Entry
+	return i.RowVersion > other.RowVersion
 }
 
 // index sorts the instances by address and service. Those of a service that the
@@ -186,7 +186,7 @@
 func (s *Snapshot) index() {
 	s.byAddr = make(map[string]Instance, len(s.Instances))
 	for _, i := range s.Instances {
-		if s.Config != nil && !s.Config.Names(i.Service) {
+		if s.Config != nil && !s.Config.HasService(i.Service) {
 			continue
 		}
 		if found, ok := s.byAddr[i.Addr]; !ok || i.follows(found) {
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -33,8 +33,8 @@
 func TestOneInstanceAtAnAddress(t *testing.T) {
 	v := NewView()
 	v.UpdateInstances([]Instance{
-		{ID: "second", Service: "s", Addr: "10.0.0.1:1", Entry: 9}, {ID: "first", Service: "s", Addr: "10.0.0.1:1", Entry: 7},
-		{ID: "third", Service: "t", Addr: "10.0.0.2:1", Entry: 8}, {ID: "fourth", Service: "s", Addr: "10.0.0.2:1", Entry: 5},
+		{ID: "second", Service: "s", Addr: "10.0.0.1:1", RowVersion: 9}, {ID: "first", Service: "s", Addr: "10.0.0.1:1", RowVersion: 7},
+		{ID: "third", Service: "t", Addr: "10.0.0.2:1", RowVersion: 8}, {ID: "fourth", Service: "s", Addr: "10.0.0.2:1", RowVersion: 5},
 	}, nil)
 	if list := v.Snapshot().OfService("s"); len(list) != 1 || list[0].ID != "second" {
 		t.Errorf("got %v", list)
--- a/forward/abandoned.go
+++ b/forward/abandoned.go
@@ -47,11 +47,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.list = slices.DeleteFunc(l.list, func(s abandonedSend) bool {
-		gone := !snap.Lists(s.to)
+		gone := !snap.Contains(s.to)
 		if gone {
 			crashed = append(crashed, s)
 		}
-		return gone || snap.Leaves(s.to) || now.Sub(s.abandonedAt) > unlistTime
+		return gone || snap.IsDraining(s.to) || now.Sub(s.abandonedAt) > unlistTime
 	})
 	return crashed
 }
--- a/forward/crashrig_test.go
+++ b/forward/crashrig_test.go
@@ -88,7 +88,7 @@
 	entry, zone := uint64(r.started), fmt.Sprint("zone-", len(r.alive)%3)
 	r.mu.Unlock()
 	r.view.UpdateInstances([]fleet.Instance{{
-		ID: e.id, Service: crashService, Addr: addr, Zone: zone, Slots: 6, Entry: entry,
+		ID: e.id, Service: crashService, Addr: addr, Zone: zone, Slots: 6, RowVersion: entry,
 	}}, nil)
 }
 
--- a/forward/fairness_test.go
+++ b/forward/fairness_test.go
@@ -34,7 +34,7 @@
 
 func (s *sheddingSender) Send(ctx context.Context, to fleet.Instance, _ *Request, _ time.Duration) (*Answer, error) {
 	if !s.take(to.ID, 1) {
-		return &Answer{Status: http.StatusServiceUnavailable, Declined: true, Load: &fleet.Load{Running: sheddingSlots, Places: sheddingSlots}}, nil
+		return &Answer{Status: http.StatusServiceUnavailable, Declined: true, Load: &fleet.Load{Running: sheddingSlots, Slots: sheddingSlots}}, nil
 	}
 	defer s.take(to.ID, -1)
 	select {
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -289,7 +289,7 @@
 			}
 		}
 		sender.answers["a"] = answers(200, 0)
-		f.View.UpdateInstances([]fleet.Instance{{ID: "a", Service: "s", Zone: "here", Addr: "10.0.0.1:1", Slots: 4, Born: 1}}, nil)
+		f.View.UpdateInstances([]fleet.Instance{{ID: "a", Service: "s", Zone: "here", Addr: "10.0.0.1:1", Slots: 4, StartedAt: 1}}, nil)
 		if _, err := f.Do(t.Context(), request(fleet.KindSafe)); err != nil {
 			t.Fatal(err)
 		}
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -38,7 +38,7 @@
 // this process, because it crashed rather than shut down as announced. A crash is then recorded
 // in the quarantine.
 func (c *call) reportIfCrashed(ctx context.Context, to fleet.Instance, err error, took time.Duration) bool {
-	if !errors.Is(err, ErrBroken) || ctx.Err() != nil || c.View.Snapshot().Leaves(to) {
+	if !errors.Is(err, ErrBroken) || ctx.Err() != nil || c.View.Snapshot().IsDraining(to) {
 		return false
 	}
 	return c.Quarantine.ReportBroken(ctx, quarantine.BrokenRun{Fingerprint: c.fingerprint, Endpoint: to.Incarnation(), Addr: to.Addr, Took: took})
--- a/internal/loadmodel/model.go
+++ b/internal/loadmodel/model.go
@@ -252,7 +252,7 @@
 }
 
 func (d *day) finish(e *endpoint, r *request) {
-	load := fleet.Load{Running: e.running - 1, Waiting: len(e.queue), Places: d.pattern.Places}
+	load := fleet.Load{Running: e.running - 1, Waiting: len(e.queue), Slots: d.pattern.Places}
 	e.running--
 	if len(e.queue) > 0 {
 		next := e.queue[0]
--- a/membership/news.go
+++ b/membership/gossip.go
@@ -27,22 +27,22 @@
 	left     int
 }
 
-// News passes on which instances came since the instance list was read before,
+// Gossip passes on which instances came since the instance list was read before,
 // from entry to entry. Each entry reads a long list rarely, but all together
 // read it often. It is safe for concurrent use.
-type News struct {
+type Gossip struct {
 	mu   sync.Mutex
 	seen map[newsKey]bool
 	// pieces is a queue: what was told goes to its end.
 	pieces []pieceOfNews
 }
 
-// NewNews returns empty news.
-func NewNews() *News { return &News{seen: map[newsKey]bool{}} }
+// NewGossip returns empty news.
+func NewGossip() *Gossip { return &Gossip{seen: map[newsKey]bool{}} }
 
-// Compare takes in two readings of the list, one after the other. What the
+// AddNew takes in two readings of the list, one after the other. What the
 // second names and the first does not is news.
-func (n *News) Compare(before, after []platform.Instance) {
+func (n *Gossip) AddNew(before, after []platform.Instance) {
 	if len(before) == 0 {
 		return // the first reading: everything is new to this entry alone
 	}
@@ -59,8 +59,8 @@
 	}
 }
 
-// Hear takes in what another entry told and returns what is new of it.
-func (n *News) Hear(members []wire.Member) []platform.Instance {
+// Merge takes in what another entry told and returns what is new of it.
+func (n *Gossip) Merge(members []wire.Member) []platform.Instance {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var fresh []platform.Instance
@@ -74,7 +74,7 @@
 }
 
 // add says whether the instance was not known as news.
-func (n *News) add(in platform.Instance) bool {
+func (n *Gossip) add(in platform.Instance) bool {
 	key := newsKey{in.ID, in.Addr}
 	if n.seen[key] {
 		return false
@@ -91,15 +91,15 @@
 }
 
 // forgetTold forgets the keys of what is not told any more.
-func (n *News) forgetTold() {
+func (n *Gossip) forgetTold() {
 	clear(n.seen)
 	for _, p := range n.pieces {
 		n.seen[newsKey{p.instance.ID, p.instance.Addr}] = true
 	}
 }
 
-// Tell returns what goes into the next message.
-func (n *News) Tell() []wire.Member {
+// NextBatch returns what goes into the next message.
+func (n *Gossip) NextBatch() []wire.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := min(len(n.pieces), newsPerMessage)
--- a/membership/news_test.go
+++ b/membership/gossip_test.go
@@ -18,13 +18,13 @@
 	const n, rounds = 205, 20
 	entries := instanceList(n, 0, 26)
 	index := map[string]int{}
-	news := make([]*News, n)
+	news := make([]*Gossip, n)
 	for i, in := range entries {
 		index[in.ID] = i
-		news[i] = NewNews()
+		news[i] = NewGossip()
 	}
 	fresh := platform.Instance{ID: "agent-new", Role: platform.RoleAgent, Zone: "zone-01", Addr: "10.9.9.9:1", State: platform.InstanceLive}
-	news[0].Compare(entries, append(entries[:n:n], fresh))
+	news[0].AddNew(entries, append(entries[:n:n], fresh))
 	rng := rand.New(rand.NewPCG(1, 2))
 	knows := map[int]bool{0: true}
 	told := 0
@@ -33,12 +33,12 @@
 		for i, in := range entries {
 			peers := Neighbours(in.ID, append(entries[:i:i], entries[i+1:]...), 8)
 			j := index[peers[rng.IntN(len(peers))].ID]
-			offer, reply := news[i].Tell(), news[j].Tell()
+			offer, reply := news[i].NextBatch(), news[j].NextBatch()
 			told += len(offer) + len(reply)
-			if len(news[j].Hear(offer)) > 0 {
+			if len(news[j].Merge(offer)) > 0 {
 				knows[j] = true
 			}
-			if len(news[i].Hear(reply)) > 0 {
+			if len(news[i].Merge(reply)) > 0 {
 				knows[i] = true
 			}
 		}
@@ -57,15 +57,15 @@
 
 // TestNewsIsBounded: a flood of news neither grows messages nor what is kept.
 func TestNewsIsBounded(t *testing.T) {
-	n := NewNews()
-	n.Compare(instanceList(1, 0, 1), instanceList(0, 3000, 4))
+	n := NewGossip()
+	n.AddNew(instanceList(1, 0, 1), instanceList(0, 3000, 4))
 	if len(n.pieces) > mostNews || len(n.seen) > 2*mostNews {
 		t.Errorf("keeps %d pieces and %d keys", len(n.pieces), len(n.seen))
 	}
-	if got := len(n.Tell()); got != newsPerMessage {
+	if got := len(n.NextBatch()); got != newsPerMessage {
 		t.Errorf("told %d pieces in a message", got)
 	}
-	if fresh := n.Hear(make([]wire.Member, 100)); len(fresh) > 0 {
+	if fresh := n.Merge(make([]wire.Member, 100)); len(fresh) > 0 {
 		t.Errorf("took in %d members without id and address", len(fresh))
 	}
 }
@@ -74,8 +74,8 @@
 func TestMerge(t *testing.T) {
 	list := instanceList(0, 2, 1)
 	view := NewView()
-	view.Listed(list)
-	view.Reported(wire.Header{From: list[0].ID, Incarnation: "a"}, wire.Report{Seq: 1}, time.Unix(1000, 0))
+	view.ApplyList(list)
+	view.ApplyReport(wire.Header{From: list[0].ID, Incarnation: "a"}, wire.Report{Seq: 1}, time.Unix(1000, 0))
 	heard := []platform.Instance{{ID: list[0].ID, Addr: "10.1.1.1:1"}, {ID: list[1].ID, Addr: "10.1.1.2:1"}, {ID: "third", Addr: "10.1.1.3:1"}}
 	merged := merge(list, heard, view.Snapshot())
 	if len(merged) != 3 || merged[0].Addr != list[0].Addr || merged[1].Addr != "10.1.1.2:1" || merged[2].ID != "third" {
@@ -98,7 +98,7 @@
 		running.Go(func() { w.Run(ctx) })
 		time.Sleep(time.Second)
 		in := agents[1]
-		w.Hear([]wire.Member{{ID: in.ID, Role: in.Role, Zone: in.Zone, Addr: in.Addr}})
+		w.MergeGossip([]wire.Member{{ID: in.ID, Role: in.Role, Zone: in.Zone, Addr: in.Addr}})
 		time.Sleep(time.Second)
 		if a := cfg.View.Snapshot().Agent(in.ID); a == nil || a.State != StateLive {
 			t.Errorf("the agent heard of is %+v", a)
--- a/membership/scale_test.go
+++ b/membership/scale_test.go
@@ -214,7 +214,7 @@
 	for _, watched := range []int{8, 32, 64, 128} {
 		b.Run(fmt.Sprintf("watched=%d", watched), func(b *testing.B) {
 			view := NewView()
-			view.Listed(instanceList(0, watched, designZones))
+			view.ApplyList(instanceList(0, watched, designZones))
 			reply := testReport(3)
 			body, err := codec.Marshal(&reply)
 			if err != nil {
@@ -229,7 +229,7 @@
 				seq++
 				r.Report.Seq = seq
 				r.Header.From = fmt.Sprintf("agent-%05d", seq%uint64(watched))
-				view.Reported(r.Header, *r.Report, time.Time{})
+				view.ApplyReport(r.Header, *r.Report, time.Time{})
 			}
 		})
 	}
@@ -259,12 +259,12 @@
 	}
 	view := NewView()
 	agents := instanceList(0, 40, 4)
-	view.Listed(agents)
+	view.ApplyList(agents)
 	if listDue(interval-1, interval, view.Snapshot()) || !listDue(interval, interval, view.Snapshot()) {
 		t.Error("not read just at its interval")
 	}
 	for _, in := range agents[:6] {
-		view.Suspect(in.ID)
+		view.MarkSuspect(in.ID)
 	}
 	if !listDue(interval/10, interval, view.Snapshot()) || listDue(interval/100, interval, view.Snapshot()) {
 		t.Error("with many suspects, not read after a sixteenth of its interval")
--- a/membership/snapshot.go
+++ b/membership/snapshot.go
@@ -36,28 +36,28 @@
 	State       State
 	Report      wire.Report
 	ReportedAt  time.Time
-	// Sends counts this entry's own runs at the agent. It is shared by all snapshots.
-	Sends *Sends
+	// InFlight counts this entry's own runs at the agent. It is shared by all snapshots.
+	InFlight *InFlight
 	// sendsAtReport is Sends when the report arrived.
 	sendsAtReport int64
 }
 
-// Sends counts an entry's own unfinished runs at one agent.
-type Sends struct{ n atomic.Int64 }
+// InFlight counts an entry's own unfinished runs at one agent.
+type InFlight struct{ n atomic.Int64 }
 
 // Begin counts a run that is sent.
-func (s *Sends) Begin() { s.n.Add(1) }
+func (s *InFlight) Begin() { s.n.Add(1) }
 
 // End counts a run that ended.
-func (s *Sends) End() { s.n.Add(-1) }
+func (s *InFlight) End() { s.n.Add(-1) }
 
-// Now is the number of unfinished runs.
-func (s *Sends) Now() int64 { return s.n.Load() }
+// Count is the number of unfinished runs.
+func (s *InFlight) Count() int64 { return s.n.Load() }
 
 // Load estimates the runs at the agent now: its report, corrected by what this
 // entry itself began and ended since the report arrived.
 func (a *Agent) Load() int64 {
-	own := a.Sends.Now()
+	own := a.InFlight.Count()
 	reported := int64(a.Report.Running + a.Report.Queued)
 	return max(own, reported+own-a.sendsAtReport)
 }
--- a/membership/view.go
+++ b/membership/view.go
@@ -43,14 +43,14 @@
 // Entries returns the other entries that the instance list named last. Callers must not change it.
 func (v *View) Entries() []platform.Instance { return *v.entries.Load() }
 
-// ListedEntries takes in the other entries of the instance list.
-func (v *View) ListedEntries(entries []platform.Instance) { v.entries.Store(&entries) }
+// SetEntries takes in the other entries of the instance list.
+func (v *View) SetEntries(entries []platform.Instance) { v.entries.Store(&entries) }
 
-// Listed takes in the watched lines of the instance list. Agents that the list
+// ApplyList takes in the watched lines of the instance list. Agents that the list
 // no longer names are forgotten only when they are not live by their own
 // reports, since the list lags. A list without any agent is not believed: it
 // would leave nothing to route to.
-func (v *View) Listed(instances []platform.Instance) {
+func (v *View) ApplyList(instances []platform.Instance) {
 	if len(instances) == 0 {
 		return
 	}
@@ -71,7 +71,7 @@
 	a := v.copyOf(in.ID)
 	if a.Addr != in.Addr {
 		// Another instance under the same id: what was known does not hold for it.
-		*a = Agent{ID: in.ID, State: StateNew, Sends: a.Sends}
+		*a = Agent{ID: in.ID, State: StateNew, InFlight: a.InFlight}
 	}
 	a.Addr = in.Addr
 	a.Zone = in.Zone
@@ -81,9 +81,9 @@
 	v.agents[in.ID] = a
 }
 
-// Reported takes in an agent's report and says whether it was newer than the
+// ApplyReport takes in an agent's report and says whether it was newer than the
 // one known. A report that arrives late or out of order is dropped.
-func (v *View) Reported(h wire.Header, r wire.Report, now time.Time) bool {
+func (v *View) ApplyReport(h wire.Header, r wire.Report, now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	old, known := v.agents[h.From]
@@ -99,7 +99,7 @@
 	a.Incarnation = h.Incarnation
 	a.Report = r
 	a.ReportedAt = now
-	a.sendsAtReport = a.Sends.Now()
+	a.sendsAtReport = a.InFlight.Count()
 	v.agents[a.ID] = a
 	v.publish()
 	return true
@@ -115,13 +115,13 @@
 	return StateLive
 }
 
-// Suspect records that an agent's reports stopped or that a call to it failed.
-func (v *View) Suspect(id string) {
+// MarkSuspect records that an agent's reports stopped or that a call to it failed.
+func (v *View) MarkSuspect(id string) {
 	v.setState(id, StateSuspect)
 }
 
-// Leaving records that an agent said that it is draining.
-func (v *View) Leaving(id string) {
+// MarkLeaving records that an agent said that it is draining.
+func (v *View) MarkLeaving(id string) {
 	v.setState(id, StateLeaving)
 }
 
@@ -141,7 +141,7 @@
 func (v *View) copyOf(id string) *Agent {
 	old, known := v.agents[id]
 	if !known {
-		return &Agent{ID: id, State: StateNew, Sends: &Sends{}}
+		return &Agent{ID: id, State: StateNew, InFlight: &InFlight{}}
 	}
 	a := *old
 	return &a
--- a/membership/watcher.go
+++ b/membership/watcher.go
@@ -58,7 +58,7 @@
 	wg      sync.WaitGroup
 	// listed is the list read last with what was heard since; Run alone uses it.
 	listed []platform.Instance
-	news   *News
+	news   *Gossip
 	heard  chan []platform.Instance
 }
 
@@ -85,7 +85,7 @@
 		cfg.MaxInterval = DefaultMaxInterval
 	}
 	return &Watcher{
-		cfg: cfg, watches: map[watchKey]context.CancelFunc{}, news: NewNews(), heard: make(chan []platform.Instance, mostNews),
+		cfg: cfg, watches: map[watchKey]context.CancelFunc{}, news: NewGossip(), heard: make(chan []platform.Instance, mostNews),
 	}
 }
 
@@ -128,13 +128,13 @@
 	}
 }
 
-// News is what this entry tells others of instances.
-func (w *Watcher) News() []wire.Member { return w.news.Tell() }
+// GossipBatch is what this entry tells others of instances.
+func (w *Watcher) GossipBatch() []wire.Member { return w.news.NextBatch() }
 
-// Hear takes in what another entry tells of instances. It never blocks: what
+// MergeGossip takes in what another entry tells of instances. It never blocks: what
 // finds no room is learnt from the list.
-func (w *Watcher) Hear(members []wire.Member) {
-	fresh := w.news.Hear(members)
+func (w *Watcher) MergeGossip(members []wire.Member) {
+	fresh := w.news.Merge(members)
 	if len(fresh) == 0 {
 		return
 	}
@@ -170,7 +170,7 @@
 		w.cfg.Log.WithError(err).Warn("instance list not read; the last view stays")
 		return false
 	}
-	w.news.Compare(w.listed, instances)
+	w.news.AddNew(w.listed, instances)
 	w.apply(ctx, instances)
 	return true
 }
@@ -178,8 +178,8 @@
 // apply chooses the agents to watch from a list.
 func (w *Watcher) apply(ctx context.Context, instances []platform.Instance) {
 	subset := Subset(w.cfg.EntryID, w.cfg.Zone, instances, w.cfg.Subset)
-	w.cfg.View.ListedEntries(w.otherEntries(instances))
-	w.cfg.View.Listed(subset)
+	w.cfg.View.SetEntries(w.otherEntries(instances))
+	w.cfg.View.ApplyList(subset)
 	w.listed = instances
 	wanted := w.keys(instances, subset)
 	w.follow(ctx, subset, wanted)
@@ -249,7 +249,7 @@
 		cancel()
 		delete(w.watches, key)
 		if !w.isWatched(key.id) {
-			w.cfg.View.Suspect(key.id) // and forgotten at the next reading of the list
+			w.cfg.View.MarkSuspect(key.id) // and forgotten at the next reading of the list
 		}
 	}
 }
@@ -277,7 +277,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		w.cfg.View.Suspect(in.ID)
+		w.cfg.View.MarkSuspect(in.ID)
 		if got > 0 {
 			delays.Reset()
 		}
@@ -322,6 +322,6 @@
 		w.cfg.Observe(r.Header)
 	}
 	if r.Report != nil {
-		w.cfg.View.Reported(r.Header, *r.Report, time.Now())
+		w.cfg.View.ApplyReport(r.Header, *r.Report, time.Now())
 	}
 }
--- a/quarantine/history_test.go
+++ b/quarantine/history_test.go
@@ -93,7 +93,7 @@
 			state, _ := h.state(RequestLimit, now)
 			if state == TrialDue {
 				h.trials[h.nextTrial()] = now
-				h.crashes[fleet.Incarnation{ID: "trial", Born: int64(now)}] = span{now, now + time.Second}
+				h.crashes[fleet.Incarnation{ID: "trial", StartedAt: int64(now)}] = span{now, now + time.Second}
 				trials++
 			}
 			if state != TrialDue && state != Quarantined {
--- a/quarantine/rows.go
+++ b/quarantine/rows.go
@@ -41,7 +41,7 @@
 }
 
 func crashKey(fp Fingerprint, endpoint fleet.Incarnation) store.Key {
-	return store.Key{Table: Table, Name: strings.Join([]string{string(fp), kindCrash, strconv.FormatInt(endpoint.Born, 10), endpoint.ID}, "/")}
+	return store.Key{Table: Table, Name: strings.Join([]string{string(fp), kindCrash, strconv.FormatInt(endpoint.StartedAt, 10), endpoint.ID}, "/")}
 }
 
 func trialKey(fp Fingerprint, number int) store.Key {
@@ -63,7 +63,7 @@
 	case kindCrash:
 		born, id, _ := strings.Cut(rest, "/")
 		e.endpoint.ID = id
-		e.endpoint.Born, err = strconv.ParseInt(born, 10, 64)
+		e.endpoint.StartedAt, err = strconv.ParseInt(born, 10, 64)
 	default:
 		err = fmt.Errorf("unknown kind %q", kind)
 	}
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -116,7 +116,7 @@
 
 // ReportCrashAtAgent is ReportCrash for an endpoint of which only the agent beside it is known.
 func (t *Tracker) ReportCrashAtAgent(fp Fingerprint, agent string, took time.Duration) {
-	t.ReportCrash(BrokenRun{Fingerprint: fp, Endpoint: fleet.Incarnation{ID: agent, Born: time.Now().UnixMilli()}, Took: took})
+	t.ReportCrash(BrokenRun{Fingerprint: fp, Endpoint: fleet.Incarnation{ID: agent, StartedAt: time.Now().UnixMilli()}, Took: took})
 }
 
 func (t *Tracker) recordCrash(r BrokenRun, at time.Duration) {
--- a/rollout/placer.go
+++ b/rollout/placer.go
@@ -158,11 +158,11 @@
 
 // newPlacement counts a run at the agent. The caller holds p.mu.
 func (p *placer) newPlacement(agent *membership.Agent) *placement {
-	agent.Sends.Begin()
+	agent.InFlight.Begin()
 	p.unstarted[agent.ID]++
 	started := sync.OnceFunc(func() { p.started(agent.ID) })
 	end := sync.OnceFunc(func() {
-		agent.Sends.End()
+		agent.InFlight.End()
 		started()
 		p.signal()
 	})
--- a/rollout/task.go
+++ b/rollout/task.go
@@ -181,8 +181,8 @@
 // reattach reconnects to a run whose stream broke: the run continues at the agent when only
 // the connection was lost. On failure it returns brokenStream, the original refusal.
 func (t *task) reattach(ctx context.Context, a *membership.Agent, brokenStream *api.Refusal) (*wire.Done, *api.Refusal) {
-	a.Sends.Begin()
-	defer a.Sends.End()
+	a.InFlight.Begin()
+	defer a.InFlight.End()
 	done, refusal := t.attach(ctx, a)
 	if refusal != nil {
 		return nil, brokenStream
@@ -200,10 +200,10 @@
 	}
 	a := t.s.View.Snapshot().Agent(p.id)
 	if a == nil || a.Addr != p.addr {
-		a = &membership.Agent{ID: p.id, Addr: p.addr, Sends: &membership.Sends{}}
+		a = &membership.Agent{ID: p.id, Addr: p.addr, InFlight: &membership.InFlight{}}
 	}
-	a.Sends.Begin()
-	defer a.Sends.End()
+	a.InFlight.Begin()
+	defer a.InFlight.End()
 	t.lastPeer = p
 	done, refusal := t.attach(ctx, a)
 	if refusal != nil || !generation.Fresh(done.Spans, t.s.minVersion) {
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -20,10 +20,10 @@
 			for i := range n {
 				list = append(list, platform.Instance{ID: fmt.Sprintf("agent-%d", i), Role: platform.RoleAgent, Zone: fmt.Sprintf("zone-%d", i%4), Addr: "10.0.0.1:1"})
 			}
-			view.Listed(list)
+			view.ApplyList(list)
 			for i, in := range list {
 				report := wire.Report{Seq: 1, Healthy: true, Slots: 64, Running: i % 64, Capacity: 100, Models: []wire.ModelReport{{Model: "guide", Version: 7, Ready: true}}}
-				view.Reported(wire.Header{From: in.ID, Incarnation: "a"}, report, time.Unix(1000, 0))
+				view.ApplyReport(wire.Header{From: in.ID, Incarnation: "a"}, report, time.Unix(1000, 0))
 			}
 			router, rng := NewInteractive(), rand.New(rand.NewPCG(1, 2))
 			req := &Request{Model: "guide", Zone: "zone-1", PrefixKey: 99}
--- a/routing/fallback_test.go
+++ b/routing/fallback_test.go
@@ -17,7 +17,7 @@
 		list = append(list, platform.Instance{ID: string(rune('a' + i)), Role: platform.RoleAgent, Zone: zone, Addr: "10.0.0.1:1", State: platform.InstanceLive})
 	}
 	view := membership.NewView()
-	view.Listed(list)
+	view.ApplyList(list)
 	for _, in := range list {
 		sendReport(view, in.ID, 1)
 	}
@@ -27,7 +27,7 @@
 // sendReport records a report of a healthy agent in the view.
 func sendReport(view *membership.View, id string, seq uint64) {
 	r := wire.Report{Seq: seq, Zone: "patan", Healthy: true, Slots: 8, Capacity: 100, Models: []wire.ModelReport{{Model: "guide", Version: 1, Ready: true}}}
-	view.Reported(wire.Header{From: id, Incarnation: "first"}, r, time.Unix(1000, 0))
+	view.ApplyReport(wire.Header{From: id, Incarnation: "first"}, r, time.Unix(1000, 0))
 }
 
 // countPicks picks an agent for 200 requests and counts the picks by agent id.
@@ -49,8 +49,8 @@
 // requests while others are live.
 func TestPartitionedZoneGetsNoRequests(t *testing.T) {
 	view, _ := newTestView()
-	view.Suspect("a")
-	view.Suspect("b")
+	view.MarkSuspect("a")
+	view.MarkSuspect("b")
 	if got := countPicks(t, view); got["a"]+got["b"] > 0 || len(got) == 0 {
 		t.Errorf("picked %v with patan partitioned off", got)
 	}
@@ -61,9 +61,9 @@
 func TestAllSuspect(t *testing.T) {
 	view, list := newTestView()
 	for _, in := range list {
-		view.Suspect(in.ID)
+		view.MarkSuspect(in.ID)
 	}
-	view.Listed(nil)
+	view.ApplyList(nil)
 	if got := countPicks(t, view); len(got) < 2 {
 		t.Errorf("picked %v when all are suspect", got)
 	}
@@ -77,7 +77,7 @@
 func TestLeavingAgentsAreNeverPicked(t *testing.T) {
 	view, list := newTestView()
 	for _, in := range list {
-		view.Leaving(in.ID)
+		view.MarkLeaving(in.ID)
 	}
 	if a, err := NewInteractive().Pick(&Request{Model: "guide"}, view.Snapshot(), rand.New(rand.NewPCG(1, 2))); err == nil {
 		t.Errorf("%s was picked while leaving", a.ID)
--- a/scaling/orders.go
+++ b/scaling/orders.go
@@ -65,8 +65,8 @@
 	return piece, dueOf(piece)
 }
 
-// Coming implements duty.Work.
-func (o *Orders) Coming(after time.Time) (uint64, time.Time) {
+// NextDue implements duty.Work.
+func (o *Orders) NextDue(after time.Time) (uint64, time.Time) {
 	piece := pieceAt(after) + 1
 	return piece, dueOf(piece)
 }
@@ -156,8 +156,8 @@
 	return o.Sink.Scale(ctx, f, acting, &order)
 }
 
-// Settled implements duty.Work: it removes the rows of processes that are gone.
-func (o *Orders) Settled(ctx context.Context, _ uint64) {
+// OnDone implements duty.Work: it removes the rows of processes that are gone.
+func (o *Orders) OnDone(ctx context.Context, _ uint64) {
 	for _, key := range o.stale {
 		if _, err := o.Rows.Commit(ctx, store.Tx{Delete: []store.Key{key}}); err != nil {
 			o.Log.WithError(err).WithField("row", key.Name).Warn("old load not removed")
--- a/scaling/orders_test.go
+++ b/scaling/orders_test.go
@@ -149,7 +149,7 @@
 		if err := o.Send(t.Context(), duty.Fence{}, func() bool { return true }, work); err != nil || len(sink.got) != 1 || sink.got[0].Endpoints != 8 {
 			t.Errorf("got %+v, %v", sink.got, err)
 		}
-		o.Settled(t.Context(), 1)
+		o.OnDone(t.Context(), 1)
 		if rows := s.Rows(TableLoads); len(rows) != 1 || rows[0].Name != "lives" {
 			t.Errorf("left are %d rows", len(rows))
 		}
@@ -166,7 +166,7 @@
 		if next, due := o.Next(piece, true); next != piece+1 || !due.After(time.Now()) {
 			t.Errorf("then %d at %s", next, due)
 		}
-		if coming, due := o.Coming(time.Now()); coming != piece+1 || !due.After(time.Now()) {
+		if coming, due := o.NextDue(time.Now()); coming != piece+1 || !due.After(time.Now()) {
 			t.Errorf("coming %d at %s", coming, due)
 		}
 	})
--- a/service/entry/claimed.go
+++ b/service/entry/claimed.go
@@ -121,7 +121,7 @@
 	if stands != nil {
 		return e.claims.TakeOver(ctx, row, key, *stands, c)
 	}
-	return e.claims.Make(ctx, row, key, c)
+	return e.claims.Create(ctx, row, key, c)
 }
 
 // claimRefusal refuses a call that was not claimed, and hence not sent. An
@@ -192,7 +192,7 @@
 	if a != nil && a.Addr == claim.Addr {
 		return a
 	}
-	return &membership.Agent{ID: claim.Agent, Addr: claim.Addr, Sends: &membership.Sends{}}
+	return &membership.Agent{ID: claim.Agent, Addr: claim.Addr, InFlight: &membership.InFlight{}}
 }
 
 // resolve answers a call with the run of its claim, without ever starting it.
--- a/service/entry/counters.go
+++ b/service/entry/counters.go
@@ -30,7 +30,7 @@
 	}
 	for _, a := range e.view.Snapshot().Agents {
 		g.Agents[a.State]++
-		g.Sends += a.Sends.Now()
+		g.Sends += a.InFlight.Count()
 	}
 	return g
 }
--- a/service/entry/gossip.go
+++ b/service/entry/gossip.go
@@ -80,14 +80,14 @@
 	peer := peers[g.rng.IntN(len(peers))]
 	offer := g.average.Offer()
 	offer.Entries = entries
-	offer.Members = g.e.watcher.News()
+	offer.Members = g.e.watcher.GossipBatch()
 	offer.Contents = g.e.contentNews()
 	reply, err := g.exchange(ctx, peer.Addr, offer)
 	if err != nil {
 		g.e.cfg.Log.WithError(err).WithField("peer", peer.ID).Debug("no exchange of demand")
 		return
 	}
-	g.e.watcher.Hear(reply.Members)
+	g.e.watcher.MergeGossip(reply.Members)
 	g.e.hearContents(reply.Contents)
 	g.average.ApplyReply(time.Now(), offer, *reply, entries, demand)
 }
@@ -121,9 +121,9 @@
 	entries := len(g.e.view.Entries()) + 1
 	reply := g.average.HandleOffer(time.Now(), *offer, entries, g.e.limits.Demand())
 	reply.Entries = entries
-	reply.Members = g.e.watcher.News()
+	reply.Members = g.e.watcher.GossipBatch()
 	reply.Contents = g.e.contentNews()
-	g.e.watcher.Hear(offer.Members)
+	g.e.watcher.MergeGossip(offer.Members)
 	g.e.hearContents(offer.Contents)
 	return wire.Reply{Header: g.e.header(), Gossip: &reply}
 }
--- a/service/entry/held.go
+++ b/service/entry/held.go
@@ -41,7 +41,7 @@
 func (e *Entry) contentNews() (list []wire.ContentNews) {
 	for _, n := range e.quarantine.RecentEvents() {
 		list = append(list, wire.ContentNews{
-			Content: string(n.Fingerprint), Kind: int(n.Kind), Agent: n.Endpoint.ID, Born: n.Endpoint.Born,
+			Content: string(n.Fingerprint), Kind: int(n.Kind), Agent: n.Endpoint.ID, Born: n.Endpoint.StartedAt,
 			Took: n.Took, Trial: n.Trial, Age: n.Age,
 		})
 	}
@@ -54,7 +54,7 @@
 	for _, n := range list {
 		heard = append(heard, quarantine.GossipEvent{
 			Fingerprint: quarantine.Fingerprint(n.Content), Kind: quarantine.GossipKind(n.Kind),
-			Endpoint: fleet.Incarnation{ID: n.Agent, Born: n.Born}, Took: n.Took, Trial: n.Trial, Age: n.Age,
+			Endpoint: fleet.Incarnation{ID: n.Agent, StartedAt: n.Born}, Took: n.Took, Trial: n.Trial, Age: n.Age,
 		})
 	}
 	e.quarantine.MergeEvents(heard)
--- a/service/entry/run.go
+++ b/service/entry/run.go
@@ -147,8 +147,8 @@
 
 // send sends a run to an agent once.
 func (e *Entry) send(ctx context.Context, c *call, agent *membership.Agent, run *wire.Run) (*wire.Done, *api.Refusal) {
-	agent.Sends.Begin()
-	defer agent.Sends.End()
+	agent.InFlight.Begin()
+	defer agent.InFlight.End()
 	began := time.Now()
 	done, err := e.client.Run(ctx, agent, run, func(chunk *wire.Chunk) {
 		c.progress.Add(chunk)
--- a/service/node/scaling.go
+++ b/service/node/scaling.go
@@ -100,8 +100,8 @@
 // performOrders takes turns at the orders for one place.
 func (a *Agent) performOrders(ctx context.Context, p scaling.Place) {
 	performer := &duty.Performer{
-		Seat:  a.seat(scaling.Subject(p)),
-		Order: &duty.Order{Self: a.settings.IP, Others: a.agents, Keep: true, Lookers: duty.FewLookers},
+		Terms: a.seat(scaling.Subject(p)),
+		Order: &duty.CandidateOrder{Self: a.settings.IP, Others: a.agents, PreferHolder: true, Candidates: duty.FewCandidates},
 		Work: &scaling.Orders{
 			Place: p, Rows: a.store, View: a.view, Zones: a.settings.Zones, Now: a.store.Now, Sink: a.duties, Log: a.log,
 		},
--- a/service/node/usage.go
+++ b/service/node/usage.go
@@ -20,7 +20,7 @@
 	}
 	windows := usage.Windows{Length: e.settings.UsageWindow}
 	counter := usage.NewCounter(windows)
-	e.forwarder.OnRunStarted = counter.Began
+	e.forwarder.OnRunStarted = counter.Add
 	recorder := &usage.Recorder{
 		Rows: e.rows, Counter: counter, Windows: windows, Zone: e.settings.Zone, Entry: e.settings.Node + "-" + e.incarnation,
 		ReportDelay: usage.ReportDelay(e.settings.UsageDue), Log: e.log,
@@ -37,12 +37,12 @@
 	}
 	reporter := &usage.Reporter{
 		Rows: a.store, Windows: usage.Windows{Length: a.settings.UsageWindow}, Zones: a.settings.Zones,
-		Delay: usage.ReportDelay(a.settings.UsageDue), Sink: a.duties, Log: a.log,
+		Delay: usage.ReportDelay(a.settings.UsageDue), Sender: a.duties, Log: a.log,
 	}
 	performer := &duty.Performer{
-		Seat: a.seat(subjectUsage),
-		Order: &duty.Order{
-			Self: a.settings.IP, Others: a.agents, Keep: duty.KeepHolder(a.settings.UsageWindow, a.settings.Lease),
+		Terms: a.seat(subjectUsage),
+		Order: &duty.CandidateOrder{
+			Self: a.settings.IP, Others: a.agents, PreferHolder: duty.ShouldPreferHolder(a.settings.UsageWindow, a.settings.Lease),
 		},
 		Work: reporter, Log: a.log, Counters: a.counters,
 	}
@@ -54,8 +54,8 @@
 }
 
 // seat is this machine's view of a duty's subject.
-func (a *Agent) seat(subject string) *duty.Seat {
-	return &duty.Seat{
+func (a *Agent) seat(subject string) *duty.TermStore {
+	return &duty.TermStore{
 		Rows: a.store, Clock: a.store, Subject: subject, Machine: a.settings.IP, Name: a.settings.Node, Lease: a.settings.Lease,
 	}
 }
--- a/service/node/usage_test.go
+++ b/service/node/usage_test.go
@@ -75,12 +75,12 @@
 				defer stop()
 				e.countUsage(ctx, &running)
 				windows := usage.Windows{Length: e.settings.UsageWindow}
-				began := windows.Of(time.Now())
+				began := windows.Index(time.Now())
 				running.Go(func() { e.forwarder.Do(ctx, lookupOf("guthi", c.kind)) }) // what it answers is tested elsewhere
 
 				sink := reports{}
 				reporter := &usage.Reporter{
-					Rows: rows, Windows: windows, Zones: []string{"z"}, Delay: usage.ReportDelay(e.settings.UsageDue), Sink: sink, Log: e.log,
+					Rows: rows, Windows: windows, Zones: []string{"z"}, Delay: usage.ReportDelay(e.settings.UsageDue), Sender: sink, Log: e.log,
 				}
 				time.Sleep(time.Until(windows.End(began).Add(reporter.Delay)))
 				work, err := reporter.Decide(ctx, began, nil)
--- a/service/node/watch.go
+++ b/service/node/watch.go
@@ -30,7 +30,7 @@
 }
 
 func (c *configWatcher) Apply(s store.Snapshot) {
-	defer c.view.HearConfig(s.Asked) // after its rows are in force
+	defer c.view.ConfirmConfig(s.Asked) // after its rows are in force
 	for _, row := range s.Rows {
 		if row.Deleted {
 			continue // nothing that is in force is taken back
@@ -76,13 +76,13 @@
 	kept       map[string]time.Time
 	// births tell incarnations apart; unusable says why a row names no
 	// instance, by id, so that each change is logged once.
-	births   *fleet.Births
+	births   *fleet.LatestIncarnations
 	unusable map[string]string
 }
 
 func newInstanceWatcher(view *fleet.View, log logrus.FieldLogger) *instanceWatcher {
 	return &instanceWatcher{
-		view: view, log: log, kept: map[string]time.Time{}, births: fleet.NewBirths(), unusable: map[string]string{},
+		view: view, log: log, kept: map[string]time.Time{}, births: fleet.NewLatestIncarnations(), unusable: map[string]string{},
 	}
 }
 
@@ -171,16 +171,16 @@
 		w.noteUnusable(row.Name, err.Error())
 		return lastWord{}, true
 	}
-	i.Entry = row.Version
-	switch w.births.Order(i.Incarnation(), time.Now()) {
-	case fleet.BirthOlder:
-		w.log.WithFields(logrus.Fields{"instance": i.ID, "born": i.Born}).Debug("entry of a former incarnation")
+	i.RowVersion = row.Version
+	switch w.births.Observe(i.Incarnation(), time.Now()) {
+	case fleet.IncarnationOlder:
+		w.log.WithFields(logrus.Fields{"instance": i.ID, "born": i.StartedAt}).Debug("entry of a former incarnation")
 		return lastWord{}, false
-	case fleet.BirthUntold:
+	case fleet.IncarnationUnknown:
 		w.noteUnusable(i.ID, "it does not say its birth, as the instance has done before")
 		return lastWord{}, true
-	case fleet.BirthNewer:
-		w.log.WithFields(logrus.Fields{"instance": i.ID, "born": i.Born}).Info("instance started again")
+	case fleet.IncarnationNewer:
+		w.log.WithFields(logrus.Fields{"instance": i.ID, "born": i.StartedAt}).Info("instance started again")
 	}
 	w.noteUsable(i.ID)
 	return lastWord{instance: &i}, true
@@ -208,7 +208,7 @@
 func news(s *fleet.Snapshot, heard []fleet.Instance) []fleet.Instance {
 	return slices.DeleteFunc(heard, func(i fleet.Instance) bool {
 		known, ok := s.Instances[i.ID]
-		if !ok || !known.Says(i) {
+		if !ok || !known.SameContent(i) {
 			return false
 		}
 		// Where two claim an address, the version of the entry decides between them.
@@ -250,7 +250,7 @@
 	for _, i := range changed {
 		w.log.WithFields(logrus.Fields{
 			"instance": i.ID, "service": i.Service, "addr": i.Addr, "draining": i.Draining, "versions": i.Versions,
-			"born": i.Born,
+			"born": i.StartedAt,
 		}).Info("instance known")
 	}
 	for _, id := range expired {
--- a/service/node/watch_test.go
+++ b/service/node/watch_test.go
@@ -240,7 +240,7 @@
 func TestBirthsOfAnInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newListRig(t)
-		born := func() int64 { return r.view.Snapshot().Instances["a"].Born }
+		born := func() int64 { return r.view.Snapshot().Instances["a"].StartedAt }
 		r.write(bornRow("a", 1000))
 		r.write(bornRow("a", 2000))
 		r.write(bornRow("a", 1000))
@@ -327,8 +327,8 @@
 			}
 			w.Apply(store.Snapshot{Rows: c.rows})
 			i, known := view.Snapshot().Instances["a"]
-			if known != c.known || i.Born != c.born {
-				t.Errorf("known %v, born %d; want %v, %d", known, i.Born, c.known, c.born)
+			if known != c.known || i.StartedAt != c.born {
+				t.Errorf("known %v, born %d; want %v, %d", known, i.StartedAt, c.known, c.born)
 			}
 		})
 	}
--- a/usage/counter.go
+++ b/usage/counter.go
@@ -16,8 +16,8 @@
 // Windows divide true time, from the beginning of 1970 on.
 type Windows struct{ Length time.Duration }
 
-// Of is the window of a moment.
-func (w Windows) Of(at time.Time) uint64 { return uint64(at.UnixNano() / int64(w.Length)) }
+// Index is the window of a moment.
+func (w Windows) Index(at time.Time) uint64 { return uint64(at.UnixNano() / int64(w.Length)) }
 
 // End is when a window ends.
 func (w Windows) End(window uint64) time.Time { return time.Unix(0, int64(window+1)*int64(w.Length)) }
@@ -44,14 +44,14 @@
 	return &Counter{windows: windows, byIndex: map[uint64]*windowCounts{}, changed: make(chan struct{}, 1)}
 }
 
-// Began counts a request that an endpoint began at a moment. What it returns
+// Add counts a request that an endpoint began at a moment. What it returns
 // takes that back, and is called once at most. Requests of no organisation are
 // not counted.
-func (c *Counter) Began(organisation string, at time.Time) (withdraw func()) {
+func (c *Counter) Add(organisation string, at time.Time) (withdraw func()) {
 	if organisation == "" {
 		return func() {}
 	}
-	window := c.windows.Of(at)
+	window := c.windows.Index(at)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.byIndex[window]
--- a/usage/recorder.go
+++ b/usage/recorder.go
@@ -65,7 +65,7 @@
 
 // delay is how long counts gather before they are written.
 func (r *Recorder) delay() time.Duration {
-	if r.Counter.size(r.Windows.Of(time.Now())) > busyCount {
+	if r.Counter.size(r.Windows.Index(time.Now())) > busyCount {
 		return busyDelay
 	}
 	return flushDelay
@@ -85,7 +85,7 @@
 		}
 	}
 	r.Counter.putBack(failed)
-	if now := r.Windows.Of(time.Now()); now > keepWindows {
+	if now := r.Windows.Index(time.Now()); now > keepWindows {
 		for _, window := range r.Counter.forget(now - keepWindows) {
 			delete(r.versions, window)
 		}
--- a/usage/reporter.go
+++ b/usage/reporter.go
@@ -18,8 +18,8 @@
 	Counts Counts `cbor:"2,keyasint,omitempty"`
 }
 
-// Sink takes reports.
-type Sink interface {
+// ReportSender takes reports.
+type ReportSender interface {
 	// Report sends a report once, unless acting says at the moment of sending that
 	// it may not be sent any more. nil means that it was accepted.
 	Report(ctx context.Context, f duty.Fence, acting func() bool, r *Report) error
@@ -46,9 +46,9 @@
 	// Zones are the availability zones of entries.
 	Zones []string
 	// Delay is how long after its end a window is reported.
-	Delay time.Duration
-	Sink  Sink
-	Log   logrus.FieldLogger
+	Delay  time.Duration
+	Sender ReportSender
+	Log    logrus.FieldLogger
 
 	// before are the rows of earlier windows that Decide met.
 	before []store.Key
@@ -59,17 +59,17 @@
 // Next implements duty.Work.
 func (r *Reporter) Next(done uint64, found bool) (uint64, time.Time) {
 	now := time.Now()
-	oldest := r.Windows.Of(now.Add(-backlog))
+	oldest := r.Windows.Index(now.Add(-backlog))
 	if !found {
-		oldest = r.Windows.Of(now.Add(-r.Delay)) - 1 // the last one that is due
+		oldest = r.Windows.Index(now.Add(-r.Delay)) - 1 // the last one that is due
 	}
 	window := max(done+1, oldest)
 	return window, r.due(window)
 }
 
-// Coming implements duty.Work.
-func (r *Reporter) Coming(after time.Time) (uint64, time.Time) {
-	window := r.Windows.Of(after.Add(-r.Delay))
+// NextDue implements duty.Work.
+func (r *Reporter) NextDue(after time.Time) (uint64, time.Time) {
+	window := r.Windows.Index(after.Add(-r.Delay))
 	return window, r.due(window)
 }
 
@@ -96,15 +96,15 @@
 	if err := codec.Unmarshal(work, &report); err != nil {
 		return fmt.Errorf("usage report: %w", err)
 	}
-	return r.Sink.Report(ctx, f, acting, &report)
+	return r.Sender.Report(ctx, f, acting, &report)
 }
 
 // maxDeletes is how many rows one transaction of the store may name.
 const maxDeletes = 100
 
-// Settled implements duty.Work: it removes the rows of earlier windows. Those
+// OnDone implements duty.Work: it removes the rows of earlier windows. Those
 // that stay are met by the next report.
-func (r *Reporter) Settled(ctx context.Context, _ uint64) {
+func (r *Reporter) OnDone(ctx context.Context, _ uint64) {
 	byZone := map[string][]store.Key{}
 	for _, key := range r.before {
 		byZone[key.Part] = append(byZone[key.Part], key)
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -47,9 +47,9 @@
 	e.done.Wait()
 }
 
-func newReporter(rows store.Rows, sink Sink) *Reporter {
+func newReporter(rows store.Rows, sink ReportSender) *Reporter {
 	return &Reporter{
-		Rows: rows, Windows: testWindows, Zones: []string{"y", "z"}, Delay: ReportDelay(testDue), Sink: sink, Log: observe.Discard(),
+		Rows: rows, Windows: testWindows, Zones: []string{"y", "z"}, Delay: ReportDelay(testDue), Sender: sink, Log: observe.Discard(),
 	}
 }
 
@@ -77,13 +77,13 @@
 		for i := range 6 {
 			entries = append(entries, startEntry(s, []string{"y", "z"}[i%2], fmt.Sprint("entry-", i)))
 		}
-		began := testWindows.Of(time.Now())
+		began := testWindows.Index(time.Now())
 		truth := map[uint64]Counts{}
 		for i := range 14 * 20 {
 			time.Sleep(71 * time.Millisecond)
 			organisation := fmt.Sprint("o", i*i%testMember)
-			window := testWindows.Of(time.Now())
-			entries[i%len(entries)].counter.Began(organisation, time.Now())
+			window := testWindows.Index(time.Now())
+			entries[i%len(entries)].counter.Add(organisation, time.Now())
 			if truth[window] == nil {
 				truth[window] = Counts{}
 			}
@@ -118,9 +118,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
 		e := startEntry(s, "z", "entry")
-		window := testWindows.Of(time.Now())
+		window := testWindows.Index(time.Now())
 		e.way.Cut(store.ErrUnknown)
-		e.counter.Began("guthi", time.Now())
+		e.counter.Add("guthi", time.Now())
 		time.Sleep(testWindows.Length + 3*time.Second)
 		e.way.Cut(nil)
 		time.Sleep(time.Second)
@@ -136,10 +136,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
 		e := startEntry(s, "z", "entry")
-		e.counter.Began("guthi", time.Now())
+		e.counter.Add("guthi", time.Now())
 		synctest.Wait()
 		e.end()
-		if got := decide(t, s, testWindows.Of(time.Now())); got["guthi"] != 1 {
+		if got := decide(t, s, testWindows.Index(time.Now())); got["guthi"] != 1 {
 			t.Errorf("got %v", got)
 		}
 	})
@@ -152,7 +152,7 @@
 		s := rowstore.New()
 		busy, idle := startEntry(s, "z", "busy"), startEntry(s, "z", "idle")
 		for range 5000 {
-			busy.counter.Began("guthi", time.Now())
+			busy.counter.Add("guthi", time.Now())
 			time.Sleep(2 * time.Millisecond)
 		}
 		if n := s.Commits(); n > 10+4 {
@@ -165,7 +165,7 @@
 
 func TestRequestsOfNoOrganisationAreNotCounted(t *testing.T) {
 	c := NewCounter(testWindows)
-	c.Began("", time.Now())
+	c.Add("", time.Now())
 	if taken := c.take(); len(taken) != 0 {
 		t.Errorf("got %v", taken)
 	}
@@ -174,8 +174,8 @@
 func TestWindowsOfTrueTime(t *testing.T) {
 	w := Windows{Length: 5 * time.Second}
 	at := time.Unix(1779205550, 0)
-	if w.Of(at) != 355841110 || w.Of(at.Add(-1)) != 355841109 || !w.End(355841109).Equal(at) {
-		t.Errorf("got %d, %d, %s", w.Of(at), w.Of(at.Add(-1)), w.End(355841109))
+	if w.Index(at) != 355841110 || w.Index(at.Add(-1)) != 355841109 || !w.End(355841109).Equal(at) {
+		t.Errorf("got %d, %d, %s", w.Index(at), w.Index(at.Add(-1)), w.End(355841109))
 	}
 }
 
@@ -220,7 +220,7 @@
 	if len(sink.reports) != 2 || sink.reports[0].Window != 7 || !maps.Equal(sink.reports[0].Counts, want) || !maps.Equal(sink.reports[1].Counts, want) {
 		t.Errorf("got %+v", sink.reports)
 	}
-	r.Settled(t.Context(), 7)
+	r.OnDone(t.Context(), 7)
 	var left []string
 	for _, row := range s.Rows(TableCounts) {
 		left = append(left, row.Name)
@@ -242,7 +242,7 @@
 func TestWindowsInTheirOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReporter(rowstore.New(), nil)
-		now := testWindows.Of(time.Now())
+		now := testWindows.Index(time.Now())
 		if window, due := r.Next(0, false); window >= now || due.After(time.Now()) || r.due(window+1).Before(time.Now()) {
 			t.Errorf("the first window is %d of %d, due %s", window, now, due)
 		}
@@ -254,7 +254,7 @@
 		}
 		at := time.Now()
 		for range 5 {
-			window, due := r.Coming(at)
+			window, due := r.NextDue(at)
 			if !due.After(at) || r.due(window-1).After(at) {
 				t.Errorf("after %s comes window %d at %s", at, window, due)
 			}
@@ -270,16 +270,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
 		e := startEntry(s, "z", "entry")
-		window := testWindows.Of(time.Now())
+		window := testWindows.Index(time.Now())
 		for range 100 {
-			e.counter.Began("guthi", time.Now())()
+			e.counter.Add("guthi", time.Now())()
 			time.Sleep(flushDelay / 10)
 		}
 		if n := s.Commits(); n != 0 {
 			t.Errorf("%d writes of requests that no endpoint began", n)
 		}
-		e.counter.Began("guthi", time.Now())
-		withdraw := e.counter.Began("guthi", time.Now())
+		e.counter.Add("guthi", time.Now())
+		withdraw := e.counter.Add("guthi", time.Now())
 		time.Sleep(time.Second)
 		if got := decide(t, s, window); got["guthi"] != 2 {
 			t.Errorf("before it is known: got %v", got)
