--- a/batch/assignment.go
+++ b/batch/assignment.go
@@ -8,18 +8,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Assignment says which engines serve a model. They change versions in turn: those
-// of one half take even versions as soon as they are named, those of the other
-// odd ones. A step may use the version before the newest, so one half runs a
-// new step at once while the other loads, and each engine loads every second
-// version only. Loads are what binds: more than a few at a time slow each other
-// down. Against loading every version on every engine once it is idle, turns
-// raised what twelve engines with three trainers earned by 6 in 100.
+// Assignment is the set of engines that serve a model. They change weight versions
+// alternately: the engines of one half load even versions as soon as they are announced,
+// those of the other half odd ones. A step may use the version before the newest, so one
+// half runs a new step at once while the other loads, and each engine loads only every
+// second version. Weight loads are the bottleneck: more than a few at a time slow each
+// other down. Compared with loading every version on every engine once it is idle,
+// alternating raised the earnings of twelve engines with three trainers by 6 in 100.
 type Assignment struct {
 	Halves [2][]string
 }
 
-// All are the engines of both halves.
+// All returns the engines of both halves, sorted.
 func (d Assignment) All() []string {
 	return slices.Sorted(slices.Values(slices.Concat(d.Halves[0], d.Halves[1])))
 }
@@ -29,20 +29,20 @@
 	return slices.Contains(d.Halves[0], engine) || slices.Contains(d.Halves[1], engine)
 }
 
-// Alternates reports whether the halves take turns; a single engine cannot.
+// Alternates reports whether the halves load versions alternately; a single engine cannot.
 func (d Assignment) Alternates() bool { return len(d.Halves[0]) > 0 && len(d.Halves[1]) > 0 }
 
-// LoadsAtOnce reports whether an engine loads a version as soon as it is named.
+// LoadsAtOnce reports whether an engine loads a version as soon as it is announced.
 func (d Assignment) LoadsAtOnce(engine string, version uint64) bool {
 	return d.Alternates() && slices.Contains(d.Halves[version%2], engine)
 }
 
-// AssignEngines deals a service's engines out to its models, as many to each as
-// its share of the demand wants and at least one: each model in turn takes the
-// free engine that it ranks highest, so that the loss of one engine moves few
-// others. All processes that see the same engines, models and jobs compute the
-// same. Engines are named by their addresses, which outlive a restart. With
-// fewer engines than models, every engine serves all models.
+// AssignEngines assigns a service's engines to its models in proportion to the demand, at
+// least one to each. In round-robin order each model takes the free engine that it ranks
+// highest, so that the loss of one engine moves few others. All processes that see the
+// same engines, models and jobs compute the same assignment. Engines are identified by
+// their addresses, which survive a restart. With fewer engines than models, every engine
+// serves all models.
 func AssignEngines(engines, models []string, demand *Demand) map[string]Assignment {
 	engines = slices.Compact(slices.Sorted(slices.Values(engines))) // a restarted engine may be listed twice
 	models = slices.Sorted(slices.Values(models))
@@ -78,7 +78,7 @@
 	return assignments
 }
 
-// rankEngines are the engines in the order in which a key ranks them, the highest first.
+// rankEngines sorts the engines by their rank for a key, highest first.
 func rankEngines(key string, engines []string) []string {
 	type ranked struct {
 		engine string
@@ -96,8 +96,8 @@
 	return out
 }
 
-// quotas says how many engines each model gets: one, and of the rest its share
-// by the demand. A model without known jobs counts as the mean of the others.
+// quotas returns the number of engines for each model: at least one, otherwise its share
+// of the demand. A model without known jobs counts as the mean of the others.
 func quotas(engines int, models []string, demand *Demand) map[string]int {
 	work, known, sum := map[string]float64{}, 0, 0.0
 	for _, m := range models {
@@ -135,18 +135,19 @@
 	return quotas
 }
 
-// splitHalves cuts the engines of a model into halves, in an order that is the model's
-// and theirs alone: an engine that comes or goes moves one other at most into the
-// other half. One that changes its half as a version is named loads the version
-// whose step it was just about to run, and the items that it was dealt wait there
-// for one to three seconds.
+// splitHalves splits a model's engines into halves. Their order depends only on the model
+// and the engines, so that an engine that joins or leaves moves at most one other into the
+// other half. An engine that changes halves as a version is announced loads the version
+// whose step it was just about to run, and the items assigned to it wait there for one to
+// three seconds.
 func splitHalves(model string, engines []string) Assignment {
 	ordered := rankEngines("half of "+model, engines)
 	middle := (len(ordered) + 1) / 2
 	return Assignment{Halves: [2][]string{ordered[:middle], ordered[middle:]}}
 }
 
-// highestRanked is the index of the engine that a key ranks highest (rendezvous hashing).
+// highestRanked returns the index of the engine with the highest rank for a key
+// (rendezvous hashing).
 func highestRanked(key string, engines []string) int {
 	top := 0
 	for i := range engines {
@@ -157,19 +158,21 @@
 	return top
 }
 
+// rank is the weight of an engine for a key in rendezvous hashing.
 func rank(key, engine string) uint64 { return xxhash.Sum64String(key + "\x00" + engine) }
 
-// noOwner is the owner of items that were accepted while no engine was known;
-// whoever serves their model then takes them.
+// noOwner marks items of a job that was accepted while no engine was known; any agent
+// whose engine serves their model may take them.
 const noOwner = -1
 
-// weightLoadCost is what an owner that loads weights first is counted to have
-// already, in generated tokens: what an engine of a dozen slots makes in two seconds.
+// weightLoadCost is the load that an owner starts with if it must load weights first, in
+// generated tokens: what an engine with a dozen slots generates in two seconds.
 const weightLoadCost = 40_000
 
-// AssignItems says which owner each item of a job goes to, by index: groups stay
-// together, since their items share a prompt, and go in order of their expected
-// tokens to the owner that has the least so far. All agents compute the same.
+// AssignItems returns the index of the owner of each item of a job, or noOwner if the job
+// has no owners. Groups stay together, since their items share a prompt; in descending
+// order of expected tokens each goes to the owner with the least load so far. All agents
+// compute the same.
 func AssignItems(job *Job, items []Item) []int {
 	groups := groupItems(items)
 	slices.SortStableFunc(groups, func(a, b itemGroup) int {
@@ -206,12 +209,15 @@
 	return owners
 }
 
+// itemGroup is a group of items, by index, and the tokens that they are expected to take.
 type itemGroup struct {
 	name   string
 	items  []int
 	tokens int
 }
 
+// groupItems collects the items of each group; an item without a group is a group of its
+// own.
 func groupItems(items []Item) []itemGroup {
 	byName := map[string]int{}
 	var groups []itemGroup
@@ -232,11 +238,11 @@
 	return groups
 }
 
-// promptTokenWeight weighs a prompt's token against a generated one: engines read
-// several hundred tokens in the time in which they generate one.
+// promptTokenWeight is the cost of a prompt token relative to a generated one: engines
+// read several hundred prompt tokens in the time in which they generate one.
 const promptTokenWeight = 0.004
 
-// expectedWork is the work that an item is expectedWork to be, in generated tokens.
+// expectedWork estimates the work of an item, in generated tokens.
 func (i *Item) expectedWork() int {
 	if i.ExpectedTokens > 0 {
 		return i.ExpectedTokens + int(promptTokenWeight*float64(i.Tokens))
--- a/batch/assignment_test.go
+++ b/batch/assignment_test.go
@@ -82,7 +82,7 @@
 	return deals
 }
 
-func TestDealTakesTheHighestRankInTurn(t *testing.T) {
+func TestAssignmentTakesHighestRanksRoundRobin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := names("m", rapid.IntRange(1, 5).Draw(t, "models"))
 		engines := names("e", rapid.IntRange(len(models), 60).Draw(t, "engines"))
@@ -99,9 +99,9 @@
 	})
 }
 
-// TestDealOfAnAddressListedTwice has an engine that was restarted at its address
+// TestAssignmentOfAnAddressListedTwice has an engine that was restarted at its address
 // while its former incarnation is still listed.
-func TestDealOfAnAddressListedTwice(t *testing.T) {
+func TestAssignmentOfAnAddressListedTwice(t *testing.T) {
 	engines, models := names("e", 5), []string{"a", "b"}
 	want := AssignEngines(engines, models, NewDemand())
 	got := AssignEngines(append(engines, engines[2], engines[4]), models, NewDemand())
@@ -112,8 +112,8 @@
 	}
 }
 
-// BenchmarkDeal is the time of one deal by the number of engines.
-func BenchmarkDeal(b *testing.B) {
+// BenchmarkAssignEngines is the time of one deal by the number of engines.
+func BenchmarkAssignEngines(b *testing.B) {
 	for _, n := range []int{12, 100, 400, 10_000} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
 			engines, demand := names("e", n), NewDemand()
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestDealFollowsDemand(t *testing.T) {
+func TestAssignmentFollowsDemand(t *testing.T) {
 	deals := AssignEngines(names("e", 12), []string{"a", "b", "c"}, demandOf(map[string]int{"a": 900, "b": 1800, "c": 1800}))
 	if a, b := len(deals["a"].All()), len(deals["b"].All()); a != 2 || b != 5 {
 		t.Fatalf("a has %d, b %d", a, b)
@@ -229,7 +229,7 @@
 	}
 }
 
-func TestHalvesTakeVersionsInTurn(t *testing.T) {
+func TestHalvesLoadVersionsAlternately(t *testing.T) {
 	d := AssignEngines(names("e", 4), []string{"m"}, NewDemand())["m"]
 	for _, e := range d.All() {
 		if d.LoadsAtOnce(e, 4) == d.LoadsAtOnce(e, 5) {
@@ -238,7 +238,7 @@
 	}
 }
 
-func TestSplitKeepsGroupsTogetherAndBalances(t *testing.T) {
+func TestAssignItemsKeepsGroupsTogetherAndBalances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		owners := names("e", rapid.IntRange(1, 9).Draw(t, "owners"))
 		items := someItems(rapid.IntRange(1, 200).Draw(t, "items"))
@@ -263,7 +263,7 @@
 	})
 }
 
-func TestSplitGivesLateOwnersLess(t *testing.T) {
+func TestAssignItemsGivesLoadingOwnersLess(t *testing.T) {
 	job := &Job{ID: "j", Owners: names("e", 2), Ready: 1}
 	for _, o := range AssignItems(job, someItems(40)) {
 		if o != 0 {
--- a/batch/assignmentcache.go
+++ b/batch/assignmentcache.go
@@ -6,9 +6,9 @@
 	"mulberryscale.example/fleet"
 )
 
-// assignmentCache remembers the last deal of a service's engines, which is asked for
-// tens of times a second and changes with the list of instances, the
-// configuration or the demand only. It is safe for concurrent use.
+// assignmentCache holds the last assignment of a service's engines, which is requested
+// tens of times a second but changes only with the list of instances, the configuration or
+// the demand. It is safe for concurrent use.
 type assignmentCache struct {
 	mu             sync.Mutex
 	snap           *fleet.Snapshot
@@ -16,8 +16,8 @@
 	assignments    map[string]Assignment
 }
 
-// assignments are the engines of each model of this worker's service. Callers must
-// not change them.
+// assignments returns the engines of each model of this worker's service; nil if the
+// service is not configured. Callers must not modify the map.
 func (w *Worker) assignments(snap *fleet.Snapshot) map[string]Assignment {
 	if snap.Config == nil {
 		return nil
--- a/batch/bodies.go
+++ b/batch/bodies.go
@@ -2,7 +2,8 @@
 
 import "context"
 
-// Body returns the body of an item that is not listed and whose job is open.
+// Body returns the request body of an item that has no result yet and whose job is open.
+// Its error is ErrNoJob, ErrNoItem or one of the ledger.
 func (r *Reader) Body(ctx context.Context, id, itemID string) ([]byte, error) {
 	j := r.touch(id)
 	if err := r.loadJob(ctx, id, j); err != nil {
@@ -20,6 +21,7 @@
 	return item.Body, nil
 }
 
+// loadItems reads the items of a job unless they are known.
 func (r *Reader) loadItems(ctx context.Context, j *cachedJob) error {
 	j.loadMu.Lock()
 	defer j.loadMu.Unlock()
--- a/batch/collector.go
+++ b/batch/collector.go
@@ -14,28 +14,29 @@
 )
 
 const (
-	// collectInterval is the mean pause between two removals of one process, and
-	// collectMargin how much longer than owed a job is kept.
+	// collectInterval is the mean pause between two removals by one process; collectMargin
+	// is how long jobs are kept beyond their retention.
 	collectInterval = 5 * time.Second
 	collectMargin   = 30 * time.Second
-	// openRetention is how long a job that nobody ended is kept.
+	// openRetention is the least retention of a job that its client has not ended.
 	openRetention = 15 * time.Minute
 )
 
-// Collector removes jobs whose results are no longer owed, so that the store
-// does not fill up. Every entry runs one; removing a job twice does no harm. It
-// is a store.Watcher of TableJobs.
+// Collector removes jobs that are past their retention, so that the store does not fill
+// up. Every entry runs one; removing a job twice does no harm. It implements store.Watcher
+// for TableJobs.
 type Collector struct {
 	Ledger *Ledger
-	// Retention is how long after its submission an ended job's results are owed.
+	// Retention is how long after its acceptance an ended job and its results are kept.
 	Retention time.Duration
-	Now       func() (time.Duration, bool)
+	Now       func() (time.Duration, bool) // the store's clock; false before it is known
 	Log       logrus.FieldLogger
 
 	mu   sync.Mutex
 	jobs map[string]*trackedJob
 }
 
+// trackedJob is a job in the store; job is nil until its row has been read.
 type trackedJob struct {
 	job   *Job
 	ended bool
@@ -49,7 +50,7 @@
 	c.Apply(s)
 }
 
-// Lost implements store.Watcher; whoever follows the same table logs it.
+// Lost implements store.Watcher. The other watcher of the table logs the loss.
 func (c *Collector) Lost(error) {}
 
 // Apply implements store.Watcher.
@@ -72,13 +73,13 @@
 			c.jobs[id].ended = true
 			continue
 		}
-		if job, err := DecodeJob(row.Value); err == nil { // its reader logs an unreadable one
+		if job, err := DecodeJob(row.Value); err == nil { // the table's other watcher logs rows that cannot be decoded
 			c.jobs[id].job = job
 		}
 	}
 }
 
-// Run removes one job at a time until ctx ends.
+// Run removes one expired job at a time until ctx is cancelled.
 func (c *Collector) Run(ctx context.Context) {
 	for pause.Sleep(ctx, time.Duration(float64(collectInterval)*(0.5+rand.Float64()))) == nil {
 		job := c.expired()
@@ -90,7 +91,8 @@
 	}
 }
 
-// expired picks a job that is no longer owed, at random.
+// expired returns a job that is past its retention, chosen at random; nil if there is
+// none.
 func (c *Collector) expired() *Job {
 	now, ok := c.Now()
 	if !ok {
@@ -98,7 +100,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, x := range c.jobs { // a map's order is random
+	for _, x := range c.jobs { // map iteration order is random
 		if x.job == nil {
 			continue
 		}
--- a/batch/collector_test.go
+++ b/batch/collector_test.go
@@ -12,7 +12,7 @@
 	"mulberryscale.example/store"
 )
 
-func TestJobsAreRemovedOnceTheyAreNoLongerOwed(t *testing.T) {
+func TestJobsAreRemovedAfterTheirRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
 		l := newLedger(s)
--- a/batch/crash_test.go
+++ b/batch/crash_test.go
@@ -52,8 +52,8 @@
 	return 1000
 }
 
-// newKeeper is an agent's part of the quarantine.
-func (r *workerRig) newKeeper(rows store.Store) *quarantine.Tracker {
+// newTracker is an agent's part of the quarantine.
+func (r *workerRig) newTracker(rows store.Store) *quarantine.Tracker {
 	k := quarantine.New()
 	k.Rows, k.Clock, k.Prober, k.Log, k.Counters = rows, r.store.Now, r.engines, observe.Discard(), observe.NewCounters()
 	return k
--- a/batch/demand.go
+++ b/batch/demand.go
@@ -11,20 +11,20 @@
 	"mulberryscale.example/store"
 )
 
-// demandWindow is over how many of a model's last jobs its demand is averaged:
-// estimates of lengths are wrong by half for one item, by a twentieth for the
-// mean of some hundred, and the deal of engines should not follow noise. Of 41
-// engines 36 change their model in 60 steps with the mean of 8 jobs, 10 with 16, 6
-// with 24 or more (TestHalvesAreStable); the store keeps jobs for 150 s, in which
-// a trainer that takes a step each 8 s submits 18, and all processes must see the same.
+// demandWindow is the number of a model's last jobs over which its demand is averaged:
+// estimates of lengths are off by half for one item and by a twentieth for the mean of
+// some hundred, and the assignment of engines should not follow noise. Of 41 engines 36
+// change their model in 60 steps with the mean of 8 jobs, 10 with 16, 6 with 24 or more
+// (TestHalvesAreStable). The store keeps jobs for 150 s, in which a trainer that takes a
+// step every 8 s submits 18, and all processes must see the same jobs.
 const demandWindow = 16
 
-// Demand is how much work the jobs of each model are. All processes read it
-// from the same rows. It is safe for concurrent use.
+// Demand is the recent work of the jobs of each model. All processes compute it from the
+// same rows. It is safe for concurrent use.
 type Demand struct {
 	mu       sync.Mutex
 	jobs     map[string][]demandJob // by model, the newest last
-	revision uint64                 // jobs seen so far
+	revision uint64                 // number of jobs added
 }
 
 type demandJob struct {
@@ -33,10 +33,10 @@
 	work     int
 }
 
-// NewDemand returns a demand that knows no jobs.
+// NewDemand returns a demand without jobs.
 func NewDemand() *Demand { return &Demand{jobs: map[string][]demandJob{}} }
 
-// Add takes a job.
+// Add counts a job, unless it was counted before or has no model or no work.
 func (d *Demand) Add(job *Job) {
 	if job.Model == "" || job.Work == 0 {
 		return
@@ -55,15 +55,15 @@
 	d.revision++
 }
 
-// Revision is the number of jobs seen; the demand stays the same while it does.
+// Revision is the number of jobs added; the demand changes only when it does.
 func (d *Demand) Revision() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.revision
 }
 
-// Work is the mean work of a model's last jobs, in generated tokens; 0 while
-// none is known.
+// Work is the mean work of the last jobs of a model, in generated tokens; 0 while no job
+// is known.
 func (d *Demand) Work(model string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -78,7 +78,7 @@
 	return sum / len(list)
 }
 
-// Watcher feeds a demand, and a collector, from TableJobs.
+// Watcher returns a watcher of TableJobs that feeds the demand and a collector.
 func (d *Demand) Watcher(c *Collector, log logrus.FieldLogger) store.Watcher {
 	return &demandWatcher{d, c, log}
 }
--- a/batch/drain.go
+++ b/batch/drain.go
@@ -7,8 +7,8 @@
 	"mulberryscale.example/internal/pause"
 )
 
-// Drain takes no new items, lets those that run go on for a while, hands over
-// the rest and waits for the results to be in the store.
+// Drain accepts no new items, lets running ones continue for gracePeriod, hands the rest
+// over to other agents and waits until the results are in the store.
 func (w *Worker) Drain(ctx context.Context, gracePeriod time.Duration) {
 	w.mu.Lock()
 	w.stopping = true
@@ -26,22 +26,23 @@
 	}
 }
 
-// queryCapacity asks the agents that may take this one's items.
+// queryCapacity returns the statuses of agents that may take items of this one.
 func (w *Worker) queryCapacity(ctx context.Context) map[string]*Status {
 	jobs := w.openJobs()
 	return w.queryStatuses(ctx, jobs, sampleEngines(w.peerEngines(jobs), pushFanout))
 }
 
-// drainPollInterval is how often a drain looks at what is left.
+// drainPollInterval is how often Drain checks what is left.
 const drainPollInterval = 100 * time.Millisecond
 
+// itemsLeft is itemCount for callers that do not hold w.mu.
 func (w *Worker) itemsLeft() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.itemCount()
 }
 
-// pushWaiting gives away what does not run yet.
+// pushWaiting hands items that are not running to other agents.
 func (w *Worker) pushWaiting(ctx context.Context) {
 	w.mu.Lock()
 	n := len(w.waiting)
@@ -52,6 +53,7 @@
 	}
 }
 
+// hasUnsavedResults reports whether results still have to be appended to the store.
 func (w *Worker) hasUnsavedResults() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/batch/enginestate.go
+++ b/batch/enginestate.go
@@ -11,45 +11,47 @@
 )
 
 const (
-	// changingReportInterval is how often the engine is asked for its report while it
-	// carries out an order or is not known to be well; the report is free on its
-	// own machine, but each costs both of them a wake-up.
+	// changingReportInterval is how often the engine's report is fetched while it carries
+	// out an order or is not known to be healthy. The report is free on its own machine,
+	// but each costs both processes a wake-up.
 	changingReportInterval = 100 * time.Millisecond
-	// activeReportInterval is the same while it may have work, and tells by its events
-	// that it is well, and quietInterval while it has none.
+	// activeReportInterval is the same while the engine may have work, whose events also
+	// show that it is healthy; idleReportInterval is the same while it has none.
 	activeReportInterval = 200 * time.Millisecond
 	idleReportInterval   = 500 * time.Millisecond
-	// maxUnanswered is how many reports and runs without an answer, in a row, make
-	// an engine count as down.
+	// maxUnanswered is the number of consecutive reports and runs without an answer after
+	// which an engine counts as down.
 	maxUnanswered = 2
-	// stepGracePeriod is how long after a version was named an engine waits for the
-	// step that goes with it. That step may use the version before, so it runs
-	// at once instead of waiting for the load, and the load follows it.
+	// stepGracePeriod is how long after a version was announced an engine waits for the
+	// step that belongs to it. That step may use the version before, so it runs at once
+	// instead of waiting for the load, and the load follows it.
 	stepGracePeriod = 2500 * time.Millisecond
-	// orderTimeout is after how long an order that was not carried out is given again.
+	// orderTimeout is the time after which an order that was not carried out is sent
+	// again.
 	orderTimeout = 4 * time.Second
-	// paceWeight is the weight of the newest event in the mean pace.
-	paceWeight = 0.1
+	// eventIntervalWeight is the weight of the newest event in the moving average of the pace.
+	eventIntervalWeight = 0.1
 )
 
-// engineState is what is believed of the engine beside this process. It is
-// guarded by the worker's mu.
+// engineState is what this process knows of its engine. It is guarded by the mu of the
+// worker.
 type engineState struct {
-	// startedAt is the Unix millisecond of its start, 0 while unknown.
+	// startedAt is when the engine started, in Unix milliseconds, 0 while unknown.
 	startedAt  int64
-	up         bool
-	unanswered int
-	// versions are the weights by model; sequence is the number of orders accepted.
+	up         bool // accepts runs and reports, as far as is known
+	unanswered int  // consecutive reports and runs without an answer
+	// versions are the weight versions by model; sequence is the number of orders
+	// accepted.
 	versions map[string]uint64
 	sequence uint64
-	reported bool
-	// order is the order being carried out, nil if none.
+	reported bool // versions and sequence are those of a report
+	// order is the order in progress, nil if none; orderedAt is when it was sent.
 	order     *Order
 	orderedAt time.Time
-	// pace is the mean time between two events of a run, 0 while unknown.
-	pace time.Duration
-	// stepped is the newest MinVersion+1 of the jobs seen, by model: the version
-	// whose step has come.
+	// eventInterval is the mean time between two events of a run, 0 while unknown.
+	eventInterval time.Duration
+	// stepped is the newest MinVersion+1 of the jobs seen, by model: the version whose
+	// step has started.
 	stepped map[string]uint64
 }
 
@@ -57,16 +59,16 @@
 	return engineState{up: true, versions: map[string]uint64{}, stepped: map[string]uint64{}}
 }
 
-// reset starts the belief anew for an engine that started again: it knows nothing
-// of before, and an order in flight belonged to its former incarnation.
+// reset discards what was known of the former incarnation of a restarted engine, also the
+// order that was in progress on it.
 func (e *engineState) reset(born int64) {
-	stepped := e.stepped // of jobs, not of the engine
+	stepped := e.stepped // belongs to the jobs, not to the engine
 	*e = newEngineState()
 	e.startedAt, e.stepped = born, stepped
 }
 
-// canServe reports whether the engine's weights are recent enough for a job and
-// not about to change.
+// canServe reports whether the weights of the engine are recent enough for a job and not
+// about to change.
 func (e *engineState) canServe(job *Job) bool {
 	if e.order != nil && e.order.Model == job.Model {
 		return false
@@ -77,25 +79,27 @@
 	return job.Model == "" || e.versions[job.Model] >= job.MinVersion
 }
 
-// recordEvent takes an event of a run.
-func (e *engineState) recordEvent(model string, version uint64, gap time.Duration, paced bool) {
+// recordEvent records the weight version of an event and, if paced is set, the time since
+// the event before it. Any event shows that the engine is up.
+func (e *engineState) recordEvent(model string, version uint64, gap time.Duration, measured bool) {
 	e.unanswered, e.up = 0, true
 	if e.versions[model] < version {
 		e.versions[model] = version
 	}
-	if !paced {
+	if !measured {
 		return
 	}
-	if e.pace == 0 {
-		e.pace = gap
+	if e.eventInterval == 0 {
+		e.eventInterval = gap
 		return
 	}
-	e.pace += time.Duration(paceWeight * float64(gap-e.pace))
+	e.eventInterval += time.Duration(eventIntervalWeight * float64(gap-e.eventInterval))
 }
 
-// recordStall counts a run that heard nothing; events of others make up for it.
-// An answer that is merely broken says nothing of the engine: some spoil two in
-// a hundred, and items that many break one after the other would empty it.
+// recordStall counts a run that went without an event for too long; events of other runs
+// reset the count. An answer that is merely broken says nothing about the engine: some
+// engines break two in a hundred, and items that many engines break one after the other
+// would mark this one as down and take all items from it.
 func (e *engineState) recordStall() {
 	e.unanswered++
 	if e.unanswered >= maxUnanswered {
@@ -103,7 +107,8 @@
 	}
 }
 
-// watchEngine keeps the engine's state abreast and gives it orders.
+// watchEngine keeps the engine's state up to date and sends it orders until ctx is
+// cancelled.
 func (w *Worker) watchEngine(ctx context.Context) {
 	reported := time.Time{}
 	for ctx.Err() == nil {
@@ -124,7 +129,7 @@
 	}
 }
 
-// reportInterval is how often the engine is asked for its report now.
+// reportInterval returns how often the engine's report is fetched now.
 func (w *Worker) reportInterval() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -139,9 +144,10 @@
 	return idleReportInterval
 }
 
-// checkRestart takes what the list or a report says of the engine's birth; false
-// says that it is a former one's. What ran on the former incarnation is lost
-// there and goes on after its last event.
+// checkRestart takes the start time of the engine from the instance list or a report and
+// returns false if it is that of a former incarnation. After a restart it stops the runs
+// that were sent to the former incarnation, where they are lost; they are retried from
+// their last event.
 func (w *Worker) checkRestart(born int64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -166,11 +172,11 @@
 	return true
 }
 
-// updateReport asks the engine for its state.
+// updateReport fetches the engine's report.
 func (w *Worker) updateReport(ctx context.Context) {
 	r, err := w.Engines.Report(ctx, w.Engine)
 	if err == nil && !w.checkRestart(r.StartedAt) {
-		return // a former incarnation's
+		return // from a former incarnation
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -198,7 +204,8 @@
 	w.wake()
 }
 
-// checkOrder sees whether the order in progress is done. It is called with w.mu held.
+// checkOrder clears the order in progress once it is carried out or has timed out. It is
+// called with w.mu held.
 func (w *Worker) checkOrder(o *Order, r Report) {
 	took := time.Since(w.engine.orderedAt)
 	log := w.Log.WithFields(logrus.Fields{
@@ -214,7 +221,7 @@
 	}
 }
 
-// sendDueOrder gives the engine the order that is due, if any.
+// sendDueOrder sends the engine the order that is due, if any.
 func (w *Worker) sendDueOrder(ctx context.Context) {
 	instance, ok := w.instance()
 	if !ok {
@@ -235,7 +242,8 @@
 	log.WithError(err).Warn("order not answered or refused")
 }
 
-// dueOrder picks the model whose weights should change now.
+// dueOrder returns the order for a model whose weights should change now and makes it the
+// order in progress; nil if none is due.
 func (w *Worker) dueOrder(instance fleet.Instance) *Order {
 	snap := w.View.Snapshot()
 	w.mu.Lock()
@@ -248,13 +256,13 @@
 	if service == nil {
 		return nil
 	}
-	deal := w.assignments(snap)
+	assignment := w.assignments(snap)
 	for _, model := range service.Models {
 		version := snap.Named[model]
 		if version <= e.versions[model] {
 			continue
 		}
-		if !w.weightChangeDue(model, version, deal[model], time.Since(snap.NamedAt[model])) {
+		if !w.weightChangeDue(model, version, assignment[model], time.Since(snap.NamedAt[model])) {
 			continue
 		}
 		e.order = &Order{
@@ -267,38 +275,38 @@
 	return nil
 }
 
-// weightChangeDue reports whether a model's weights should change now: at once when items
-// wait for them or when it is this engine's turn; otherwise when the step of
-// that version has come and nothing of it is left here, or has not come for a
-// while. It is called with w.mu held.
-func (w *Worker) weightChangeDue(model string, version uint64, deal Assignment, age time.Duration) bool {
-	held, stepped := false, false
+// weightChangeDue reports whether the weights of a model should change now: at once if
+// items wait for them or if the engine is in the half that loads this version; otherwise
+// once the step of that version has started and none of its items are left here, or if it
+// has not started for stepGracePeriod. It is called with w.mu held.
+func (w *Worker) weightChangeDue(model string, version uint64, assignment Assignment, age time.Duration) bool {
+	hasItems, stepStarted := false, false
 	for _, j := range w.jobs {
 		if j.ended || j.job.Model != model {
 			continue
 		}
-		stepped = stepped || j.job.MinVersion+1 >= version
+		stepStarted = stepStarted || j.job.MinVersion+1 >= version
 		for _, t := range j.tasks {
 			if t.complete {
-				continue // needs the engine no more
+				continue // no longer needs the engine
 			}
 			if t.cancel == nil && j.job.MinVersion > w.engine.versions[model] {
 				return true
 			}
-			held = true
+			hasItems = true
 		}
-		held = held || (j.items == nil && slices.Contains(j.job.Owners, w.Engine))
+		hasItems = hasItems || (j.items == nil && slices.Contains(j.job.Owners, w.Engine))
 	}
-	if !deal.Has(w.Engine) {
+	if !assignment.Has(w.Engine) {
 		return false
 	}
-	if deal.LoadsAtOnce(w.Engine, version) {
+	if assignment.LoadsAtOnce(w.Engine, version) {
 		return true
 	}
-	if deal.Alternates() && w.engine.versions[model]+1 >= version {
-		return false // recent enough for the step at hand; the next version is this engine's
+	if assignment.Alternates() && w.engine.versions[model]+1 >= version {
+		return false // recent enough for the current step; this engine loads the next version
 	}
-	return !held && (stepped || age > stepGracePeriod)
+	return !hasItems && (stepStarted || age > stepGracePeriod)
 }
 
 func engineAddrs(instances []fleet.Instance) []string {
--- a/batch/expiry.go
+++ b/batch/expiry.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// expiryCheckInterval is how often an agent looks for jobs whose items' time is up.
+	// expiryCheckInterval is how often an agent looks for jobs whose items are past their
+	// deadline.
 	expiryCheckInterval = 500 * time.Millisecond
-	// expiryMargin is how long after their time items are given up. A process's
-	// notion of the store's clock is behind it by an answer's way, never ahead but
-	// for the drift of its own clock.
+	// expiryMargin is how long after their deadline items are failed. A process's estimate
+	// of the store's clock is behind it by the latency of an answer, and ahead of it only
+	// by the drift of its own clock.
 	expiryMargin = 300 * time.Millisecond
-	// expiryStagger is how long each agent leaves items that nobody holds to the
-	// one that a job's ranking names before it.
+	// expiryStagger is how long each agent leaves items without a holder to the agent
+	// before it in the ranking of the job.
 	expiryStagger = time.Second
 )
 
-// expire lists as failed what has run out of time, until ctx ends. Items that
-// are held are given up by their holders, all others by the agents of the job in
-// the order in which its id ranks them, so that a dead one stops nothing.
+// expire fails the items that are past their deadline, until ctx is cancelled. Items that
+// an agent holds are failed by it, all others by the agents of the job in the order in
+// which its id ranks them, so that a dead agent blocks nothing.
 func (w *Worker) expire(ctx context.Context) {
 	for pause.Sleep(ctx, expiryCheckInterval) == nil {
 		for _, j := range w.overdue() {
@@ -36,7 +37,7 @@
 	}
 }
 
-// overdue are the jobs whose items' time is up.
+// overdue returns the open jobs whose items are past their deadline.
 func (w *Worker) overdue() []*workJob {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -45,7 +46,8 @@
 	})
 }
 
-// overdueBy is for how long a job's items may have been given up.
+// overdueBy returns how long ago the items of a job became due to be failed; it is
+// negative before that and while the store's clock is unknown.
 func (w *Worker) overdueBy(j *workJob) time.Duration {
 	now, known := w.Now()
 	if !known {
@@ -54,7 +56,7 @@
 	return now - j.job.Accepted - j.job.ItemTTL - expiryMargin
 }
 
-// failOwnItems gives up the items that are held here.
+// failOwnItems fails the items of a job that are held here.
 func (w *Worker) failOwnItems(j *workJob) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -71,7 +73,7 @@
 	}
 }
 
-// failOrphans gives up the items that are not listed and not held here, once it
+// failOrphans fails the items of a job that have no result and are not held here, once it
 // is this agent's turn.
 func (w *Worker) failOrphans(j *workJob) {
 	rank := slices.Index(rankEngines(j.job.ID, w.participants(j)), w.Engine)
@@ -80,17 +82,17 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	lost := 0
+	failed := 0
 	for i := range j.items {
 		if !j.done[i] && j.tasks[i] == nil {
 			t := &task{index: i, j: j, item: &j.items[i]}
 			j.tasks[i] = t
 			w.finish(t, StateFailed, "")
-			lost++
+			failed++
 		}
 	}
 	j.finished = len(j.done) == len(j.items)
-	if lost > 0 {
-		w.Log.WithFields(logrus.Fields{observe.FieldJob: j.job.ID, "items": lost}).Warn("items without a holder given up: their time is up")
+	if failed > 0 {
+		w.Log.WithFields(logrus.Fields{observe.FieldJob: j.job.ID, "items": failed}).Warn("items without a holder given up: their time is up")
 	}
 }
--- a/batch/handover.go
+++ b/batch/handover.go
@@ -7,7 +7,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// handOver gives up items for another agent: waiting ones first, the longest of them.
+// handOver releases items of a job to another agent that asks for them.
 func (w *Worker) handOver(to string, ask *TakeRequest) *Handover {
 	w.mu.Lock()
 	j, ok := w.jobs[ask.Job]
@@ -15,27 +15,29 @@
 		w.mu.Unlock()
 		return &Handover{Job: ask.Job}
 	}
-	give, stopped := w.detach(w.pickForHandover(j, to, ask))
+	detached, stopped := w.detach(w.pickForHandover(j, to, ask))
 	w.mu.Unlock()
-	return w.packDetached(j, give, stopped, to, "taken")
+	return w.packDetached(j, detached, stopped, to, "taken")
 }
 
-// pickForHandover picks the items to give up. It is called with w.mu held.
+// pickForHandover picks the items to release: waiting ones in their order, the longest of
+// a job first, then running ones if the other agent asks for them. It is called with w.mu
+// held.
 func (w *Worker) pickForHandover(j *workJob, to string, ask *TakeRequest) []*task {
-	var give []*task
+	var picked []*task
 	for _, t := range w.waiting {
-		if t.j == j && len(give) < ask.Max && !slices.Contains(t.avoid, to) && !w.isQuarantined(t) {
-			give = append(give, t)
+		if t.j == j && len(picked) < ask.Max && !slices.Contains(t.avoid, to) && !w.isQuarantined(t) {
+			picked = append(picked, t)
 		}
 	}
 	if ask.Running {
-		give = append(give, j.longestRunning(ask.Max-len(give))...)
+		picked = append(picked, j.longestRunning(ask.Max-len(picked))...)
 	}
-	return give
+	return picked
 }
 
-// longestRunning are up to n running tasks, those that are expected to be the
-// longest first, and of those the least advanced: they have the most left to do.
+// longestRunning returns up to n running tasks: those with the most expected work first,
+// and of those the least advanced, which have the most left to do.
 func (j *workJob) longestRunning(n int) []*task {
 	var list []*task
 	for _, t := range j.tasks {
@@ -49,10 +51,10 @@
 	return list[:min(max(n, 0), len(list))]
 }
 
-// detach takes tasks out of this worker's hands and returns those that were there,
-// with the ends of their runs, which the caller awaits without w.mu. Tasks that are
-// being handed over to another agent, or were since they were chosen, are left out:
-// two agents would run them. It is called with w.mu held.
+// detach removes tasks from this worker and returns those that were here, with the
+// channels that are closed when their runs have stopped; the caller waits for these
+// without w.mu. Tasks that are being handed over to another agent, or were since they were
+// chosen, are left out: two agents would run them. It is called with w.mu held.
 func (w *Worker) detach(tasks []*task) (detached []*task, stopped []chan struct{}) {
 	for _, t := range tasks {
 		if t.handingOver || t.j.tasks[t.index] != t {
@@ -70,7 +72,8 @@
 	return detached, stopped
 }
 
-// packDetached awaits the ends of runs and packs up the tasks.
+// packDetached waits until the runs of detached tasks have stopped and packs the tasks for
+// another agent.
 func (w *Worker) packDetached(j *workJob, tasks []*task, stopped []chan struct{}, to, why string) *Handover {
 	for _, c := range stopped {
 		<-c
@@ -81,7 +84,7 @@
 	for _, t := range tasks {
 		if j.tasks[t.index] != nil || j.done[t.index] {
 			t.handingOver = false
-			continue // it finished before it could be stopped
+			continue // finished before it could be stopped
 		}
 		if t.brokenAnswers >= maxBrokenAnswers {
 			t.avoid = append(t.avoid, w.Engine)
@@ -95,10 +98,11 @@
 	return handed
 }
 
-// accept takes items that another agent gives.
-func (w *Worker) accept(from string, given *Handover) int {
+// accept takes over items that another agent hands to this one, and returns how many; 0 if
+// it does not accept work of the job.
+func (w *Worker) accept(from string, handed *Handover) int {
 	w.mu.Lock()
-	j, ok := w.jobs[given.Job]
+	j, ok := w.jobs[handed.Job]
 	refuse := !ok || j.ended || w.stopping
 	w.mu.Unlock()
 	if refuse || !w.load(j, false) {
@@ -107,7 +111,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
-	for _, h := range given.Items {
+	for _, h := range handed.Items {
 		if h.Index < 0 || h.Index >= len(j.items) {
 			continue
 		}
@@ -118,7 +122,7 @@
 		if w.enqueue(j, t) {
 			w.Log.WithFields(t.fields()).WithField("from", from).Info("item taken over")
 		}
-		n++ // held or done here already counts as taken
+		n++ // items that are held or done here already count as taken
 	}
 	w.wake()
 	return n
--- a/batch/intake.go
+++ b/batch/intake.go
@@ -14,33 +14,34 @@
 	"mulberryscale.example/store"
 )
 
-// ErrMalformed says that a job cannot be accepted as it stands.
+// ErrMalformed says that a submission is invalid.
 var ErrMalformed = errors.New("batch: malformed job")
 
 const (
-	// acceptTimeout bounds how long one entry tries to accept or end a job: twice
-	// what the store takes while it is slowed down sixty times. A client that is
-	// answered then tries another entry, which may have a path to the store.
+	// acceptTimeout bounds how long one entry tries to accept or end a job: twice what the
+	// store takes while it is slowed down sixty times. A client that is answered can then
+	// retry at another entry, which may have a path to the store.
 	acceptTimeout = 1500 * time.Millisecond
-	// weightLoadTime is how long an engine may need for a version: 0.9 s alone, twice
+	// weightLoadTime is how long an engine may take to load a version: 0.9 s alone, twice
 	// that while several load.
 	weightLoadTime = 2 * time.Second
-	// answerReserve is left of the client's deadline to write the answer.
+	// answerReserve is the part of the client's deadline that is kept for writing the
+	// answer.
 	answerReserve = 100 * time.Millisecond
 )
 
-// Submission is a job as it arrives.
+// Submission is a job as a client submits it.
 type Submission struct {
-	// ID is the client's, unique within its organisation.
+	// ID is chosen by the client and unique within its organisation.
 	ID string
-	// Organisation is the name of the one that submits it; empty for none.
+	// Organisation is the name of the organisation that submits the job; empty for none.
 	Organisation string
 	Host         string
 	Route        *fleet.Route
 	Model        string
 	Step         int
 	MinVersion   uint64
-	WantedGroups int
+	WantedGroups int // complete groups that the client waits for; 0 is all
 	Items        []Item
 	// Deadline is when the client stops waiting; zero if it did not say.
 	Deadline time.Time
@@ -51,12 +52,12 @@
 	View     *fleet.View
 	Ledger   *Ledger
 	Demand   *Demand
-	Now      func() (time.Duration, bool)
+	Now      func() (time.Duration, bool) // the store's clock; false before it is known
 	Log      logrus.FieldLogger
 	Counters *observe.Counters
 }
 
-// Submit accepts a job; its error is ErrMalformed or as of Ledger.Submit.
+// Submit accepts a job. Its error is ErrMalformed or one of Ledger.Submit.
 func (in *Intake) Submit(ctx context.Context, s Submission) error {
 	if err := s.check(); err != nil {
 		return err
@@ -91,6 +92,7 @@
 	return nil
 }
 
+// check returns an error if the submission is malformed.
 func (s *Submission) check() error {
 	if s.ID == "" {
 		return fmt.Errorf("%w: no id", ErrMalformed)
@@ -126,7 +128,7 @@
 	maxRewardPath = 16 << 10 // bytes, what operators allow for all headers
 )
 
-// check names the field that keeps a call from being sent as it stands.
+// check returns an error that names the field that cannot be sent as it is.
 func (c *RewardCall) check() error {
 	if c == nil {
 		return nil
@@ -145,10 +147,11 @@
 	return nil
 }
 
-// isUnsendable are characters that would end a header's line or a request's target.
+// isUnsendable reports whether a character would end a header line or the target of a
+// request.
 func isUnsendable(r rune) bool { return r <= ' ' || r == 0x7f }
 
-// newJob deals a submission out to the engines that serve its model.
+// newJob returns the job of a submission, owned by the engines that serve its model.
 func (in *Intake) newJob(s Submission, now time.Duration) *Job {
 	service := s.Route.Backend(s.ID)
 	snap := in.View.Snapshot()
@@ -169,7 +172,8 @@
 	}
 }
 
-// groupSize is the number of items in each group; 0 if they differ or there is none.
+// groupSize returns the number of items in each group; 0 if groups differ in size or an
+// item has no group.
 func groupSize(items []Item) int {
 	sizes := map[string]int{}
 	for i := range items {
@@ -184,7 +188,7 @@
 	return size
 }
 
-// priority is the rank of the organisation, which goes before that of the route.
+// priority is the rank of the organisation, which takes precedence over that of the route.
 func (s *Submission) priority(config *fleet.Config) int {
 	if config != nil {
 		if o := config.NamedOrganisation(s.Organisation); o != nil {
@@ -194,17 +198,18 @@
 	return s.Route.Priority
 }
 
-// orderOwners are the engines of a model's deal, those first that can run its items
-// at once; the others load the newest version just now, or must first.
-func orderOwners(snap *fleet.Snapshot, service string, s Submission, deal Assignment) (list []string, ready int) {
+// orderOwners returns the engines that serve a model, those first that can run its items
+// at once, and the number of these. The others load the newest version just now, or must
+// load a version first.
+func orderOwners(snap *fleet.Snapshot, service string, s Submission, assignment Assignment) (list []string, ready int) {
 	newest := snap.Named[s.Model]
 	loading := time.Since(snap.NamedAt[s.Model]) < weightLoadTime
 	var late []string
 	for _, i := range snap.OfService(service) {
 		version := i.Versions[s.Model]
 		switch {
-		case !deal.Has(i.Addr):
-		case version < s.MinVersion, loading && version < newest && deal.LoadsAtOnce(i.Addr, newest):
+		case !assignment.Has(i.Addr):
+		case version < s.MinVersion, loading && version < newest && assignment.LoadsAtOnce(i.Addr, newest):
 			late = append(late, i.Addr)
 		default:
 			list = append(list, i.Addr)
@@ -213,7 +218,8 @@
 	return append(list, late...), len(list)
 }
 
-// End ends a job; ErrNoJob says that there is none.
+// End ends a job, again without effect. Its error is ErrNoJob if there is no such job, or
+// one of the ledger.
 func (in *Intake) End(ctx context.Context, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
--- a/batch/orphans.go
+++ b/batch/orphans.go
@@ -61,8 +61,8 @@
 		return
 	}
 	others := h.peerEngines(jobs)
-	round := h.lost.due(time.Now(), len(others)+1)
-	if !round && len(others) > 0 && h.lost.neighbourDue(time.Now()) {
+	round := h.orphanScans.due(time.Now(), len(others)+1)
+	if !round && len(others) > 0 && h.orphanScans.neighbourDue(time.Now()) {
 		next := neighbour(h.Engine, others)
 		_, lives := h.queryStatuses(ctx, jobs, []string{next})[next]
 		round = !lives
--- a/batch/peer.go
+++ b/batch/peer.go
@@ -41,7 +41,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := &Status{
-		Up: registered && w.engine.up && !w.stopping, Free: w.freeSlots(), EventInterval: w.engine.pace,
+		Up: registered && w.engine.up && !w.stopping, Free: w.freeSlots(), EventInterval: w.engine.eventInterval,
 		Jobs: make(map[string]JobStatus, len(jobs)),
 	}
 	for _, id := range jobs {
--- a/batch/push.go
+++ b/batch/push.go
@@ -11,7 +11,7 @@
 	"mulberryscale.example/observe"
 )
 
-// pushItems gives away the items here, those that run only if asked to. Whole
+// pushItems hands waiting items to other agents, and running ones if asked to. Complete
 // texts need no engine: they stay until this process stops.
 func (w *Worker) pushItems(ctx context.Context, statuses map[string]*Status, running bool) {
 	engines := byFreeSlots(statuses)
@@ -22,8 +22,8 @@
 	byJob := map[*workJob][]*task{}
 	for _, j := range w.jobs {
 		for _, t := range j.tasks {
-			goes := running && t.cancel != nil && (w.stopping || !t.complete)
-			if goes || slices.Contains(w.waiting, t) {
+			moves := running && t.cancel != nil && (w.stopping || !t.complete)
+			if moves || slices.Contains(w.waiting, t) {
 				byJob[j] = append(byJob[j], t)
 			}
 		}
@@ -34,7 +34,7 @@
 	}
 }
 
-// byFreeSlots are the engines that take work, those with the most room first.
+// byFreeSlots returns the engines that accept work, those with the most free slots first.
 func byFreeSlots(statuses map[string]*Status) []string {
 	engines := slices.SortedFunc(maps.Keys(statuses), func(a, b string) int {
 		return cmp.Or(cmp.Compare(statuses[b].Free, statuses[a].Free), cmp.Compare(a, b))
@@ -42,8 +42,8 @@
 	return slices.DeleteFunc(engines, func(e string) bool { return !statuses[e].Up })
 }
 
-// pushJobItems deals items of one job out to other agents in turn. What none takes
-// waits here again.
+// pushJobItems spreads items of one job over other agents. Items that an agent does not
+// accept wait here again.
 func (w *Worker) pushJobItems(ctx context.Context, j *workJob, tasks []*task, engines []string) {
 	for i, e := range engines {
 		share := tasks[i*len(tasks)/len(engines) : (i+1)*len(tasks)/len(engines)]
@@ -51,9 +51,9 @@
 			continue
 		}
 		w.mu.Lock()
-		leaving, stopped := w.detach(share)
+		detached, stopped := w.detach(share)
 		w.mu.Unlock()
-		handed := w.packDetached(j, leaving, stopped, e, "engine takes no work")
+		handed := w.packDetached(j, detached, stopped, e, "engine takes no work")
 		if len(handed.Items) == 0 {
 			continue
 		}
--- a/batch/quarantine.go
+++ b/batch/quarantine.go
@@ -9,40 +9,41 @@
 	"mulberryscale.example/quarantine"
 )
 
-// subjectOf names an item's content; an item that comes again in a later job under
-// its id is the same. It is called with w.mu held.
-func (w *Worker) subjectOf(t *task) quarantine.Fingerprint {
+// fingerprintOf returns the name of the content of an item for the quarantine; an item that
+// comes again under its id in a later job has the same. It is called with w.mu held.
+func (w *Worker) fingerprintOf(t *task) quarantine.Fingerprint {
 	if t.subject == "" {
 		t.subject = quarantine.FingerprintOf(t.j.job.Organisation, t.j.job.Host, t.item.Path, t.item.ID, string(t.item.Body))
 	}
 	return t.subject
 }
 
-// isQuarantined reports whether engines have ended under an item. Such a one is not sent
-// any more, so that the others beside it run on: its holder keeps it until its time
-// is up, which is before a trial would be due. It is called with w.mu held.
+// isQuarantined reports whether an item is quarantined because engines crashed while they
+// ran it. Such an item is not sent any more, so that the others beside it keep running:
+// its holder keeps it until its deadline, which is before a trial run would be due. It is
+// called with w.mu held.
 func (w *Worker) isQuarantined(t *task) bool {
 	if w.Quarantine == nil || w.Quarantine.Empty() {
 		return false
 	}
-	verdict, _ := w.Quarantine.State(w.subjectOf(t), quarantine.ItemLimit)
+	verdict, _ := w.Quarantine.State(w.fingerprintOf(t), quarantine.ItemLimit)
 	return verdict == quarantine.Quarantined || verdict == quarantine.TrialDue
 }
 
-// isCrashSuspect reports whether two engines have ended under an item, so that the next
-// end decides: of such items an engine runs one at a time, or those that only stood
-// beside the one that ends engines would meet the third end with it and be held. It
-// is called with w.mu held.
+// isCrashSuspect reports whether two engines have crashed while they ran an item, so that
+// a third crash quarantines it. An engine runs one such item at a time: otherwise items
+// that merely ran beside the one that crashes engines would take part in the third crash
+// too and be quarantined. It is called with w.mu held.
 func (w *Worker) isCrashSuspect(t *task) bool {
 	if w.Quarantine == nil || w.Quarantine.Empty() {
 		return false
 	}
-	verdict, _ := w.Quarantine.State(w.subjectOf(t), quarantine.ItemLimit-1)
+	verdict, _ := w.Quarantine.State(w.fingerprintOf(t), quarantine.ItemLimit-1)
 	return verdict == quarantine.Quarantined || verdict == quarantine.TrialDue
 }
 
-// awaitsOtherSuspect reports whether an item that runs apart waits for another such one to
-// end here. It is called with w.mu held.
+// awaitsOtherSuspect reports whether an item is a crash suspect and another one runs on
+// this engine. It is called with w.mu held.
 func (w *Worker) awaitsOtherSuspect(t *task) bool {
 	if !w.isCrashSuspect(t) {
 		return false
@@ -55,13 +56,14 @@
 	return false
 }
 
-// recordOutcome tells the quarantine what a run that came to an end did to its engine.
+// recordOutcome tells the quarantine whether the engine answered a run, crashed under it
+// or broke it off.
 func (w *Worker) recordOutcome(ctx context.Context, t *task, engine fleet.Instance, err error, took time.Duration) {
 	if w.Quarantine == nil {
 		return
 	}
 	w.mu.Lock()
-	run := quarantine.BrokenRun{Fingerprint: w.subjectOf(t), Endpoint: t.sentTo, Addr: engine.Addr, Took: took}
+	run := quarantine.BrokenRun{Fingerprint: w.fingerprintOf(t), Endpoint: t.sentTo, Addr: engine.Addr, Took: took}
 	w.mu.Unlock()
 	switch {
 	case err == nil, errors.Is(err, ErrFailed), errors.Is(err, ErrImpossible):
--- a/batch/quarantine_test.go
+++ b/batch/quarantine_test.go
@@ -21,7 +21,7 @@
 			time.Sleep(time.Second)
 			for _, task := range tasks {
 				w.Quarantine.ReportCrash(quarantine.BrokenRun{
-					Fingerprint: w.subjectOf(task), Endpoint: fleet.Incarnation{ID: fmt.Sprint("i-", engine)}, Took: 10 * time.Millisecond,
+					Fingerprint: w.fingerprintOf(task), Endpoint: fleet.Incarnation{ID: fmt.Sprint("i-", engine)}, Took: 10 * time.Millisecond,
 				})
 			}
 		}
@@ -42,7 +42,7 @@
 		if w.awaitsOtherSuspect(none) || w.awaitsOtherSuspect(once) {
 			t.Error("an item waits under which at most one engine has ended")
 		}
-		w.Quarantine.ReportServed(w.subjectOf(one))
+		w.Quarantine.ReportServed(w.fingerprintOf(one))
 		if w.awaitsOtherSuspect(two) {
 			t.Error("waits for one that an answer has cleared")
 		}
--- a/batch/rebalance.go
+++ b/batch/rebalance.go
@@ -13,28 +13,31 @@
 )
 
 const (
-	// rebalanceInterval is how often an agent looks whether there is anything to do for
-	// others. Looking by itself calls nobody.
+	// rebalanceInterval is how often an agent checks whether to exchange items with
+	// others. The check itself makes no calls.
 	rebalanceInterval = 250 * time.Millisecond
 	// minRebalanceAge is the age below which a job is left to its owners.
 	minRebalanceAge = 400 * time.Millisecond
-	// stealFanout is how many agents are asked in a round for work to take. Whoever has
-	// work to give is asked by each of the others that are idle with that chance.
+	// stealFanout is how many agents are asked in a round for items to take. Each idle
+	// agent asks a given one that has items to hand over with a probability of stealFanout divided
+	// by the number of agents.
 	stealFanout = 4
-	// pushFanout is how many are asked for room by an agent whose engine takes no work.
+	// pushFanout is how many agents are asked for free slots by an agent whose engine
+	// takes no work.
 	pushFanout = 16
-	// maxStealPause bounds the pause between rounds that found nothing to take; it
-	// doubles from helpInterval with each and starts anew with each new job.
+	// maxStealPause bounds the pause between rounds that found nothing to take. It doubles
+	// from rebalanceInterval with each such round and is reset by each new job.
 	maxStealPause = time.Second
-	// slowRatio is how many times slower another engine must be for its running
-	// items to be worth moving: a move costs a prompt read again, 30 ms.
+	// slowRatio is how many times slower another engine must be for its running items to
+	// be worth moving: a move costs reading the prompt again, 30 ms.
 	slowRatio = 1.6
 )
 
-// rebalance looks after the items of other agents, and gives away its own when its
-// engine cannot run them, until ctx ends.
+// rebalance exchanges items with other agents until ctx is cancelled: it hands over those
+// that the engine here cannot run, takes some of busier agents and finds those that no
+// agent holds.
 func (w *Worker) rebalance(ctx context.Context) {
-	h := &rebalancer{Worker: w, lost: newOrphanScans(rand.Float64)}
+	h := &rebalancer{Worker: w, orphanScans: newOrphanScans(rand.Float64)}
 	for pause.Sleep(ctx, rebalanceInterval) == nil {
 		jobs := w.openJobs()
 		if len(jobs) == 0 {
@@ -46,24 +49,25 @@
 	}
 }
 
-// rebalancer is what an agent remembers between its looks at the others.
+// rebalancer is the state that an agent keeps between rounds of rebalancing.
 type rebalancer struct {
 	*Worker
-	lost *orphanScans
-	// stealPause is the present stealPause between rounds that ask for work, asked when the
-	// last one was; newest is the newest job at that time.
+	orphanScans *orphanScans
+	// stealPause is the current pause between rounds that ask for items, lastSteal the
+	// time of the last one and newestJob when the newest job at that time was accepted.
 	stealPause time.Duration
 	lastSteal  time.Time
 	newestJob  time.Duration
 }
 
-// pushUnrunnable gives away what this engine cannot run.
+// pushUnrunnable hands over what this engine cannot run: everything while it is
+// unavailable, otherwise the items that broke off here repeatedly.
 func (h *rebalancer) pushUnrunnable(ctx context.Context, jobs []*workJob) {
 	h.mu.Lock()
-	held, broken := h.itemCount(), h.repeatedlyBroken()
+	count, broken := h.itemCount(), h.repeatedlyBroken()
 	h.mu.Unlock()
 	unable := h.engineUnavailable()
-	if held == 0 || (!unable && len(broken) == 0) {
+	if count == 0 || (!unable && len(broken) == 0) {
 		return
 	}
 	statuses := h.queryStatuses(ctx, jobs, sampleEngines(h.peerEngines(jobs), pushFanout))
@@ -76,9 +80,9 @@
 	}
 }
 
-// stealWork asks a few agents for items that they have no room for, or run slowly.
-// Whoever is no participant of a job takes nothing of it: those that look for
-// items without a holder would not ask it, and run them a second time.
+// stealWork asks a few agents for items that wait for a slot or run slowly there. An agent
+// takes items only of jobs that it participates in: agents that look for items without a
+// holder ask participants only, and would run the items a second time.
 func (h *rebalancer) stealWork(ctx context.Context, jobs []*workJob) {
 	jobs = slices.DeleteFunc(slices.Clone(jobs), func(j *workJob) bool { return !h.engineCanServe(j) || !h.participatesLocking(j) })
 	h.mu.Lock()
@@ -102,15 +106,16 @@
 	h.stealPause = min(max(rebalanceInterval, 2*h.stealPause), maxStealPause)
 }
 
-// sampleEngines are up to n of the engines, drawn at random.
+// sampleEngines returns up to n of the engines, drawn at random.
 func sampleEngines(engines []string, n int) []string {
 	engines = slices.Clone(engines)
 	rand.Shuffle(len(engines), func(i, k int) { engines[i], engines[k] = engines[k], engines[i] })
 	return engines[:min(n, len(engines))]
 }
 
-// repeatedlyBroken are the waiting items that broke off here again and again, though the
-// engine reports well. It is called with w.mu held.
+// repeatedlyBroken returns the waiting items whose answers broke off here at least
+// maxBrokenAnswers times though the engine reports that it is healthy. It is called with w.mu
+// held.
 func (w *Worker) repeatedlyBroken() map[*workJob][]*task {
 	byJob := map[*workJob][]*task{}
 	for _, t := range w.waiting {
@@ -121,7 +126,8 @@
 	return byJob
 }
 
-// itemCount is the number of items here. It is called with w.mu itemCount.
+// itemCount returns the number of items that wait, run or are being scored here. It is
+// called with w.mu held.
 func (w *Worker) itemCount() int { return len(w.waiting) + len(w.running) + len(w.scoring) }
 
 // engineUnavailable reports whether the engine takes no work.
@@ -133,9 +139,9 @@
 	return (listed && !registered) || !w.engine.up || w.stopping
 }
 
-// openJobs are the jobs that may have unfinished items here or that this engine
-// could run items of, the oldest first. Jobs of models that other engines serve
-// are theirs to look after: with six trainers that is a sixth of all calls.
+// openJobs returns the jobs that may have unfinished items here or whose items this engine
+// could run, oldest first. Jobs of models that other engines serve are left to their
+// agents: with six trainers an agent then makes a sixth of the calls.
 func (w *Worker) openJobs() []*workJob {
 	now, known := w.Now()
 	w.mu.Lock()
@@ -163,14 +169,14 @@
 	return j.job.Model != "" && w.assignments(w.View.Snapshot())[j.job.Model].Has(w.Engine)
 }
 
-// participatesLocking is takesPart for callers that do not hold w.mu.
+// participatesLocking is participates for callers that do not hold w.mu.
 func (w *Worker) participatesLocking(j *workJob) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.participates(j)
 }
 
-// participants are the engines whose agents may hold items of a job.
+// participants returns the engines whose agents may hold items of a job, sorted.
 func (w *Worker) participants(j *workJob) []string {
 	engines := map[string]bool{}
 	for _, o := range j.job.Owners {
@@ -184,7 +190,7 @@
 	return slices.Sorted(maps.Keys(engines))
 }
 
-// peerEngines are those of the other agents that may hold items of the jobs.
+// peerEngines returns the engines of the other agents that may hold items of the jobs.
 func (w *Worker) peerEngines(jobs []*workJob) []string {
 	engines := map[string]bool{}
 	for _, j := range jobs {
@@ -196,8 +202,8 @@
 	return slices.Sorted(maps.Keys(engines))
 }
 
-// queryStatuses asks agents for their state; those that do not answer are missing in what
-// it returns.
+// queryStatuses asks agents for their statuses, by engine; those that do not answer are
+// missing from the result.
 func (w *Worker) queryStatuses(ctx context.Context, jobs []*workJob, engines []string) map[string]*Status {
 	var ids []string
 	for _, j := range jobs {
@@ -221,18 +227,18 @@
 	return statuses
 }
 
-// stealFrom takes items from the agents that have the most to give, and returns
-// how many.
+// stealFrom takes items from the agents that have the most to hand over, and returns how
+// many.
 func (w *Worker) stealFrom(ctx context.Context, jobs []*workJob, statuses map[string]*Status, free int) int {
 	w.mu.Lock()
-	pace := w.engine.pace
+	interval := w.engine.eventInterval
 	w.mu.Unlock()
 	taken := 0
 	for _, j := range jobs {
 		if taken >= free || !w.engineCanServe(j) {
 			continue
 		}
-		engine, running, n := busiestPeer(j.job.ID, statuses, pace)
+		engine, running, n := busiestPeer(j.job.ID, statuses, interval)
 		if n == 0 {
 			continue
 		}
@@ -249,24 +255,24 @@
 	return taken
 }
 
-// engineCanServe reports whether the engine's weights serve a job now.
+// engineCanServe is engineState.canServe for callers that do not hold w.mu.
 func (w *Worker) engineCanServe(j *workJob) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.engine.canServe(j.job)
 }
 
-// busiestPeer finds the agent to take items of a job from: one whose engine is much
-// slower than a pace, whose items running here would end earlier, or else the
-// one with the most waiting items.
-func busiestPeer(job string, statuses map[string]*Status, pace time.Duration) (engine string, running bool, n int) {
+// busiestPeer picks the agent to take items of a job from: one whose engine is much slower
+// than pace, so that its running items would complete earlier here, or else the one with
+// the most waiting items. A caller asks for half of n items; n is 0 if no agent has any.
+func busiestPeer(job string, statuses map[string]*Status, interval time.Duration) (engine string, running bool, n int) {
 	engines := slices.Sorted(maps.Keys(statuses))
 	var slowest time.Duration
 	for _, e := range engines {
 		s := statuses[e]
-		held := len(s.Jobs[job].Running) + len(s.Jobs[job].Waiting)
-		if held > 0 && pace > 0 && s.EventInterval > slowest && float64(s.EventInterval) > slowRatio*float64(pace) {
-			engine, n, slowest = e, 2*held, s.EventInterval // all of them
+		items := len(s.Jobs[job].Running) + len(s.Jobs[job].Waiting)
+		if items > 0 && interval > 0 && s.EventInterval > slowest && float64(s.EventInterval) > slowRatio*float64(interval) {
+			engine, n, slowest = e, 2*items, s.EventInterval // so that half of n is all of them
 		}
 	}
 	if n > 0 {
--- a/batch/rebalance_test.go
+++ b/batch/rebalance_test.go
@@ -23,9 +23,9 @@
 	return &Status{Up: true, EventInterval: pace, Jobs: map[string]JobStatus{"j": s}}
 }
 
-// TestHelpGoesToTheSlowEngineFirst has one agent with items that wait for a
+// TestSlowestEngineIsBusiestPeer has one agent with items that wait for a
 // moment and one whose engine is four times slower than the helper's.
-func TestHelpGoesToTheSlowEngineFirst(t *testing.T) {
+func TestSlowestEngineIsBusiestPeer(t *testing.T) {
 	const pace = 50 * time.Millisecond
 	for name, c := range map[string]struct {
 		statuses map[string]*Status
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestRunningItemsAreGivenLongestFirst(t *testing.T) {
+func TestRunningItemsAreHandedOverLongestFirst(t *testing.T) {
 	j := &workJob{tasks: map[int]*task{}}
 	cancel := func(error) {}
 	for i, c := range []struct{ expected, events int }{{100, 5}, {900, 9}, {900, 2}, {300, 0}} {
@@ -191,8 +191,8 @@
 		host, _, _ := net.SplitHostPort(before)
 		rig.kill(holder)
 		never := func() float64 { return 0.99 }
-		h := &rebalancer{Worker: rig.peers.workers[host], lost: newOrphanScans(never)}
-		h.lost.due(time.Now(), agents)
+		h := &rebalancer{Worker: rig.peers.workers[host], orphanScans: newOrphanScans(never)}
+		h.orphanScans.due(time.Now(), agents)
 		h.findOrphans(t.Context(), h.openJobs())
 		time.Sleep(50 * time.Millisecond)
 		if runs := rig.runsOf("item-000"); len(runs) != 2 {
--- a/batch/rig_test.go
+++ b/batch/rig_test.go
@@ -262,7 +262,7 @@
 	way := r.store.Client()
 	r.storeClients[addr] = way
 	reached := &detour.Store{Own: way, Others: &rigPeers{r, addr}}
-	keeper := r.newKeeper(reached)
+	keeper := r.newTracker(reached)
 	w := NewWorker(WorkerConfig{
 		Direct: way, Quarantine: keeper,
 		Node: fmt.Sprint("agent-", i), Incarnation: fmt.Sprint(time.Now().UnixNano()), Engine: addr, Service: "svc",
