--- a/batch/assignment_test.go
+++ b/batch/assignment_test.go
@@ -33,28 +33,28 @@
 		for _, m := range models {
 			work[m] = rapid.IntRange(0, 100_000).Draw(t, m)
 		}
-		deals := AssignEngines(engines, models, demandOf(work))
-		var dealt []string
+		assignments := AssignEngines(engines, models, demandOf(work))
+		var assigned []string
 		for _, m := range models {
-			all := deals[m].All()
+			all := assignments[m].All()
 			if len(all) == 0 {
 				t.Fatalf("model %s has no engine", m)
 			}
-			if d := len(deals[m].Halves[0]) - len(deals[m].Halves[1]); d < 0 || d > 1 {
-				t.Fatalf("halves of %d and %d", len(deals[m].Halves[0]), len(deals[m].Halves[1]))
+			if d := len(assignments[m].Halves[0]) - len(assignments[m].Halves[1]); d < 0 || d > 1 {
+				t.Fatalf("halves of %d and %d", len(assignments[m].Halves[0]), len(assignments[m].Halves[1]))
 			}
-			dealt = append(dealt, all...)
+			assigned = append(assigned, all...)
 		}
-		if slices.Sort(dealt); !slices.Equal(dealt, engines) {
-			t.Fatalf("dealt %v of %v", dealt, engines)
+		if slices.Sort(assigned); !slices.Equal(assigned, engines) {
+			t.Fatalf("assigned %v of %v", assigned, engines)
 		}
 	})
 }
 
-// referenceAssignment is what AssignEngines is to compute: each model in turn takes the free
-// engine that it ranks highest.
+// referenceAssignment computes the same as AssignEngines in a simpler way: in round-robin
+// order each model takes the free engine that it ranks highest.
 func referenceAssignment(engines, models []string, demand *Demand) map[string]Assignment {
-	dealt, quotas, free := map[string][]string{}, quotas(len(engines), models, demand), slices.Clone(engines)
+	assigned, quotas, free := map[string][]string{}, quotas(len(engines), models, demand), slices.Clone(engines)
 	for i := 0; len(free) > 0; i++ {
 		m := models[i%len(models)]
 		if quotas[m] == 0 {
@@ -62,13 +62,13 @@
 		}
 		quotas[m]--
 		at := highestRanked(m, free)
-		dealt[m] = append(dealt[m], free[at])
+		assigned[m] = append(assigned[m], free[at])
 		free = slices.Delete(free, at, at+1)
 	}
-	deals := map[string]Assignment{}
+	assignments := map[string]Assignment{}
 	for _, m := range models {
 		var d Assignment
-		for left, middle := dealt[m], (len(dealt[m])+1)/2; len(left) > 0; {
+		for left, middle := assigned[m], (len(assigned[m])+1)/2; len(left) > 0; {
 			at := highestRanked("half of "+m, left)
 			half := 0
 			if len(d.Halves[0]) == middle {
@@ -77,9 +77,9 @@
 			d.Halves[half] = append(d.Halves[half], left[at])
 			left = slices.Delete(left, at, at+1)
 		}
-		deals[m] = d
+		assignments[m] = d
 	}
-	return deals
+	return assignments
 }
 
 func TestAssignmentTakesHighestRanksRoundRobin(t *testing.T) {
@@ -112,7 +112,7 @@
 	}
 }
 
-// BenchmarkAssignEngines is the time of one deal by the number of engines.
+// BenchmarkAssignEngines measures one assignment by the number of engines.
 func BenchmarkAssignEngines(b *testing.B) {
 	for _, n := range []int{12, 100, 400, 10_000} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
@@ -125,8 +125,8 @@
 }
 
 func TestAssignmentFollowsDemand(t *testing.T) {
-	deals := AssignEngines(names("e", 12), []string{"a", "b", "c"}, demandOf(map[string]int{"a": 900, "b": 1800, "c": 1800}))
-	if a, b := len(deals["a"].All()), len(deals["b"].All()); a != 2 || b != 5 {
+	assignments := AssignEngines(names("e", 12), []string{"a", "b", "c"}, demandOf(map[string]int{"a": 900, "b": 1800, "c": 1800}))
+	if a, b := len(assignments["a"].All()), len(assignments["b"].All()); a != 2 || b != 5 {
 		t.Fatalf("a has %d, b %d", a, b)
 	}
 	equal := AssignEngines(names("e", 12), []string{"a", "b", "c"}, NewDemand())
@@ -154,13 +154,13 @@
 	}
 }
 
-// The load answered: three trainers take steps of 208 items whose lengths vary by
-// nine tenths of their mean, so that the work of a step varies by a twelfth, and
-// 41 engines are dealt anew after each of 60 steps.
+// The load below: three trainers take steps of 208 items whose lengths vary by nine tenths of
+// their mean, so that the work of a step varies by a twelfth, and 41 engines are assigned anew
+// after each of 60 steps.
 
-// countMoves counts engines that change their model, and such that change their half
-// of the same model, over the steps; halve says how a model's engines are halved.
-func countMoves(jobs int, halve func(model string, engines []string) Assignment) (models, halves int) {
+// countMoves counts over the steps the engines that change models, and those that change
+// halves of the same model; split splits the engines of a model into halves.
+func countMoves(jobs int, split func(model string, engines []string) Assignment) (models, halves int) {
 	engines, names := names("e", 41), []string{"a", "b", "c"}
 	mean := map[string]float64{"a": 150_000, "b": 330_000, "c": 310_000}
 	rng := rand.New(rand.NewPCG(7, 7))
@@ -177,27 +177,27 @@
 			}
 			average[m] = sum / len(last)
 		}
-		deals := AssignEngines(engines, names, demandOf(average))
+		assignments := AssignEngines(engines, names, demandOf(average))
 		for _, m := range names {
-			deals[m] = halve(m, slices.Concat(deals[m].Halves[0], deals[m].Halves[1]))
+			assignments[m] = split(m, slices.Concat(assignments[m].Halves[0], assignments[m].Halves[1]))
 		}
 		for _, m := range names {
-			for _, e := range deals[m].All() {
+			for _, e := range assignments[m].All() {
 				switch {
 				case before == nil:
 				case !before[m].Has(e):
 					models++
-				case before[m].LoadsAtOnce(e, 2) != deals[m].LoadsAtOnce(e, 2):
+				case before[m].LoadsAtOnce(e, 2) != assignments[m].LoadsAtOnce(e, 2):
 					halves++
 				}
 			}
 		}
-		before = deals
+		before = assignments
 	}
 	return models, halves
 }
 
-// alternatingHalves halves engines in the order in which they were dealt.
+// alternatingHalves splits engines into halves in the order in which they were assigned.
 func alternatingHalves(_ string, engines []string) Assignment {
 	var d Assignment
 	for i, e := range engines {
@@ -206,8 +206,8 @@
 	return d
 }
 
-// TestHalvesAreStable: few engines change their half as demand varies. Those that
-// do load a version which they would have skipped.
+// TestHalvesAreStable checks that few engines change halves as demand varies. Those that
+// do load a version that they would have skipped.
 func TestHalvesAreStable(t *testing.T) {
 	models, halves := countMoves(demandWindow, splitHalves)
 	_, before := countMoves(demandWindow, alternatingHalves)
@@ -218,14 +218,14 @@
 }
 
 func TestFewerEnginesThanModelsServeAll(t *testing.T) {
-	deals := AssignEngines(names("e", 2), names("m", 3), NewDemand())
-	for m, d := range deals {
+	assignments := AssignEngines(names("e", 2), names("m", 3), NewDemand())
+	for m, d := range assignments {
 		if len(d.All()) != 2 {
 			t.Errorf("model %s has %v", m, d)
 		}
 	}
 	if one := AssignEngines(names("e", 1), names("m", 1), NewDemand())["m000"]; one.Alternates() {
-		t.Error("a single engine cannot take turns")
+		t.Error("a single engine cannot alternate")
 	}
 }
 
@@ -233,7 +233,7 @@
 	d := AssignEngines(names("e", 4), []string{"m"}, NewDemand())["m"]
 	for _, e := range d.All() {
 		if d.LoadsAtOnce(e, 4) == d.LoadsAtOnce(e, 5) {
-			t.Errorf("%s takes both or neither of two versions", e)
+			t.Errorf("%s loads both or neither of two consecutive versions", e)
 		}
 	}
 }
@@ -243,14 +243,14 @@
 		owners := names("e", rapid.IntRange(1, 9).Draw(t, "owners"))
 		items := someItems(rapid.IntRange(1, 200).Draw(t, "items"))
 		job := &Job{ID: rapid.String().Draw(t, "id"), Owners: owners, Ready: len(owners)}
-		split := AssignItems(job, items)
+		owner := AssignItems(job, items)
 		byGroup := map[string]int{}
 		load := make([]int, len(owners))
 		largest := 0
 		for _, g := range groupItems(items) {
 			largest = max(largest, g.tokens)
 		}
-		for i, o := range split {
+		for i, o := range owner {
 			if g, ok := byGroup[items[i].Group]; ok && g != o {
 				t.Fatalf("group %s at %d and %d", items[i].Group, g, o)
 			}
@@ -267,7 +267,7 @@
 	job := &Job{ID: "j", Owners: names("e", 2), Ready: 1}
 	for _, o := range AssignItems(job, someItems(40)) {
 		if o != 0 {
-			t.Fatal("a small job goes to the engine that is ready")
+			t.Fatal("a small job does not go to the engine that is ready alone")
 		}
 	}
 	if got := AssignItems(&Job{ID: "j"}, someItems(2)); got[0] != noOwner {
--- a/batch/assignmentcache.go
+++ b/batch/assignmentcache.go
@@ -26,12 +26,12 @@
 	if service == nil {
 		return nil
 	}
-	d := &w.dealer
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if revision := w.Demand.Revision(); d.snap != snap || d.demandRevision != revision {
-		d.snap, d.demandRevision = snap, revision
-		d.assignments = AssignEngines(engineAddrs(snap.OfService(w.Service)), service.Models, w.Demand)
+	c := &w.dealer
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if revision := w.Demand.Revision(); c.snap != snap || c.demandRevision != revision {
+		c.snap, c.demandRevision = snap, revision
+		c.assignments = AssignEngines(engineAddrs(snap.OfService(w.Service)), service.Models, w.Demand)
 	}
-	return d.assignments
+	return c.assignments
 }
--- a/batch/collector_test.go
+++ b/batch/collector_test.go
@@ -31,15 +31,15 @@
 			return slices.Concat(s.Rows(resultsTable("j0")), s.Rows(resultsTable("j1")), s.Rows(resultsTable("j2")))
 		}
 		if n := len(results()); n != 3 {
-			t.Fatalf("%d jobs left while all are owed", n)
+			t.Fatalf("%d jobs with results left before the end of their retention", n)
 		}
 		time.Sleep(time.Minute)
 		if rows := results(); len(rows) != 1 || rows[0].Part != "j2" {
-			t.Fatalf("left: %v", rows)
+			t.Fatalf("rows left: %v", rows)
 		}
 		time.Sleep(openRetention)
 		if rows := s.Rows(TableJobs); len(rows) != 0 {
-			t.Fatalf("left: %v", rows)
+			t.Fatalf("rows left: %v", rows)
 		}
 	})
 }
--- a/batch/crash_test.go
+++ b/batch/crash_test.go
@@ -10,23 +10,22 @@
 	"mulberryscale.example/store"
 )
 
-// What was seen, and its cause: the same as of requests that end endpoints, on
-// another path. An item that ends each engine which begins to run it went on to
-// engine after engine until its time was up, since its agent put the end down to the
-// engine alone. Each end also breaks off up to a dozen other items.
+// An item that crashed every engine which ran it was sent to one engine after the other until
+// its deadline, since its agent put the crash down to the engine alone. Each crash also breaks
+// off up to a dozen other items. Requests that crash endpoints had the same fault on another path.
 
 const (
-	// crashAfter is how long an engine lives once it runs such an item, crashDown
-	// how long it is down then.
+	// crashAfter is how long an engine runs such an item before it crashes, restartDelay
+	// how long it is down after that.
 	crashAfter   = 60 * time.Millisecond
 	restartDelay = 1500 * time.Millisecond
-	// maxEngineCrashes is how many engines may end under an item before it is held, and
-	// allowedTrials how often it may be tried out afterwards.
+	// maxEngineCrashes is how many engines may crash under an item before it is
+	// quarantined, maxTrialRuns how many trial runs of it are allowed afterwards.
 	maxEngineCrashes = 3
-	maxProbeRuns     = 3
+	maxTrialRuns     = 3
 )
 
-// crash ends an engine and starts it again a while later. It is called with f.mu held.
+// crash crashes an engine and restarts it after restartDelay. It is called with f.mu held.
 func (f *fakeEngines) crash(e *fakeEngine) {
 	if e.down {
 		return
@@ -41,8 +40,8 @@
 	})
 }
 
-// crashSoon ends an engine a little after it began a run, which never ends by itself,
-// and returns the run's length. It is called with f.mu held.
+// crashSoon crashes an engine crashAfter from now and returns the length of the run that
+// does it, which never completes. It is called with f.mu held.
 func (f *fakeEngines) crashSoon(e *fakeEngine) (length int) {
 	time.AfterFunc(crashAfter, func() {
 		f.mu.Lock()
@@ -52,7 +51,7 @@
 	return 1000
 }
 
-// newTracker is an agent's part of the quarantine.
+// newTracker returns an agent's part of the quarantine.
 func (r *workerRig) newTracker(rows store.Store) *quarantine.Tracker {
 	k := quarantine.New()
 	k.Rows, k.Clock, k.Prober, k.Log, k.Counters = rows, r.store.Now, r.engines, observe.Discard(), observe.NewCounters()
@@ -81,7 +80,7 @@
 		rig.await("j", items-1, 15*time.Second)
 		time.Sleep(10 * time.Second)
 		if n := rig.crashes(); n > maxEngineCrashes {
-			t.Errorf("%d engines ended under one item before it was held", n)
+			t.Errorf("%d engines crashed under one item before it was quarantined", n)
 		}
 		l := rig.await("j", items, time.Minute)
 		for _, x := range l.Results {
@@ -93,12 +92,12 @@
 				t.Errorf("item %s: %s, want %s", x.ID, x.State, want)
 			}
 		}
-		// It comes again in a later job, as items of unfinished groups do.
+		// The item comes again in a later job, as items of unfinished groups do.
 		rig.submit("k", items, nil)
 		rig.await("k", items-1, 15*time.Second)
-		t.Logf("%d engines ended", rig.crashes())
-		if n := rig.crashes(); n > maxEngineCrashes+maxProbeRuns {
-			t.Errorf("%d engines ended under one item", n)
+		t.Logf("%d engines crashed", rig.crashes())
+		if n := rig.crashes(); n > maxEngineCrashes+maxTrialRuns {
+			t.Errorf("%d engines crashed under one item", n)
 		}
 	})
 }
--- a/batch/enginerestart_test.go
+++ b/batch/enginerestart_test.go
@@ -25,7 +25,7 @@
 		rig.requireComplete(rig.await("j", 2, 4*time.Second))
 		runs := rig.runsOf("item-001")
 		last := runs[len(runs)-1]
-		if len(runs) != 2 || last.after < 40 || last.at.Sub(at) > 300*time.Millisecond {
+		if len(runs) != 2 || last.lastEventID < 40 || last.at.Sub(at) > 300*time.Millisecond {
 			t.Fatalf("runs %v after %v", runs, last.at.Sub(at))
 		}
 	})
--- a/batch/enginestate.go
+++ b/batch/enginestate.go
@@ -61,10 +61,10 @@
 
 // reset discards what was known of the former incarnation of a restarted engine, also the
 // order that was in progress on it.
-func (e *engineState) reset(born int64) {
+func (e *engineState) reset(startedAt int64) {
 	stepped := e.stepped // belongs to the jobs, not to the engine
 	*e = newEngineState()
-	e.startedAt, e.stepped = born, stepped
+	e.startedAt, e.stepped = startedAt, stepped
 }
 
 // canServe reports whether the weights of the engine are recent enough for a job and not
@@ -79,7 +79,7 @@
 	return job.Model == "" || e.versions[job.Model] >= job.MinVersion
 }
 
-// recordEvent records the weight version of an event and, if paced is set, the time since
+// recordEvent records the weight version of an event and, if measured is set, the time since
 // the event before it. Any event shows that the engine is up.
 func (e *engineState) recordEvent(model string, version uint64, gap time.Duration, measured bool) {
 	e.unanswered, e.up = 0, true
@@ -148,27 +148,27 @@
 // returns false if it is that of a former incarnation. After a restart it stops the runs
 // that were sent to the former incarnation, where they are lost; they are retried from
 // their last event.
-func (w *Worker) checkRestart(born int64) bool {
+func (w *Worker) checkRestart(startedAt int64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	was := w.engine.startedAt
-	if born == 0 || born == was {
+	former := w.engine.startedAt
+	if startedAt == 0 || startedAt == former {
 		return true
 	}
-	if born < was {
+	if startedAt < former {
 		return false
 	}
-	if was == 0 {
-		w.engine.startedAt = born
+	if former == 0 {
+		w.engine.startedAt = startedAt
 		return true
 	}
-	w.engine.reset(born)
+	w.engine.reset(startedAt)
 	for t := range w.running {
-		if t.sentTo.Born < born {
+		if t.sentTo.Born < startedAt {
 			t.stop(errEngineRestarted)
 		}
 	}
-	w.Log.WithFields(logrus.Fields{"engine": w.Engine, "born": born, "former": was, "running": len(w.running)}).Warn("engine started again")
+	w.Log.WithFields(logrus.Fields{"engine": w.Engine, "born": startedAt, "former": former, "running": len(w.running)}).Warn("engine started again")
 	return true
 }
 
--- a/batch/fakerewards_test.go
+++ b/batch/fakerewards_test.go
@@ -16,15 +16,16 @@
 	mu sync.Mutex
 	// latency is how long a call takes.
 	latency time.Duration
-	// nextErrors are the errors of a call's next sends, by its id; nil is a score.
+	// nextErrors are the errors of the next sends of a call, by its id; nil is a score.
 	nextErrors map[string][]error
-	// laterErrors is what each further send of a call is answered with.
+	// laterErrors is the error of each further send of a call, by its id.
 	laterErrors map[string]error
-	calls       []rewardCall
-	// cancelled counts the calls that were given up while they ran.
+	calls       []rewardCall // all sends so far
+	// cancelled counts the sends that were cancelled while they ran.
 	cancelled int
 }
 
+// rewardCall is one send of a reward call.
 type rewardCall struct {
 	id string
 	at time.Time
@@ -56,14 +57,14 @@
 	return RewardResponse{Score: fmt.Sprintf("score-%d of %s", n, ask.Call.ID), MaxAttempts: 4}, nil
 }
 
-// sends are the sends sends a call.
+// sends returns the sends of a call.
 func (f *fakeRewards) sends(id string) []rewardCall {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(f.calls), func(c rewardCall) bool { return c.id != id })
 }
 
-// locked changes or reads the stand-in.
+// locked calls change with the lock held, to change or read fields.
 func (f *fakeRewards) locked(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/batch/handover_test.go
+++ b/batch/handover_test.go
@@ -8,17 +8,17 @@
 	"mulberryscale.example/observe"
 )
 
-// acceptingPeers are agents that take all that they are given.
-type acceptingPeers struct{ given []int }
+// acceptingPeers stands in for agents that accept all items that they are handed.
+type acceptingPeers struct{ received []int }
 
 func (g *acceptingPeers) Call(_ context.Context, _ string, ask *PeerRequest) (*PeerReply, error) {
 	for _, h := range ask.Give.Items {
-		g.given = append(g.given, h.Index)
+		g.received = append(g.received, h.Index)
 	}
 	return &PeerReply{Taken: len(ask.Give.Items)}, nil
 }
 
-// newWaitingWorker is an agent with items of one job that wait.
+// newWaitingWorker returns an agent with waiting items of one job.
 func newWaitingWorker(peers PeerClient, items int) (*Worker, *workJob, []*task) {
 	w := NewWorker(WorkerConfig{
 		Engine: "10.0.0.1:80", View: fleet.NewView(), Peers: peers, Log: observe.Discard(), Counters: observe.NewCounters(),
@@ -34,8 +34,8 @@
 	return w, j, append([]*task(nil), w.waiting...)
 }
 
-// TestItemIsHandedToOneAgent guards against an item that one agent takes while its
-// holder is about to give it to another one: both would run it.
+// TestItemIsHandedToOneAgent guards against an item that one agent takes while its holder
+// is about to hand it to another one: both would run it.
 func TestItemIsHandedToOneAgent(t *testing.T) {
 	others := &acceptingPeers{}
 	w, j, all := newWaitingWorker(others, 4)
@@ -44,13 +44,13 @@
 	if n := len(taken.Items); n != 2 {
 		t.Fatalf("%d items taken, want 2", n)
 	}
-	if len(others.given) != 2 {
-		t.Errorf("items %v given, of which two were taken by another agent", others.given)
+	if len(others.received) != 2 {
+		t.Errorf("items %v handed over, of which two were taken by another agent", others.received)
 	}
 }
 
-// TestRunningItemIsHandedToOneAgent is the same for an item whose run is being
-// stopped meanwhile; one that ends before it is stopped stays, and can leave later.
+// TestRunningItemIsHandedToOneAgent checks the same for an item whose run is being stopped
+// meanwhile. One that completes before it is stopped stays and can be handed over later.
 func TestRunningItemIsHandedToOneAgent(t *testing.T) {
 	for name, ends := range map[string]bool{"stopped": false, "ended before": true} {
 		t.Run(name, func(t *testing.T) {
--- a/batch/quarantine_test.go
+++ b/batch/quarantine_test.go
@@ -10,14 +10,14 @@
 	"mulberryscale.example/quarantine"
 )
 
-// TestItemsUnderWhichTwoEnginesEndedRunApart guards against items that travel
-// together, so that what only stood beside the one that ends engines meets the
-// third end with it and is held.
+// TestItemsUnderWhichTwoEnginesEndedRunApart guards against suspect items that move from
+// engine to engine together, so that those that merely ran beside the one that crashes
+// engines are quarantined with it at the third crash.
 func TestItemsUnderWhichTwoEnginesEndedRunApart(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w, _, all := newWaitingWorker(&acceptingPeers{}, 4)
 		w.Quarantine = quarantine.Local(nil, observe.Discard(), observe.NewCounters())
-		ends := func(engine int, tasks ...*task) {
+		crash := func(engine int, tasks ...*task) {
 			time.Sleep(time.Second)
 			for _, task := range tasks {
 				w.Quarantine.ReportCrash(quarantine.BrokenRun{
@@ -26,25 +26,25 @@
 			}
 		}
 		one, two, once, none := all[0], all[1], all[2], all[3]
-		ends(1, one, two, once)
-		ends(2, one, two)
+		crash(1, one, two, once)
+		crash(2, one, two)
 		if w.awaitsOtherSuspect(one) || w.awaitsOtherSuspect(two) {
-			t.Error("waits though no other one runs")
+			t.Error("waits though no other suspect runs")
 		}
 		w.running[once], w.running[none] = struct{}{}, struct{}{}
 		if w.awaitsOtherSuspect(two) {
-			t.Error("waits for one under which at most one engine has ended")
+			t.Error("waits for an item under which at most one engine has crashed")
 		}
 		w.running[one] = struct{}{}
 		if !w.awaitsOtherSuspect(two) {
-			t.Error("runs beside another one under which two engines have ended")
+			t.Error("runs beside another item under which two engines have crashed")
 		}
 		if w.awaitsOtherSuspect(none) || w.awaitsOtherSuspect(once) {
-			t.Error("an item waits under which at most one engine has ended")
+			t.Error("an item under which at most one engine has crashed waits")
 		}
 		w.Quarantine.ReportServed(w.fingerprintOf(one))
 		if w.awaitsOtherSuspect(two) {
-			t.Error("waits for one that an answer has cleared")
+			t.Error("waits for an item that an answer has cleared")
 		}
 	})
 }
--- a/batch/rebalance_test.go
+++ b/batch/rebalance_test.go
@@ -11,8 +11,8 @@
 	"mulberryscale.example/fleet"
 )
 
-// statusOf is an agent's state with items of one job.
-func statusOf(pace time.Duration, waiting, running int) *Status {
+// statusOf returns the status of an agent with items of one job.
+func statusOf(interval time.Duration, waiting, running int) *Status {
 	var s JobStatus
 	for i := range waiting {
 		s.Waiting = append(s.Waiting, i)
@@ -20,27 +20,27 @@
 	for i := range running {
 		s.Running = append(s.Running, waiting+i)
 	}
-	return &Status{Up: true, EventInterval: pace, Jobs: map[string]JobStatus{"j": s}}
+	return &Status{Up: true, EventInterval: interval, Jobs: map[string]JobStatus{"j": s}}
 }
 
-// TestSlowestEngineIsBusiestPeer has one agent with items that wait for a
-// moment and one whose engine is four times slower than the helper's.
+// TestSlowestEngineIsBusiestPeer compares an agent with items that wait for a moment and
+// one whose engine is four times slower than that of the asking agent.
 func TestSlowestEngineIsBusiestPeer(t *testing.T) {
-	const pace = 50 * time.Millisecond
+	const interval = 50 * time.Millisecond
 	for name, c := range map[string]struct {
 		statuses map[string]*Status
 		engine   string
 		running  bool
 		n        int
 	}{
-		"slow and waiting":     {map[string]*Status{"slow": statusOf(200*time.Millisecond, 0, 4), "full": statusOf(pace, 9, 12)}, "slow", true, 8},
+		"slow and waiting":     {map[string]*Status{"slow": statusOf(200*time.Millisecond, 0, 4), "full": statusOf(interval, 9, 12)}, "slow", true, 8},
 		"slow with waiting":    {map[string]*Status{"slow": statusOf(200*time.Millisecond, 3, 4)}, "slow", true, 14},
-		"a little slower":      {map[string]*Status{"slow": statusOf(70*time.Millisecond, 0, 4), "full": statusOf(pace, 9, 12)}, "full", false, 9},
+		"a little slower":      {map[string]*Status{"slow": statusOf(70*time.Millisecond, 0, 4), "full": statusOf(interval, 9, 12)}, "full", false, 9},
 		"pace not known there": {map[string]*Status{"new": statusOf(0, 0, 4)}, "", false, 0},
-		"nothing":              {map[string]*Status{"idle": statusOf(pace, 0, 0)}, "", false, 0},
+		"nothing":              {map[string]*Status{"idle": statusOf(interval, 0, 0)}, "", false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			engine, running, n := busiestPeer("j", c.statuses, pace)
+			engine, running, n := busiestPeer("j", c.statuses, interval)
 			if engine != c.engine || running != c.running || n != c.n {
 				t.Errorf("got %q, running %v, %d; want %q, %v, %d", engine, running, n, c.engine, c.running, c.n)
 			}
@@ -54,7 +54,7 @@
 	for i, c := range []struct{ expected, events int }{{100, 5}, {900, 9}, {900, 2}, {300, 0}} {
 		j.tasks[i] = &task{index: i, item: &Item{ExpectedTokens: c.expected}, text: make([]string, c.events), cancel: context.CancelCauseFunc(cancel)}
 	}
-	j.tasks[9] = &task{index: 9, item: &Item{ExpectedTokens: 5000}} // waits
+	j.tasks[9] = &task{index: 9, item: &Item{ExpectedTokens: 5000}} // waiting
 	var got []int
 	for _, t := range j.longestRunning(3) {
 		got = append(got, t.index)
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestCallsOfAnAgentDoNotGrowWithTheAgents lets 30, 100 and 300 idle agents look
-// after one long item.
+// TestCallsOfAnAgentDoNotGrowWithTheAgents counts the calls of 30, 100 and 300 idle agents
+// while one long item runs.
 func TestCallsOfAnAgentDoNotGrowWithTheAgents(t *testing.T) {
 	perSecond := func(agents int) (calls float64) {
 		bubble(t, func(t *testing.T) {
@@ -95,29 +95,29 @@
 	}
 }
 
-// TestAgentsLookAfterTheirOwnModelsJobs has the engines of two models, one of
-// which has an open job.
+// TestAgentsLookAfterTheirOwnModelsJobs has engines of two models, one of which has an
+// open job.
 func TestAgentsLookAfterTheirOwnModelsJobs(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 8)
 		rig.view.SetConfig(&fleet.Config{Version: 2, Services: []fleet.Service{{Name: "svc", Models: []string{"m", "n"}}}})
 		snap := rig.view.Snapshot()
-		deal := AssignEngines(engineAddrs(snap.OfService("svc")), []string{"m", "n"}, NewDemand())["m"]
+		assignment := AssignEngines(engineAddrs(snap.OfService("svc")), []string{"m", "n"}, NewDemand())["m"]
 		rig.engines.lengths["item-000"] = 1000
-		rig.submit("j", 1, func(j *Job) { j.Owners, j.MinVersion, j.Ready = deal.All(), 2, len(deal.All()) })
+		rig.submit("j", 1, func(j *Job) { j.Owners, j.MinVersion, j.Ready = assignment.All(), 2, len(assignment.All()) })
 		time.Sleep(5 * time.Second)
 		rig.peers.mu.Lock()
 		defer rig.peers.mu.Unlock()
 		for addr, n := range rig.peers.callsByEngine {
-			if !deal.Has(addr) && n > 0 {
+			if !assignment.Has(addr) && n > 0 {
 				t.Errorf("%d calls by the agent of %s, which has nothing to do with the job", n, addr)
 			}
 		}
 	})
 }
 
-// TestItemsOfADeadAgentGoOnSoon kills one of thirty agents, all others of which
-// have room, in the middle of its item.
+// TestItemsOfADeadAgentGoOnSoon kills one of 3, 30 and 100 agents in the middle of its item,
+// while all others have free slots.
 func TestItemsOfADeadAgentGoOnSoon(t *testing.T) {
 	for _, agents := range []int{3, 30, 100} {
 		bubble(t, func(t *testing.T) {
@@ -136,24 +136,24 @@
 	}
 }
 
-// TestLeavingItemsGoToTheirModelsAgents drains an engine of one model while jobs of
-// two are open: room is asked for, and found, at agents of its own model.
+// TestLeavingItemsGoToTheirModelsAgents drains an engine of one model while jobs of two
+// are open: its agent asks agents of its own model for free slots, and finds some.
 func TestLeavingItemsGoToTheirModelsAgents(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 8)
 		rig.view.SetConfig(&fleet.Config{Version: 2, Services: []fleet.Service{{Name: "svc", Models: []string{"m", "n"}}}})
-		deals := AssignEngines(engineAddrs(rig.view.Snapshot().OfService("svc")), []string{"m", "n"}, NewDemand())
+		assignments := AssignEngines(engineAddrs(rig.view.Snapshot().OfService("svc")), []string{"m", "n"}, NewDemand())
 		for i := range 16 {
 			rig.engines.lengths[fmt.Sprintf("item-%03d", i)] = 100 // four seconds
 		}
 		for id, model := range map[string]string{"j": "m", "k": "n"} {
 			rig.submit(id, 16, func(j *Job) {
-				j.Model, j.Owners, j.MinVersion = model, deals[model].All(), 1
+				j.Model, j.Owners, j.MinVersion = model, assignments[model].All(), 1
 				j.Ready = len(j.Owners)
 			})
 		}
 		time.Sleep(time.Second)
-		leaving := deals["m"].All()[0]
+		leaving := assignments["m"].All()[0]
 		rig.peers.mu.Lock()
 		clear(rig.peers.callsByPair)
 		rig.peers.mu.Unlock()
@@ -168,18 +168,18 @@
 				continue
 			}
 			asked += n
-			if e := pair[1] + ":80"; !deals["m"].Has(e) && !after.Has(e) {
+			if e := pair[1] + ":80"; !assignments["m"].Has(e) && !after.Has(e) {
 				t.Errorf("%d calls to %s, which serves the other model", n, pair[1])
 			}
 		}
 		if asked == 0 {
-			t.Error("nobody was asked")
+			t.Error("no agent was asked")
 		}
 	})
 }
 
-// TestDeadNeighbourIsNoticedBetweenRounds kills the agent after another one in the
-// ring, while rounds that ask all are a minute away.
+// TestDeadNeighbourIsNoticedBetweenRounds kills the agent after another one in the ring,
+// while rounds that ask all agents are a minute away.
 func TestDeadNeighbourIsNoticedBetweenRounds(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		const agents = 30
@@ -187,23 +187,23 @@
 		rig.submitLong("j", agents, "item-000")
 		holder := slices.Index(rig.addrs(), rig.runsOf("item-000")[0].engine)
 		sorted := slices.Sorted(slices.Values(rig.addrs()))
-		before := sorted[(slices.Index(sorted, engineAddr(holder))+agents-1)%agents]
-		host, _, _ := net.SplitHostPort(before)
+		predecessor := sorted[(slices.Index(sorted, engineAddr(holder))+agents-1)%agents]
+		host, _, _ := net.SplitHostPort(predecessor)
 		rig.kill(holder)
-		never := func() float64 { return 0.99 }
-		h := &rebalancer{Worker: rig.peers.workers[host], orphanScans: newOrphanScans(never)}
+		latest := func() float64 { return 0.99 }
+		h := &rebalancer{Worker: rig.peers.workers[host], orphanScans: newOrphanScans(latest)}
 		h.orphanScans.due(time.Now(), agents)
 		h.findOrphans(t.Context(), h.openJobs())
 		time.Sleep(50 * time.Millisecond)
 		if runs := rig.runsOf("item-000"); len(runs) != 2 {
-			t.Errorf("sent %d times, want again right after the neighbour looked", len(runs))
+			t.Errorf("sent %d times, want a second time right after the neighbour checked", len(runs))
 		}
 	})
 }
 
-// TestOnlyParticipantsTakeWork has an idle agent whose engine could run a job that
-// it takes no part in. Whoever looks for items without a holder asks participants
-// only, and would have a second run of what another one holds.
+// TestOnlyParticipantsTakeWork has an idle agent that does not participate in a job which
+// its engine could run. Agents that look for orphans ask participants only, and would run
+// items that it holds a second time.
 func TestOnlyParticipantsTakeWork(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		r := newWorkerRig(t, 3)
@@ -216,7 +216,7 @@
 		r.requireComplete(r.await("job", 60, 60*time.Second))
 		for _, run := range r.runs() {
 			if run.engine == outsider {
-				t.Fatalf("item %s ran at an engine whose agent takes no part in its job", run.item)
+				t.Fatalf("item %s ran at an engine whose agent does not participate in its job", run.item)
 			}
 		}
 	})
--- a/batch/reward_test.go
+++ b/batch/reward_test.go
@@ -23,7 +23,7 @@
 	}
 	runs := r.runsOf(item)
 	last := runs[len(runs)-1]
-	return last.at.Add(time.Duration(length-last.after) * eventGap)
+	return last.at.Add(time.Duration(length-last.lastEventID) * eventGap)
 }
 
 func TestResultBearsTheScoreOfItsOwnCall(t *testing.T) {
--- a/batch/rig_test.go
+++ b/batch/rig_test.go
@@ -19,25 +19,25 @@
 	"mulberryscale.example/store/detour"
 )
 
-// eventGap is the time between two events of the stand-in engines.
+// eventGap is the time between two events of the fake engines.
 const eventGap = 40 * time.Millisecond
 
-// fakeEngines stand in for all engines of a rig, by address.
+// fakeEngines stands in for all engines of a rig, by address.
 type fakeEngines struct {
 	mu      sync.Mutex
 	engines map[string]*fakeEngine
-	lengths map[string]int // events of an item, by id; 10 unless said otherwise
-	// runs are all runs that began, in order.
+	lengths map[string]int // number of events of an item, by id; 10 by default
+	// runs are all runs that were started, in order.
 	runs []fakeRun
-	// crashing are the items that end each engine that runs them; crashes counts
-	// the engines that ended.
+	// crashing are the items that crash each engine that runs them; crashes counts the
+	// crashes.
 	crashing map[string]bool
 	crashes  int
 }
 
 type fakeRun struct {
 	engine, item string
-	after        int
+	lastEventID  int
 	at           time.Time
 	organisation string
 }
@@ -46,17 +46,18 @@
 	startedAt    int64
 	version      uint64
 	sequence     uint64
-	slowdown     float64 // factor
+	slowdown     float64 // factor of eventGap; below 1 counts as 1
 	down         bool
 	unresponsive bool
-	// startErrors answers the next runs of an item with an error, by id.
+	// startErrors are the errors of the next runs of an item, by its id.
 	startErrors map[string][]error
-	// breakAfter breaks the next run of an item after so many events.
+	// breakAfter is the number of events after which the next run of an item breaks off,
+	// by its id.
 	breakAfter    map[string]int
 	orders        []Order
 	loseNextOrder bool
-	openStreams   int // streams that still run
-	// stalledItems lets runs of these items hear nothing, though reports are answered.
+	openStreams   int // runs that have not been closed
+	// stalledItems are items whose runs get no events, though reports are answered.
 	stalledItems map[string]bool
 }
 
@@ -94,8 +95,8 @@
 	e                *fakeEngine
 	item             string
 	next, length     int
-	eventsUntilBreak int
-	engineStartedAt  int64 // of the engine when the run began
+	eventsUntilBreak int   // negative for a run that does not break off
+	engineStartedAt  int64 // when the engine had started, at the start of the run
 }
 
 func (s *fakeStream) Close() {
@@ -104,21 +105,21 @@
 	s.e.openStreams--
 }
 
-// engine changes or reads a stand-in engine.
+// engine calls f with the lock held, to change or read a fake engine.
 func (r *workerRig) engine(i int, f func(e *fakeEngine)) {
 	r.engines.mu.Lock()
 	defer r.engines.mu.Unlock()
 	f(r.engines.engines[engineAddr(i)])
 }
 
-// runs are all runs so far.
+// runs returns all runs so far.
 func (r *workerRig) runs() []fakeRun {
 	r.engines.mu.Lock()
 	defer r.engines.mu.Unlock()
 	return slices.Clone(r.engines.runs)
 }
 
-// openStreams is the number of runs that an engine works on.
+// openStreams returns the number of runs that are open at an engine.
 func (r *workerRig) openStreams(i int) int {
 	r.engines.mu.Lock()
 	defer r.engines.mu.Unlock()
@@ -147,7 +148,7 @@
 	if s.eventsUntilBreak == 0 || s.e.down {
 		return Event{}, ErrBroken
 	}
-	if s.engineStartedAt != s.e.startedAt { // lost with the former incarnation, behind a cut: silent
+	if s.engineStartedAt != s.e.startedAt { // lost with the former incarnation; as behind a network cut, no event or error follows
 		s.f.mu.Unlock()
 		<-s.ctx.Done()
 		s.f.mu.Lock()
@@ -194,19 +195,19 @@
 type fakePeers struct {
 	mu            sync.Mutex
 	workers       map[string]*Worker // by host
-	unreachable   map[string]bool
-	callsByEngine map[string]int    // by the caller's engine
-	callsByPair   map[[2]string]int // by the caller's engine and the called one's host
+	unreachable   map[string]bool    // by host
+	callsByEngine map[string]int     // by the caller's engine
+	callsByPair   map[[2]string]int  // by the caller's engine and the called one's host
 }
 
 func (p *fakePeers) Call(_ context.Context, addr string, req *PeerRequest) (*PeerReply, error) {
 	host, _, _ := net.SplitHostPort(addr)
 	p.mu.Lock()
-	w, cut := p.workers[host], p.unreachable[host]
+	w, isCut := p.workers[host], p.unreachable[host]
 	p.callsByEngine[req.From]++
 	p.callsByPair[[2]string{req.From, host}]++
 	p.mu.Unlock()
-	if w == nil || cut {
+	if w == nil || isCut {
 		return nil, errors.New("silent")
 	}
 	return w.Serve(req), nil
@@ -249,7 +250,7 @@
 	return rig
 }
 
-// register registers an engine.
+// register lists an engine as an instance.
 func (r *workerRig) register(i int, draining bool) {
 	r.view.UpdateInstances([]fleet.Instance{{
 		ID: fmt.Sprint("engine-", i), Service: "svc", Addr: engineAddr(i), Slots: 4, Draining: draining,
@@ -259,14 +260,14 @@
 // start starts an agent.
 func (r *workerRig) start(i int) *Worker {
 	addr := engineAddr(i)
-	way := r.store.Client()
-	r.storeClients[addr] = way
-	reached := &detour.Store{Own: way, Others: &rigPeers{r, addr}}
-	keeper := r.newTracker(reached)
+	client := r.store.Client()
+	r.storeClients[addr] = client
+	withFallback := &detour.Store{Own: client, Others: &rigPeers{r, addr}}
+	tracker := r.newTracker(withFallback)
 	w := NewWorker(WorkerConfig{
-		Direct: way, Quarantine: keeper,
+		Direct: client, Quarantine: tracker,
 		Node: fmt.Sprint("agent-", i), Incarnation: fmt.Sprint(time.Now().UnixNano()), Engine: addr, Service: "svc",
-		PeerPort: 7000, View: r.view, Ledger: newLedger(reached), Demand: NewDemand(), Engines: r.engines, Peers: r.peers, Rewards: r.rewards,
+		PeerPort: 7000, View: r.view, Ledger: newLedger(withFallback), Demand: NewDemand(), Engines: r.engines, Peers: r.peers, Rewards: r.rewards,
 		Now: r.store.Now, Log: observe.Discard(), Counters: observe.NewCounters(),
 	})
 	host, _, _ := net.SplitHostPort(addr)
@@ -276,11 +277,11 @@
 	ctx, cancel := context.WithCancel(r.t.Context())
 	r.stops[addr] = cancel
 	go w.Run(ctx)
-	go keeper.Run(ctx)
+	go tracker.Run(ctx)
 	return w
 }
 
-// addrs are the engines' addresses by their numbers.
+// addrs returns the addresses of the engines, by number.
 func (r *workerRig) addrs() []string {
 	list := make([]string, len(r.engines.engines))
 	for i := range list {
@@ -289,7 +290,7 @@
 	return list
 }
 
-// kill ends an agent at once.
+// kill stops an agent at once, without draining it.
 func (r *workerRig) kill(i int) {
 	r.stops[engineAddr(i)]()
 	host, _, _ := net.SplitHostPort(engineAddr(i))
@@ -298,15 +299,15 @@
 	delete(r.peers.workers, host)
 }
 
-// submitLong submits a job with one item of four seconds, and returns when half
-// of it is done and all the others are.
+// submitLong submits a job with one item of four seconds, and returns when half of that is
+// done and all other items are.
 func (r *workerRig) submitLong(id string, n int, long string) {
 	r.engines.lengths[long] = 100
 	r.submit(id, n, nil)
 	time.Sleep(2 * time.Second)
 }
 
-// submit accepts a job of n items that is dealt to all engines.
+// submit accepts a job of n items that is owned by all engines.
 func (r *workerRig) submit(id string, n int, change func(*Job)) {
 	job := someJob(id, n)
 	job.Model, job.MinVersion = "m", 1
@@ -329,7 +330,7 @@
 	must(r.t, r.ledger.Submit(r.t.Context(), job, items))
 }
 
-// await waits until a job has n results, at most limit.
+// await returns the results of a job once there are n, and fails the test after limit.
 func (r *workerRig) await(id string, n int, limit time.Duration) *Listing {
 	r.t.Helper()
 	for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
@@ -362,6 +363,7 @@
 	}
 }
 
+// runsOf returns the runs of an item so far.
 func (r *workerRig) runsOf(item string) []fakeRun {
 	r.engines.mu.Lock()
 	defer r.engines.mu.Unlock()
--- a/batch/rigpeers_test.go
+++ b/batch/rigpeers_test.go
@@ -8,7 +8,7 @@
 	"mulberryscale.example/store/detour"
 )
 
-// rigPeers are the other agents of a rig, as ways to the store.
+// rigPeers are the other agents of a rig, as paths to the store.
 type rigPeers struct {
 	rig  *workerRig
 	self string
--- a/batch/scope_test.go
+++ b/batch/scope_test.go
@@ -59,8 +59,8 @@
 				r.submit("second", 1, of(organisation))
 				r.await("second", 1, 10*time.Second)
 				runs := r.runsOf(item)
-				if last := runs[len(runs)-1]; (last.after > 0) != after {
-					t.Errorf("goes on after event %d", last.after)
+				if last := runs[len(runs)-1]; (last.lastEventID > 0) != after {
+					t.Errorf("goes on after event %d", last.lastEventID)
 				}
 			})
 		})
--- a/batch/worker_test.go
+++ b/batch/worker_test.go
@@ -37,7 +37,7 @@
 		rig.submit("j", 1, nil)
 		rig.requireComplete(rig.await("j", 1, 3*time.Second))
 		runs := rig.runsOf("item-000")
-		if len(runs) != 2 || runs[1].after != 4 {
+		if len(runs) != 2 || runs[1].lastEventID != 4 {
 			t.Fatalf("runs %v", runs)
 		}
 	})
@@ -85,7 +85,7 @@
 		rig.requireComplete(rig.await("j", 6, 8*time.Second))
 		runs := rig.runsOf("item-005")
 		last := runs[len(runs)-1]
-		if last.engine == owner || last.after < 20 {
+		if last.engine == owner || last.lastEventID < 20 {
 			t.Fatalf("runs %v", runs)
 		}
 	})
@@ -102,7 +102,7 @@
 		rig.start(1)
 		rig.requireComplete(rig.await("j", 2, 6*time.Second))
 		runs := rig.runsOf("item-001")
-		if last := runs[len(runs)-1]; last.after < 20 {
+		if last := runs[len(runs)-1]; last.lastEventID < 20 {
 			t.Fatalf("runs %v", runs)
 		}
 	})
@@ -197,8 +197,8 @@
 		time.Sleep(time.Second)
 		rig.submit("second", 1, nil)
 		rig.requireComplete(rig.await("second", 1, 4*time.Second))
-		if last := rig.runsOf("item-000")[1]; last.after < 40 {
-			t.Fatalf("went on after %d", last.after)
+		if last := rig.runsOf("item-000")[1]; last.lastEventID < 40 {
+			t.Fatalf("went on after %d", last.lastEventID)
 		}
 	})
 }
