--- a/batch/enginerestart_test.go
+++ b/batch/enginerestart_test.go
@@ -7,13 +7,13 @@
 	"mulberryscale.example/fleet"
 )
 
-// restartEngine lets an engine start again under its id.
+// restartEngine restarts an engine under the same id, with a new start time.
 func (r *workerRig) restartEngine(i int, born int64) {
 	r.engine(i, func(e *fakeEngine) { e.startedAt, e.sequence = born, 0 })
 }
 
-// Runs on an engine that started again go on at once, not after the silence of
-// a stalled one, and their break is not held against the engine.
+// Runs on an engine that restarted are resumed at once, not only after the stall
+// timeout, and do not count as failures of the engine.
 func TestRunsGoOnWhenTheirEngineStartsAgain(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
@@ -21,18 +21,18 @@
 		time.Sleep(time.Second)
 		rig.submitLong("j", 2, "item-001")
 		rig.restartEngine(0, 2000)
-		at := time.Now()
+		restarted := time.Now()
 		rig.requireComplete(rig.await("j", 2, 4*time.Second))
 		runs := rig.runsOf("item-001")
 		last := runs[len(runs)-1]
-		if len(runs) != 2 || last.after < 40 || last.at.Sub(at) > 300*time.Millisecond {
-			t.Fatalf("runs %v after %v", runs, last.at.Sub(at))
+		if len(runs) != 2 || last.after < 40 || last.at.Sub(restarted) > 300*time.Millisecond {
+			t.Fatalf("runs %v after %v", runs, last.at.Sub(restarted))
 		}
 	})
 }
 
-// Orders count from 0 again: one for the former incarnation does not block the
-// new one's.
+// After a restart the sequence of orders starts at 0 again: an order to the previous
+// incarnation does not block those to the new one.
 func TestOrdersToAnEngineThatStartedAgain(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
@@ -52,7 +52,7 @@
 	})
 }
 
-// A former incarnation's report and entry, seen late, change nothing.
+// A report and a registration of the previous incarnation that arrive late are ignored.
 func TestOlderBirthChangesNothing(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
@@ -65,7 +65,7 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.engine.startedAt != 2000 || w.engine.sequence == 9 || w.engine.versions["m"] == 7 {
-			t.Fatalf("believed: %+v", w.engine)
+			t.Fatalf("engine state: %+v", w.engine)
 		}
 	})
 }
--- a/batch/ledger_test.go
+++ b/batch/ledger_test.go
@@ -33,7 +33,8 @@
 	return &Job{ID: id, Service: "svc", Items: items, MaxAttempts: 3, ItemTTL: 40 * time.Second}
 }
 
-// Every outcome of the store's writes, for each of the writes of a job's life.
+// Each write of a job (submit, end, append) takes effect exactly once for each outcome
+// of the store's commit.
 func TestWritesSurviveEachOutcome(t *testing.T) {
 	type write struct {
 		name string
@@ -65,7 +66,7 @@
 					}
 					time.Sleep(2 * rowstore.LateBy)
 					if !w.done(t, s) {
-						t.Fatalf("not in the store once: %v", s.Rows(TableJobs))
+						t.Fatalf("not stored exactly once: %v", s.Rows(TableJobs))
 					}
 					if n := s.Commits(); n != 1 {
 						t.Fatalf("%d transactions took effect", n)
@@ -76,10 +77,10 @@
 	}
 }
 
-// "Refused" promises that the job never runs, so it may be said only when no
-// send can still take effect.
+// ErrRefused promises that the job never runs, so Submit may return it only if no
+// attempt can still be committed.
 func TestSubmitSaysRefusedOnlyWhenNothingCanFollow(t *testing.T) {
-	const far = 50 // more than fit into the deadline
+	const many = 50 // more attempts than fit into the deadline
 	for name, outcome := range map[string]rowstore.Outcome{
 		"refused": rowstore.Refused, "dropped": rowstore.Dropped, "late": rowstore.Late, "late, then refused": rowstore.Late,
 	} {
@@ -91,7 +92,7 @@
 				if name == "late, then refused" {
 					next = rowstore.Refused
 				}
-				s.Next(slices.Repeat([]rowstore.Outcome{next}, far)...)
+				s.Next(slices.Repeat([]rowstore.Outcome{next}, many)...)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
 				err := newLedger(s).Submit(ctx, someJob("j", 4), someItems(4))
@@ -171,8 +172,8 @@
 	}
 }
 
-// All readers compute the same list, whenever they began to read and whatever
-// the writers appended twice.
+// All readers compute the same list, whenever they start to read and even if an item
+// is appended twice.
 func TestReadersAgreeOnPositions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := rowstore.New()
@@ -212,7 +213,7 @@
 		seen := map[string]bool{}
 		for _, r := range late.Results {
 			if seen[r.ID] {
-				t.Fatalf("item %s stands twice", r.ID)
+				t.Fatalf("item %s is listed twice", r.ID)
 			}
 			seen[r.ID] = true
 		}
--- a/batch/racelimit_test.go
+++ b/batch/racelimit_test.go
@@ -1,4 +1,4 @@
 package batch
 
-// The race detector and bubbles of testing/synctest need one processor.
+// On several processors the race detector crashes at times in tests with testing/synctest.
 import _ "mulberryscale.example/internal/racelimit"
--- a/batch/reader_test.go
+++ b/batch/reader_test.go
@@ -15,7 +15,7 @@
 	"mulberryscale.example/store"
 )
 
-// readerRig is a reader with its own way to the store.
+// readerRig is a reader with a connection to the store of its own, which can be cut.
 type readerRig struct {
 	t      *testing.T
 	store  *rowstore.Store
@@ -77,7 +77,7 @@
 		}
 		began = time.Now()
 		if got := rig.ids(0, time.Second); len(got) != 1 || time.Since(began) != 0 {
-			t.Fatalf("what is there: got %v after %v", got, time.Since(began))
+			t.Fatalf("a result that is listed already: got %v after %v", got, time.Since(began))
 		}
 		if got := rig.ids(1, time.Second); len(got) != 0 || time.Since(began) != time.Second {
 			t.Fatalf("got %v after %v", got, time.Since(began))
@@ -85,8 +85,8 @@
 	})
 }
 
-// Results that come shortly after the first one are read with it, and the last
-// one is not waited beyond.
+// Results that follow shortly after the first one are returned with it, and the call
+// returns as soon as the list is complete.
 func TestReadGathersResultsThatComeTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 3)
@@ -103,8 +103,8 @@
 	})
 }
 
-// TestReadGathersTheLastResults answers a caller that allows waiting with the
-// last results that come within its period, and others with what is listed.
+// TestReadGathersTheLastResults checks that a caller that allows waiting gets the last
+// results that arrive within tailGatherTime, and any other what is listed already.
 func TestReadGathersTheLastResults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 5)
@@ -129,8 +129,8 @@
 	})
 }
 
-// A list that was read while the feed was away must not miss what was appended
-// between that and the feed's new start.
+// A list that was read while the feed was unavailable must not miss results that are
+// appended before the feed is available again.
 func TestListReadWhileTheFeedIsAwayHasNoGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 8)
@@ -138,11 +138,11 @@
 		rig.want(0, "a")
 		rig.store.Forget()
 		rig.client.Cut(fmt.Errorf("%w: away", store.ErrUnknown))
-		time.Sleep(3 * time.Second) // the feed is given up
+		time.Sleep(3 * time.Second) // the feed call times out
 		rig.client.Cut(nil)
-		rig.want(0, "a") // read anew before the feed is back
+		rig.want(0, "a") // read entirely before the feed is available
 		rig.append("b")
-		time.Sleep(2 * time.Second) // the feed is back, at a newer version
+		time.Sleep(2 * time.Second) // the feed is available, at a newer version
 		rig.append("c")
 		time.Sleep(time.Second)
 		rig.want(0, "a", "b", "c")
@@ -161,8 +161,8 @@
 	})
 }
 
-// TestSilentFeedHidesNoPosition appends a result while the feed gives no
-// answer: what others have read for a second is found here as well.
+// TestSilentFeedHidesNoPosition appends a result while the feed does not respond: a
+// result that other entries may have shown for a second must be read here as well.
 func TestSilentFeedHidesNoPosition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 8)
@@ -193,7 +193,7 @@
 	})
 }
 
-// "No such job" is said only when the store has said so.
+// Read returns ErrNoJob only if the store has confirmed that the job does not exist.
 func TestNoJobIsCertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 4)
@@ -201,7 +201,7 @@
 			t.Fatalf("got %v", err)
 		}
 		if n := len(rig.reader.jobs); n != 0 {
-			t.Errorf("%d jobs kept that do not exist", n)
+			t.Errorf("%d jobs cached that do not exist", n)
 		}
 		rig.client.Cut(store.ErrRefused)
 		if _, err := rig.reader.Read(t.Context(), "third", 0, 1, 0); err == nil || errors.Is(err, ErrNoJob) {
@@ -234,9 +234,9 @@
 	})
 }
 
-// TestNobodyReadsWhatNobodyAskedFor lets twenty entries stand by while one job of
-// many is read at one of them: the others make no call for its results, and the
-// reader does not hear of jobs in other tables.
+// TestNobodyReadsWhatNobodyAskedFor runs twenty idle readers while a caller reads one of
+// many jobs at another one: the idle readers make no calls to the store, and the busy one
+// gets no rows from the tables of other jobs.
 func TestNobodyReadsWhatNobodyAskedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 200)
@@ -279,7 +279,7 @@
 	})
 }
 
-// countingStore counts reading calls and the rows that they bring.
+// countingStore counts read calls and the rows that they return.
 type countingStore struct {
 	store.Store
 	calls, rows atomic.Int64
@@ -299,8 +299,8 @@
 	return s, err
 }
 
-// TestSlowStoreDelaysNoResultThatIsHere has results in memory while the store
-// takes a second for each answer.
+// TestSlowStoreDelaysNoResultThatIsHere checks that cached results are served at once
+// while the store takes a second for each call.
 func TestSlowStoreDelaysNoResultThatIsHere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 8)
@@ -310,13 +310,13 @@
 		began := time.Now()
 		rig.want(0, "a", "b")
 		if took := time.Since(began); took > 2*refreshWait {
-			t.Errorf("shown after %s", took)
+			t.Errorf("served after %s", took)
 		}
-		time.Sleep(2 * updateTimeout) // the update that nobody waits for ends
+		time.Sleep(2 * updateTimeout) // until the update in flight is done
 	})
 }
 
-// TestSharedUpdate lets ten callers wait for one job: they share the calls.
+// TestSharedUpdate lets ten callers wait for one job: they share the calls to the store.
 func TestSharedUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 8)
@@ -336,8 +336,8 @@
 	})
 }
 
-// TestLongUnreadJobIsReadToItsEnd reads a job again after more was appended than
-// one answer of the feed takes: no position that others may have shown is hidden.
+// TestLongUnreadJobIsReadToItsEnd reads a job again after more was appended than fits
+// into one response of the feed: no position that others may have shown is missing.
 func TestLongUnreadJobIsReadToItsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 80)
@@ -356,15 +356,16 @@
 	})
 }
 
-// TestCallerThatJoinsAReadingWaitsForIt lets a second caller come a moment after
-// the first, while the list that is kept is seconds old.
+// TestCallerThatJoinsAReadingWaitsForIt lets a second caller join an update that the
+// first one started a moment ago, while the cached list is seconds old: it must not
+// get the outdated list.
 func TestCallerThatJoinsAReadingWaitsForIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 8)
 		rig.append("a")
 		rig.want(0, "a")
 		rig.append("b")
-		time.Sleep(5 * time.Second) // others have shown b for long
+		time.Sleep(5 * time.Second) // other entries have shown b for some time
 		rig.store.Slow(50 * time.Millisecond)
 		go func() {
 			if _, err := rig.reader.Read(t.Context(), "j", 0, 1<<20, 0); err != nil {
--- a/batch/reward_test.go
+++ b/batch/reward_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// scoredRig is a rig whose items have reward calls.
+// scoredRig returns a rig whose items have reward calls.
 func scoredRig(t *testing.T, agents int) *workerRig {
 	rig := newWorkerRig(t, agents)
 	rig.withRewards = true
 	return rig
 }
 
-// lastEventAt is when the last event of an item's last run was made.
+// lastEventAt returns the time of the last event of an item's last run.
 func (r *workerRig) lastEventAt(item string) time.Time {
 	length := 10
 	if n, ok := r.engines.lengths[item]; ok {
@@ -57,8 +57,8 @@
 	})
 }
 
-// Only an endpoint's own failure of the call counts towards giving an item up;
-// silence and refusals say nothing of it, however often they come.
+// Only failures of the call by an endpoint itself count towards giving an item up;
+// timeouts, broken answers and refusals do not, however often they occur.
 func TestRewardCallsThatGetNoScore(t *testing.T) {
 	failed, broken, notRun := fmt.Errorf("%w: 500", ErrFailed), ErrBroken, ErrNotRun
 	for name, c := range map[string]struct {
@@ -87,20 +87,21 @@
 					t.Fatalf("%s after %d calls, want %s after %d", l.Results[0].State, n, c.state, c.calls)
 				}
 				if n := len(rig.runsOf("item-000")); n != 1 {
-					t.Fatalf("%d runs for the sake of a score", n)
+					t.Fatalf("the item ran %d times, although only its score was missing", n)
 				}
 			})
 		})
 	}
 }
 
-// A whole text that waits for its score outlives its agent.
+// A complete text that waits for its score is not generated again after its agent has
+// crashed.
 func TestWholeTextOutlivesItsAgent(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := scoredRig(t, 3)
 		rig.rewards.latency = time.Hour
 		rig.submit("j", 1, nil)
-		time.Sleep(2 * time.Second) // done after 0.4 s, saved within 0.7 s of it
+		time.Sleep(2 * time.Second) // generated after 0.4 s, saved within 0.7 s of that
 		run := rig.runsOf("item-000")[0]
 		for i := range 3 {
 			if engineAddr(i) == run.engine {
@@ -133,7 +134,7 @@
 	})
 }
 
-// Failures are counted over all holders of an item.
+// Failures of a reward call are counted over all agents that hold the item in turn.
 func TestFailuresOfARewardCallOutliveItsAgent(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := scoredRig(t, 2)
@@ -157,8 +158,8 @@
 	})
 }
 
-// An agent that stops hands over texts that wait for their score, with what is
-// known of their calls.
+// An agent that drains hands over complete texts that wait for their score, with the
+// number of failures of their reward calls.
 func TestStoppingAgentHandsOverWholeTexts(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := scoredRig(t, 2)
@@ -194,7 +195,7 @@
 		time.Sleep(10 * time.Second)
 		rig.rewards.locked(func() {
 			if rig.rewards.cancelled != 4 {
-				t.Errorf("%d of 4 calls given up", rig.rewards.cancelled)
+				t.Errorf("%d of 4 calls cancelled", rig.rewards.cancelled)
 			}
 			for _, c := range rig.rewards.calls {
 				if c.at.After(ended.Add(time.Second)) {
@@ -205,7 +206,7 @@
 	})
 }
 
-// An engine that is lost takes no whole text with it: its agent goes on.
+// An agent keeps scoring complete texts after its engine has crashed.
 func TestScoringNeedsNoEngine(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := scoredRig(t, 1)
@@ -217,8 +218,8 @@
 	})
 }
 
-// What runs out of time is listed as failed: running, waiting, without a score
-// or without a holder.
+// Items that expire are listed as failed, whether they run, wait, have no score yet or
+// are orphaned.
 func TestItemsOutOfTimeAreListedAsFailed(t *testing.T) {
 	for name, stall := range map[string]func(r *workerRig){
 		"waiting for the engine": func(r *workerRig) {
@@ -245,7 +246,7 @@
 				rig.submit("j", 4, func(j *Job) { j.ItemTTL = 10 * time.Second })
 				time.Sleep(9900 * time.Millisecond)
 				if l := rig.await("j", 0, 0); len(l.Results) != 0 {
-					t.Fatalf("%d results before their time", len(l.Results))
+					t.Fatalf("%d results before the items expired", len(l.Results))
 				}
 				l := rig.await("j", 4, 6*time.Second)
 				for _, x := range l.Results {
@@ -263,19 +264,19 @@
 	for name, c := range map[string]struct {
 		segments []segment
 		events   int
-		whole    bool
+		complete bool
 		failures int
 	}{
-		"whole at once":           {[]segment{{Lineage: "a", Events: e(5), Complete: true}}, 5, true, 0},
-		"whole told later":        {[]segment{{Lineage: "a", Events: e(5)}, {Lineage: "a", From: 5, Complete: true}}, 5, true, 0},
-		"end of an unknown part":  {[]segment{{Lineage: "a", Events: e(5)}, {Lineage: "a", From: 9, Complete: true}}, 5, false, 0},
-		"whole beats longer":      {[]segment{{Lineage: "a", Events: e(9)}, {Lineage: "b", Events: e(5), Complete: true}}, 5, true, 0},
-		"failures of all holders": {[]segment{{Lineage: "a", Events: e(5), Complete: true, RewardFailures: 2}, {Lineage: "b", Events: e(4), RewardFailures: 1}}, 5, true, 2},
+		"complete at once":            {[]segment{{Lineage: "a", Events: e(5), Complete: true}}, 5, true, 0},
+		"complete in a later segment": {[]segment{{Lineage: "a", Events: e(5)}, {Lineage: "a", From: 5, Complete: true}}, 5, true, 0},
+		"end after a gap":             {[]segment{{Lineage: "a", Events: e(5)}, {Lineage: "a", From: 9, Complete: true}}, 5, false, 0},
+		"complete beats longer":       {[]segment{{Lineage: "a", Events: e(9)}, {Lineage: "b", Events: e(5), Complete: true}}, 5, true, 0},
+		"failures of all agents":      {[]segment{{Lineage: "a", Events: e(5), Complete: true, RewardFailures: 2}, {Lineage: "b", Events: e(4), RewardFailures: 1}}, 5, true, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := joinSegments(c.segments)[0]
-			if len(got.events) != c.events || got.complete != c.whole || got.rewardFailures != c.failures {
-				t.Fatalf("got %d events, whole %v, %d failures", len(got.events), got.complete, got.rewardFailures)
+			if len(got.events) != c.events || got.complete != c.complete || got.rewardFailures != c.failures {
+				t.Fatalf("got %d events, complete %v, %d failures", len(got.events), got.complete, got.rewardFailures)
 			}
 		})
 	}
--- a/batch/scope_test.go
+++ b/batch/scope_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestScopesAreDisjoint draws two organisations and ids: their jobs have one id in
-// the store only if both are the same.
+// TestScopesAreDisjoint checks, for two organisations and two ids, that their scoped ids
+// are the same only if both are the same.
 func TestScopesAreDisjoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringMatching(`[a-c:/%+]{0,4}`)
@@ -23,8 +23,8 @@
 	})
 }
 
-// TestItemsRunUnderTheOrganisationOfTheirJob, also after another agent has taken
-// them over from one that died.
+// TestItemsRunUnderTheOrganisationOfTheirJob checks the organisation of all runs, also
+// of those on an agent that took the items over after another one crashed.
 func TestItemsRunUnderTheOrganisationOfTheirJob(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		r := newWorkerRig(t, 2)
@@ -41,7 +41,8 @@
 }
 
 // TestUnfinishedTextStaysWithItsOrganisation ends a job of one organisation in the
-// middle of an item, which another one then asks for under the same id.
+// middle of an item and submits an item of the same id for another organisation: only
+// the same organisation gets the saved text.
 func TestUnfinishedTextStaysWithItsOrganisation(t *testing.T) {
 	for organisation, after := range map[string]bool{"guthi": true, "trust": false, "": false} {
 		t.Run(organisation, func(t *testing.T) {
@@ -60,7 +61,7 @@
 				r.await("second", 1, 10*time.Second)
 				runs := r.runsOf(item)
 				if last := runs[len(runs)-1]; (last.after > 0) != after {
-					t.Errorf("goes on after event %d", last.after)
+					t.Errorf("resumed after event %d", last.after)
 				}
 			})
 		})
--- a/batch/tailwait_test.go
+++ b/batch/tailwait_test.go
@@ -11,12 +11,13 @@
 	"mulberryscale.example/observe"
 )
 
-// The load answered: steps of groups with heavy tails. A trainer waits for three of
-// four groups of two; most items are listed early, the last wanted ones seconds
-// later. It asks twice a second, or at once after an answer that took longer, and
-// acts on what it has read when it would ask again.
+// The load of these tests: training steps whose items have heavy-tailed lengths. A
+// trainer waits for three of four groups of two; most items are listed early, the last
+// wanted ones seconds later. It polls twice a second, or at once after a response that
+// took longer, and acts on what it has read at the time of its next poll.
 
-// stepRig has a job of four groups of two, three of which are wanted.
+// stepRig returns a reader and the ledger of a job of four groups of two, three of
+// which are wanted.
 func stepRig(t *testing.T, runTarget time.Duration) (*Reader, *Ledger) {
 	s := rowstore.New()
 	job := someJob("j", 8)
@@ -34,22 +35,22 @@
 }
 
 func TestAnswersWaitForTheWantedGroups(t *testing.T) {
-	const callers = time.Second
+	const callerWait = time.Second
 	for name, c := range map[string]struct {
-		listed  []string      // when the call comes
+		listed  []string      // at the time of the call
 		next    string        // listed 0.7 s after it
 		due     time.Duration // after the job's acceptance
 		wait    time.Duration
 		took    time.Duration
 		results int
 	}{
-		"the last wanted result comes":        {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "c2", time.Minute, callers, 700 * time.Millisecond, 7},
-		"another one comes":                   {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "e1", time.Minute, callers, callers - answerMargin, 7},
-		"the wanted groups are whole":         {[]string{"a1", "a2", "b1", "b2", "c1", "c2"}, "d1", time.Minute, callers, tailGatherTime, 6},
-		"the results are due":                 {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "c2", 600 * time.Millisecond, callers, 600 * time.Millisecond, 6},
-		"the results are overdue":             {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "c2", time.Nanosecond, callers, tailGatherTime, 6},
+		"the last wanted result comes":        {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "c2", time.Minute, callerWait, 700 * time.Millisecond, 7},
+		"another one comes":                   {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "e1", time.Minute, callerWait, callerWait - answerMargin, 7},
+		"the wanted groups are whole":         {[]string{"a1", "a2", "b1", "b2", "c1", "c2"}, "d1", time.Minute, callerWait, tailGatherTime, 6},
+		"the results are due":                 {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "c2", 600 * time.Millisecond, callerWait, 600 * time.Millisecond, 6},
+		"the results are overdue":             {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "c2", time.Nanosecond, callerWait, tailGatherTime, 6},
 		"the caller allows no waiting":        {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "c2", time.Minute, 0, 0, 6},
-		"less than three quarters are listed": {[]string{"a1", "a2", "b1"}, "c2", time.Minute, callers, 0, 3},
+		"less than three quarters are listed": {[]string{"a1", "a2", "b1"}, "c2", time.Minute, callerWait, 0, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -62,40 +63,42 @@
 				}()
 				page, err := r.Read(t.Context(), "j", 0, 1<<20, c.wait)
 				if took := time.Since(began); err != nil || took != c.took || len(page.Results) != c.results {
-					t.Errorf("%d results after %s, %v; want %d after %s", len(page.Results), took, err, c.results, c.took)
+					t.Errorf("%d results after %s, error %v; want %d after %s", len(page.Results), took, err, c.results, c.took)
 				}
-				time.Sleep(2 * time.Second) // the feed's call is over
+				time.Sleep(2 * time.Second) // until the feed call returns
 			})
 		})
 	}
 }
 
-// trainer asks as trainers do for so many groups of two, and returns when it acts on them.
+// trainer polls as trainers do until the wanted number of groups of two is complete,
+// and returns when it acts on them.
 func trainer(t *testing.T, r *Reader, wanted int) {
-	const period, way = 500 * time.Millisecond, 20 * time.Millisecond
+	const period, roundTrip = 500 * time.Millisecond, 20 * time.Millisecond
 	read := 0
 	listed := map[string]int{}
 	for {
-		asked := time.Now()
+		began := time.Now()
 		page, err := r.Read(t.Context(), "j", read, 1<<20, time.Second)
 		must(t, err)
 		read += len(page.Results)
-		whole := 0
+		complete := 0
 		for _, x := range page.Results {
 			listed[x.Group]++
 		}
 		for _, n := range listed {
-			whole += n / 2
+			complete += n / 2
 		}
-		time.Sleep(max(way, period-time.Since(asked)))
-		if whole >= wanted {
+		time.Sleep(max(roundTrip, period-time.Since(began)))
+		if complete >= wanted {
 			return
 		}
 	}
 }
 
-// TestTrainersActSooner plays the ends of steps: of 20 groups of two all but the
-// last items are listed; those come one after the other, 0.3 s apart in the mean.
+// TestTrainersActSooner simulates the last part of steps: of 20 groups of two all but
+// the last items are listed; those follow one by one, 0.3 s apart on average. It guards
+// against responses that return before the wanted groups are complete.
 func TestTrainersActSooner(t *testing.T) {
 	const groups, wanted, tail = 20, 18, 8
 	mean := func(groupItems int) time.Duration {
@@ -116,25 +119,25 @@
 						appendResults(t, l, name(g, 2))
 					}
 				}
-				ended := make(chan time.Time, 1)
+				lastWanted := make(chan time.Time, 1)
 				go func() {
 					time.Sleep(time.Second)
 					for g := groups - tail; g < wanted; g++ {
 						time.Sleep(time.Duration(300 * rng.ExpFloat64() * float64(time.Millisecond)))
 						appendResults(t, l, name(g, 2))
 					}
-					ended <- time.Now()
+					lastWanted <- time.Now()
 				}()
 				trainer(t, r, wanted)
-				sum += time.Since(<-ended)
+				sum += time.Since(<-lastWanted)
 				time.Sleep(2 * time.Second)
 			})
 		}
 		return sum / steps
 	}
-	kept, answeredEachPeriod := mean(2), mean(0)
-	t.Logf("trainers act %s after the last wanted result, %s where answers are not kept", kept, answeredEachPeriod)
-	if won := answeredEachPeriod - kept; won < 100*time.Millisecond {
-		t.Errorf("trainers act %s after the last wanted result instead of %s", kept, answeredEachPeriod)
+	waiting, eachPeriod := mean(2), mean(0)
+	t.Logf("trainers act %s after the last wanted result, %s if calls do not wait for it", waiting, eachPeriod)
+	if gain := eachPeriod - waiting; gain < 100*time.Millisecond {
+		t.Errorf("trainers act %s after the last wanted result instead of %s", waiting, eachPeriod)
 	}
 }
--- a/batch/worker_test.go
+++ b/batch/worker_test.go
@@ -49,7 +49,7 @@
 	for name, c := range map[string]struct {
 		errs  []error
 		state State
-		runs  int // that the engine began
+		runs  int // started by the engine
 	}{
 		"recovers":       {[]error{failed, failed}, StateDone, 1},
 		"fails for good": {[]error{failed, failed, failed, failed}, StateFailed, 0},
@@ -70,8 +70,8 @@
 	}
 }
 
-// An agent that dies loses at most what it had not saved; its items go on
-// elsewhere after the saved text.
+// The crash of an agent loses at most the text that was not saved; another agent
+// resumes its items after the saved text.
 func TestItemsOfADeadAgentGoOnFromTheirSavedText(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 3)
@@ -122,7 +122,7 @@
 	})
 }
 
-// Items leave an engine that is much slower than others, with their text.
+// Items move from an engine that is much slower than others, with their text.
 func TestItemsLeaveASlowEngine(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 2)
@@ -154,12 +154,12 @@
 				at := time.Now()
 				time.Sleep(2 * time.Second)
 				if n := rig.openStreams(0); n != 0 {
-					t.Errorf("%d runs still there two seconds later", n)
+					t.Errorf("%d items still run there two seconds later", n)
 				}
 				rig.requireComplete(rig.await("j", 9, 9*time.Second))
 				for _, run := range rig.runs() {
 					if run.engine == engineAddr(0) && run.at.Sub(at) > 2*time.Second {
-						t.Errorf("a run began there %v later", run.at.Sub(at))
+						t.Errorf("a run started there %v after the fault", run.at.Sub(at))
 					}
 				}
 			})
@@ -178,17 +178,17 @@
 		must(t, rig.ledger.End(t.Context(), "j"))
 		time.Sleep(100 * time.Millisecond)
 		if n := rig.openStreams(0) + rig.openStreams(1); n != 0 {
-			t.Errorf("engines still work on %d items", n)
+			t.Errorf("engines still run %d items", n)
 		}
 		before := len(rig.runs())
 		time.Sleep(10 * time.Second)
 		if after := len(rig.runs()); after != before {
-			t.Fatalf("%d runs began after the end", after-before)
+			t.Fatalf("%d runs started after the job ended", after-before)
 		}
 	})
 }
 
-// A later job that asks for an unfinished item again goes on with its text.
+// A later job with an item that was unfinished when its job ended resumes its text.
 func TestUnfinishedTextServesALaterJob(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
@@ -198,12 +198,12 @@
 		rig.submit("second", 1, nil)
 		rig.requireComplete(rig.await("second", 1, 4*time.Second))
 		if last := rig.runsOf("item-000")[1]; last.after < 40 {
-			t.Fatalf("went on after %d", last.after)
+			t.Fatalf("resumed after event %d", last.after)
 		}
 	})
 }
 
-// An engine that reports well but hangs on an item loses it to another.
+// An item moves away from an engine that reports a good state but hangs on the item.
 func TestItemLeavesAnEngineThatHangsOnIt(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 2)
@@ -212,17 +212,18 @@
 		rig.engine(0, func(e *fakeEngine) { e.stalledItems = map[string]bool{"item-100": true} })
 		rig.submit("k", 101, func(j *Job) { j.Owners, j.Ready = []string{engineAddr(0)}, 1 })
 		rig.requireComplete(rig.await("k", 101, 20*time.Second))
-		var there bool
+		var moved bool
 		for _, run := range rig.runsOf("item-100") {
-			there = there || run.engine == engineAddr(1)
+			moved = moved || run.engine == engineAddr(1)
 		}
-		if !there {
+		if !moved {
 			t.Fatalf("runs %v", rig.runsOf("item-100"))
 		}
 	})
 }
 
-// Broken answers to some items, also several at once, do not empty their engine.
+// Broken answers to some items, also several at once, do not move other items away from
+// their engine.
 func TestBrokenAnswersLeaveOtherItemsAlone(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 2)
@@ -240,7 +241,7 @@
 				up := w.engine.up
 				w.mu.Unlock()
 				if !up {
-					t.Error("the engine was taken as down")
+					t.Error("the engine was marked as down")
 					return
 				}
 			}
@@ -253,7 +254,7 @@
 	})
 }
 
-// Text of a version under the job's bound is not used.
+// Text of a weight version below the job's minimum is generated again.
 func TestTextThatIsTooOldIsGeneratedAnew(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
@@ -270,8 +271,8 @@
 	})
 }
 
-// The first order of an agent that starts on an empty store bears a token, and
-// a restarted agent's token is no lower.
+// The first order of an agent that starts on an empty store has a fencing token, and the
+// token of a restarted agent is not lower.
 func TestOrdersBearGrowingTokens(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
@@ -326,8 +327,7 @@
 	})
 }
 
-// An agent that loses its path to the store brings its results there through
-// the others.
+// An agent that cannot reach the store appends its results through other agents.
 func TestResultsOfAnAgentThatIsCutOffFromTheStore(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 3)
