--- a/background/window.go
+++ b/background/window.go
@@ -10,8 +10,8 @@
 // urgent can still go first.
 //
 // In paired runs of a deployment with 24 slots, nine senders and bursts of a hundred
-// calls, the window raised the score of all callers by 0.047 ± 0.007 of 1; without it
-// 16 in 100 interactive requests took over 150 ms, with it 0.4 (package loadmodel,
+// calls, the window raised the utility over all callers by 0.047 ± 0.007 of 1; without
+// it 16 in 100 interactive requests took over 150 ms, with it 0.4 (package loadmodel,
 // pattern short-desk).
 //
 // Window has no clock, network or goroutine of its own; Gate reads the clock and
@@ -53,7 +53,7 @@
 	minWindow = 1
 )
 
-// ServiceCapacity is what a sender knows of a service without any communication for it.
+// ServiceCapacity is what a sender knows of a service from its own view, without a request.
 type ServiceCapacity struct {
 	// Slots is the number of slots of all endpoints of the service together.
 	Slots int
--- a/background/window_test.go
+++ b/background/window_test.go
@@ -89,14 +89,14 @@
 
 func TestWindowStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := ServiceCapacity{Slots: rapid.IntRange(0, 200).Draw(t, "places"), Senders: rapid.IntRange(0, 50).Draw(t, "senders")}
+		s := ServiceCapacity{Slots: rapid.IntRange(0, 200).Draw(t, "slots"), Senders: rapid.IntRange(0, 50).Draw(t, "senders")}
 		var w Window
 		now, open := start, 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond)
 			w.ObserveLoad(fleet.Load{
 				Running: rapid.IntRange(0, 8).Draw(t, "running"), Waiting: rapid.IntRange(0, 3).Draw(t, "waiting"),
-				Places: rapid.IntRange(1, 8).Draw(t, "places of one"),
+				Places: rapid.IntRange(1, 8).Draw(t, "slots of one endpoint"),
 			}, now)
 			open = rapid.IntRange(0, 3).Draw(t, "open")
 			w.CallDone(open, now)
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -48,7 +48,7 @@
 	tokens   *rate.Limiter
 	running  int
 	limited  bool // the row has a limit
-	// seen counts requests, admitted or not, since the last Demand.
+	// seen counts requests, admitted or not, since the last MeasureDemand.
 	seen int
 	// demand is the smoothed rate of requests a second, admitted or not.
 	demand float64
--- a/rollout/move.go
+++ b/rollout/move.go
@@ -115,7 +115,7 @@
 	case r.task.moves <- target:
 		s.Counters.Retry(s.row.Name, string(retry.ReasonMove))
 	default:
-		target.end()
+		target.release()
 	}
 	return true
 }
@@ -221,13 +221,13 @@
 			return nil, t.park(ctx, current), current.agent
 		case target := <-t.moves:
 			if next := t.move(ctx, current, target); next != nil {
-				defer target.end()
+				defer target.release()
 				current = next
 				t.current.Store(current)
 				t.sendPlacement(ctx)
 				continue
 			}
-			target.end()
+			target.release()
 		}
 	}
 }
@@ -276,7 +276,7 @@
 func (t *task) releasePendingMove() {
 	select {
 	case target := <-t.moves:
-		target.end()
+		target.release()
 	default:
 	}
 }
--- a/rollout/placer.go
+++ b/rollout/placer.go
@@ -46,10 +46,10 @@
 // placement is an agent with a slot taken for one sample.
 type placement struct {
 	agent *membership.Agent
-	// started must be called when the run has started there, end when it has returned.
+	// started must be called when the run has started there, release when it has returned.
 	// Both may be called more than once.
 	started func()
-	end     func()
+	release func()
 }
 
 // placer assigns agents to the samples of one step in the order of their
@@ -106,7 +106,7 @@
 	p.mu.Unlock()
 	select {
 	case pl := <-w.reply:
-		pl.end()
+		pl.release()
 	default:
 	}
 }
@@ -161,12 +161,12 @@
 	agent.Sends.Begin()
 	p.unstarted[agent.ID]++
 	started := sync.OnceFunc(func() { p.started(agent.ID) })
-	end := sync.OnceFunc(func() {
+	release := sync.OnceFunc(func() {
 		agent.Sends.End()
 		started()
 		p.signal()
 	})
-	return &placement{agent: agent, started: started, end: end}
+	return &placement{agent: agent, started: started, release: release}
 }
 
 // maxUnplaced is how many waiters that fit no agent are skipped before the rest of
--- a/rollout/task.go
+++ b/rollout/task.go
@@ -154,7 +154,7 @@
 	if err != nil {
 		return nil, t.refusal(api.CodeCancelled, err, api.NotRunUnknown)
 	}
-	defer pl.end()
+	defer pl.release()
 	t.lastPeer = peerOf(pl.agent)
 	t.sendPlacement(ctx)
 	done, refusal, last := t.runMovable(ctx, pl)
