--- a/cmd/mulberry-entry/run.go
+++ b/cmd/mulberry-entry/run.go
@@ -49,7 +49,7 @@
 		ID: *s.ID, Zone: *s.Zone, Listener: p.Listener, Dialer: p.Dialer,
 		Holder: tablesync.NewHolder(), Instances: httpplatform.NewInstances(*s.instances),
 		Table: httpplatform.NewTable(*s.table), Counters: p.Counters, Log: p.Log,
-		Subset: *s.subset, Linger: *s.linger, MaxBody: *s.maxBody,
+		Subset: *s.subset, Retention: *s.linger, MaxBody: *s.maxBody,
 	})
 }
 
--- a/internal/deployment/nodes.go
+++ b/internal/deployment/nodes.go
@@ -170,7 +170,7 @@
 	cfg := entry.Config{
 		ID: e.ID, Zone: e.Zone, Listener: e.listener, Dialer: e.dialer, Holder: tablesync.NewHolder(),
 		Instances: e.d.Instances, Table: e.d.Table, Counters: e.Counters, Log: e.d.opts.Log,
-		Linger: e.d.opts.Linger, Seed: e.d.opts.Seed,
+		Retention: e.d.opts.Linger, Seed: e.d.opts.Seed,
 	}
 	if e.d.opts.Entry != nil {
 		e.d.opts.Entry(&cfg)
--- a/service/entry/entry.go
+++ b/service/entry/entry.go
@@ -50,8 +50,8 @@
 	Log       logrus.FieldLogger
 	// Subset is how many agents an entry watches in the mean of all entries.
 	Subset int
-	// Linger is how long agents keep a trainer's runs when the entry is gone.
-	Linger time.Duration
+	// Retention is how long agents keep a trainer's runs when the entry is gone.
+	Retention time.Duration
 	// MaxBody bounds the body of a caller's request, in bytes.
 	MaxBody int64
 	// Seed seeds the choice among endpoints.
@@ -77,8 +77,8 @@
 }
 
 func (c *Config) setDefaults() {
-	if c.Linger == 0 {
-		c.Linger = rollout.DefaultRetention
+	if c.Retention == 0 {
+		c.Retention = rollout.DefaultRetention
 	}
 	if c.Training == nil {
 		c.Training = routing.NewTraining()
@@ -150,7 +150,7 @@
 		ID: e.cfg.ID, Zone: e.cfg.Zone, Client: e.client, View: e.view,
 		Router: e.cfg.Training, Policy: e.cfg.Policy, Budget: e.budget, Scorer: &scorer{e},
 		Quarantine: e.quarantine,
-		Retention:  e.cfg.Linger, Counters: e.cfg.Counters, Log: e.cfg.Log, Seed: e.cfg.Seed,
+		Retention:  e.cfg.Retention, Counters: e.cfg.Counters, Log: e.cfg.Log, Seed: e.cfg.Seed,
 	}
 }
 
