--- a/batch/reader_test.go
+++ b/batch/reader_test.go
@@ -124,7 +124,7 @@
 			t.Errorf("got %v after %s from a call that allows no waiting", got, time.Since(began))
 		}
 		if got := rig.ids(3, time.Second); fmt.Sprint(got) != "[d e]" || time.Since(began) != 600*time.Millisecond {
-			t.Errorf("got %v after %s, want the whole list once it is whole", got, time.Since(began))
+			t.Errorf("got %v after %s, want the complete list as soon as it is complete", got, time.Since(began))
 		}
 	})
 }
--- a/batch/reward_test.go
+++ b/batch/reward_test.go
@@ -232,7 +232,7 @@
 			}
 		},
 		"without a score": func(r *workerRig) { r.rewards.latency = time.Hour },
-		"without a holder": func(r *workerRig) {
+		"orphaned": func(r *workerRig) {
 			r.kill(0)
 			time.AfterFunc(9*time.Second, func() { r.kill(1) })
 			r.engine(1, func(e *fakeEngine) { e.down = true })
--- a/batch/tailwait_test.go
+++ b/batch/tailwait_test.go
@@ -46,7 +46,7 @@
 	}{
 		"the last wanted result comes":        {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "c2", time.Minute, callerWait, 700 * time.Millisecond, 7},
 		"another one comes":                   {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "e1", time.Minute, callerWait, callerWait - answerMargin, 7},
-		"the wanted groups are whole":         {[]string{"a1", "a2", "b1", "b2", "c1", "c2"}, "d1", time.Minute, callerWait, tailGatherTime, 6},
+		"the wanted groups are complete":      {[]string{"a1", "a2", "b1", "b2", "c1", "c2"}, "d1", time.Minute, callerWait, tailGatherTime, 6},
 		"the results are due":                 {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "c2", 600 * time.Millisecond, callerWait, 600 * time.Millisecond, 6},
 		"the results are overdue":             {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "c2", time.Nanosecond, callerWait, tailGatherTime, 6},
 		"the caller allows no waiting":        {[]string{"a1", "a2", "b1", "b2", "c1", "d1"}, "c2", time.Minute, 0, 0, 6},
