--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-func TestFor(t *testing.T) {
+func TestSleep(t *testing.T) {
 	errStop := errors.New("stop")
 	for name, c := range map[string]struct {
-		pause, stop time.Duration // stop is when the context ends
+		pause, stop time.Duration // stop is when the context is cancelled
 		took        time.Duration
 		want        error
 	}{
-		"whole":           {2 * time.Second, time.Hour, 2 * time.Second, nil},
-		"cut short":       {2 * time.Second, time.Second, time.Second, errStop},
-		"none":            {0, time.Hour, 0, nil},
-		"none, at an end": {-time.Second, -1, 0, errStop},
+		"complete":                {2 * time.Second, time.Hour, 2 * time.Second, nil},
+		"cancelled":               {2 * time.Second, time.Second, time.Second, errStop},
+		"none":                    {0, time.Hour, 0, nil},
+		"none, already cancelled": {-time.Second, -1, 0, errStop},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
