--- a/batch/assignmentcache.go
+++ b/batch/assignmentcache.go
@@ -26,7 +26,7 @@
 	if service == nil {
 		return nil
 	}
-	c := &w.dealer
+	c := &w.assignmentCache
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if revision := w.Demand.Revision(); c.snap != snap || c.demandRevision != revision {
--- a/batch/expiry.go
+++ b/batch/expiry.go
@@ -20,8 +20,8 @@
 	// of the store's clock is behind it by the latency of an answer, and ahead of it only
 	// by the drift of its own clock.
 	expiryMargin = 300 * time.Millisecond
-	// expiryStagger is how long each agent leaves items without a holder to the agent
-	// before it in the ranking of the job.
+	// expiryStagger is how long each agent leaves orphaned items to the agent before it in
+	// the ranking of the job.
 	expiryStagger = time.Second
 )
 
@@ -93,6 +93,6 @@
 	}
 	j.finished = len(j.done) == len(j.items)
 	if failed > 0 {
-		w.Log.WithFields(logrus.Fields{observe.FieldJob: j.job.ID, "items": failed}).Warn("items without a holder given up: their time is up")
+		w.Log.WithFields(logrus.Fields{observe.FieldJob: j.job.ID, "items": failed}).Warn("orphaned items given up: their time is up")
 	}
 }
--- a/batch/handover_test.go
+++ b/batch/handover_test.go
@@ -52,7 +52,7 @@
 // TestRunningItemIsHandedToOneAgent checks the same for an item whose run is being stopped
 // meanwhile. One that completes before it is stopped stays and can be handed over later.
 func TestRunningItemIsHandedToOneAgent(t *testing.T) {
-	for name, ends := range map[string]bool{"stopped": false, "ended before": true} {
+	for name, completes := range map[string]bool{"stopped": false, "completed before": true} {
 		t.Run(name, func(t *testing.T) {
 			w, j, all := newWaitingWorker(&acceptingPeers{}, 1)
 			running := all[0]
@@ -62,15 +62,15 @@
 			if again, _ := w.detach(all); len(detached) != 1 || len(again) != 0 {
 				t.Fatalf("detached %d and %d times", len(detached), len(again))
 			}
-			if !ends {
+			if !completes {
 				w.removeTask(running)
 			}
 			close(running.stopped)
 			handed := w.packDetached(j, detached, stopped, "10.0.0.2:80", "taken")
-			if (len(handed.Items) == 0) != ends {
+			if (len(handed.Items) == 0) != completes {
 				t.Errorf("handed over: %v", handed.Items)
 			}
-			if later, _ := w.detach(all); (len(later) == 1) != ends {
+			if later, _ := w.detach(all); (len(later) == 1) != completes {
 				t.Errorf("detached %d times later", len(later))
 			}
 		})
--- a/batch/quarantine.go
+++ b/batch/quarantine.go
@@ -26,8 +26,8 @@
 	if w.Quarantine == nil || w.Quarantine.Empty() {
 		return false
 	}
-	verdict, _ := w.Quarantine.State(w.fingerprintOf(t), quarantine.ItemLimit)
-	return verdict == quarantine.Quarantined || verdict == quarantine.TrialDue
+	state, _ := w.Quarantine.State(w.fingerprintOf(t), quarantine.ItemLimit)
+	return state == quarantine.Quarantined || state == quarantine.TrialDue
 }
 
 // isCrashSuspect reports whether two engines have crashed while they ran an item, so that
@@ -38,8 +38,8 @@
 	if w.Quarantine == nil || w.Quarantine.Empty() {
 		return false
 	}
-	verdict, _ := w.Quarantine.State(w.fingerprintOf(t), quarantine.ItemLimit-1)
-	return verdict == quarantine.Quarantined || verdict == quarantine.TrialDue
+	state, _ := w.Quarantine.State(w.fingerprintOf(t), quarantine.ItemLimit-1)
+	return state == quarantine.Quarantined || state == quarantine.TrialDue
 }
 
 // awaitsOtherSuspect reports whether an item is a crash suspect and another one runs on
--- a/batch/rebalance.go
+++ b/batch/rebalance.go
@@ -19,8 +19,8 @@
 	// minRebalanceAge is the age below which a job is left to its owners.
 	minRebalanceAge = 400 * time.Millisecond
 	// stealFanout is how many agents are asked in a round for items to take. Each idle
-	// agent asks a given one that has items to hand over with a probability of stealFanout divided
-	// by the number of agents.
+	// agent thus asks a given one with items to hand over with a probability of
+	// stealFanout divided by the number of agents.
 	stealFanout = 4
 	// pushFanout is how many agents are asked for free slots by an agent whose engine
 	// takes no work.
@@ -34,8 +34,7 @@
 )
 
 // rebalance exchanges items with other agents until ctx is cancelled: it hands over those
-// that the engine here cannot run, takes some of busier agents and finds those that no
-// agent holds.
+// that this engine cannot run, takes some from busier agents and reassigns orphaned ones.
 func (w *Worker) rebalance(ctx context.Context) {
 	h := &rebalancer{Worker: w, orphanScans: newOrphanScans(rand.Float64)}
 	for pause.Sleep(ctx, rebalanceInterval) == nil {
@@ -60,8 +59,8 @@
 	newestJob  time.Duration
 }
 
-// pushUnrunnable hands over what this engine cannot run: everything while it is
-// unavailable, otherwise the items that broke off here repeatedly.
+// pushUnrunnable hands over what this engine cannot run: all items but complete texts
+// while it is unavailable, otherwise the items that broke off here repeatedly.
 func (h *rebalancer) pushUnrunnable(ctx context.Context, jobs []*workJob) {
 	h.mu.Lock()
 	count, broken := h.itemCount(), h.repeatedlyBroken()
@@ -81,8 +80,8 @@
 }
 
 // stealWork asks a few agents for items that wait for a slot or run slowly there. An agent
-// takes items only of jobs that it participates in: agents that look for items without a
-// holder ask participants only, and would run the items a second time.
+// takes items only of jobs that it participates in: agents that look for orphaned items ask
+// participants only, and would run the items a second time.
 func (h *rebalancer) stealWork(ctx context.Context, jobs []*workJob) {
 	jobs = slices.DeleteFunc(slices.Clone(jobs), func(j *workJob) bool { return !h.engineCanServe(j) || !h.participatesLocking(j) })
 	h.mu.Lock()
--- a/batch/worker.go
+++ b/batch/worker.go
@@ -56,7 +56,7 @@
 	ctx     context.Context
 	started chan struct{}
 
-	dealer assignmentCache
+	assignmentCache assignmentCache
 
 	mu       sync.Mutex
 	jobs     map[string]*workJob
