--- a/batch/worker.go
+++ b/batch/worker.go
@@ -28,7 +28,7 @@
 	Direct store.Store
 	// Demand is updated by the worker from the jobs it reads.
 	Demand *Demand
-	// JobsPace is how the jobs are followed.
+	// JobsPace limits how often the feed of TableJobs is called.
 	JobsPace store.Pace
 	// StoreWriteRate is the number of write calls a second that the store takes from all
 	// processes together; 0 means unknown.
