--- a/batch/enginestate.go
+++ b/batch/enginestate.go
@@ -29,7 +29,8 @@
 	// orderTimeout is the time after which an order that was not carried out is sent
 	// again.
 	orderTimeout = 4 * time.Second
-	// eventIntervalWeight is the weight of the newest event in the moving average of the pace.
+	// eventIntervalWeight is the weight of the newest event in the moving average
+	// eventInterval.
 	eventIntervalWeight = 0.1
 )
 
@@ -172,7 +173,7 @@
 	return true
 }
 
-// updateReport fetches the engine's report.
+// updateReport fetches the engine's report and updates what is known of the engine.
 func (w *Worker) updateReport(ctx context.Context) {
 	r, err := w.Engines.Report(ctx, w.Engine)
 	if err == nil && !w.checkRestart(r.StartedAt) {
@@ -309,6 +310,7 @@
 	return !hasItems && (stepStarted || age > stepGracePeriod)
 }
 
+// engineAddrs returns the addresses of engine instances.
 func engineAddrs(instances []fleet.Instance) []string {
 	list := make([]string, 0, len(instances))
 	for _, i := range instances {
--- a/batch/push.go
+++ b/batch/push.go
@@ -43,7 +43,7 @@
 }
 
 // pushJobItems spreads items of one job over other agents. Items that an agent does not
-// accept wait here again.
+// accept wait here again, except while this process stops: accept refuses them then.
 func (w *Worker) pushJobItems(ctx context.Context, j *workJob, tasks []*task, engines []string) {
 	for i, e := range engines {
 		share := tasks[i*len(tasks)/len(engines) : (i+1)*len(tasks)/len(engines)]
--- a/batch/rebalance.go
+++ b/batch/rebalance.go
@@ -113,8 +113,8 @@
 }
 
 // repeatedlyBroken returns the waiting items whose answers broke off here at least
-// maxBrokenAnswers times though the engine reports that it is healthy. It is called with w.mu
-// held.
+// maxBrokenAnswers times, though the engine reports that it is healthy. It is called with
+// w.mu held.
 func (w *Worker) repeatedlyBroken() map[*workJob][]*task {
 	byJob := map[*workJob][]*task{}
 	for _, t := range w.waiting {
@@ -262,8 +262,9 @@
 }
 
 // busiestPeer picks the agent to take items of a job from: one whose engine is much slower
-// than pace, so that its running items would complete earlier here, or else the one with
-// the most waiting items. A caller asks for half of n items; n is 0 if no agent has any.
+// than interval, so that its running items would complete earlier here, or else the one
+// with the most waiting items. A caller asks for half of n items; n is 0 if no agent has
+// any.
 func busiestPeer(job string, statuses map[string]*Status, interval time.Duration) (engine string, running bool, n int) {
 	engines := slices.Sorted(maps.Keys(statuses))
 	var slowest time.Duration
