--- a/batch/demand.go
+++ b/batch/demand.go
@@ -94,9 +94,9 @@
 	w.addJobs(s)
 }
 
-func (w *demandWatcher) Lost(err error) { store.LogLoss(w.log, TableJobs, err) }
+func (w *demandWatcher) Lost(err error) { store.LogLost(w.log, TableJobs, err) }
 
-func (w *demandWatcher) Regained(after time.Duration) { store.LogReturn(w.log, TableJobs, after) }
+func (w *demandWatcher) Regained(after time.Duration) { store.LogRegained(w.log, TableJobs, after) }
 
 func (w *demandWatcher) Apply(s store.Snapshot) {
 	w.collector.Apply(s)
--- a/batch/rig_test.go
+++ b/batch/rig_test.go
@@ -261,7 +261,7 @@
 	addr := engineAddr(i)
 	way := r.store.Client()
 	r.storeClients[addr] = way
-	reached := &detour.Store{Own: way, Others: &rigPeers{r, addr}}
+	reached := &detour.Store{Direct: way, Peers: &rigPeers{r, addr}}
 	keeper := r.newKeeper(reached)
 	w := NewWorker(WorkerConfig{
 		Direct: way, Quarantine: keeper,
--- a/batch/rigpeers_test.go
+++ b/batch/rigpeers_test.go
@@ -14,7 +14,7 @@
 	self string
 }
 
-func (o *rigPeers) Draw() []store.Store {
+func (o *rigPeers) Candidates() []store.Store {
 	var drawn []store.Store
 	for _, addr := range o.rig.addrs() {
 		if addr == o.self {
--- a/batch/worker.go
+++ b/batch/worker.go
@@ -131,10 +131,10 @@
 }
 
 // Lost implements store.Watcher.
-func (w *Worker) Lost(err error) { store.LogLoss(w.Log, TableJobs, err) }
+func (w *Worker) Lost(err error) { store.LogLost(w.Log, TableJobs, err) }
 
 // Regained implements store.Watcher.
-func (w *Worker) Regained(after time.Duration) { store.LogReturn(w.Log, TableJobs, after) }
+func (w *Worker) Regained(after time.Duration) { store.LogRegained(w.Log, TableJobs, after) }
 
 // Apply implements store.Watcher.
 func (w *Worker) Apply(s store.Snapshot) {
--- a/cmd/mulberryctl/platform_test.go
+++ b/cmd/mulberryctl/platform_test.go
@@ -89,7 +89,7 @@
 	}
 	report := encode(usage.Report{Window: 12, Counts: usage.Counts{"guthi": 5, "trust": 2}})
 	order := encode(scaling.Order{Endpoints: 6})
-	place := scaling.Subject(scaling.Place{Service: "desk", Zone: "z"})
+	place := scaling.Subject(scaling.Target{Service: "desk", Zone: "z"})
 	for name, term := range map[string]duty.Term{
 		"a":   {Fence: duty.Fence{Holder: "side-1", Token: 7}, Machine: "10.1.0.9", Began: now, Piece: 12, Done: true, Work: report},
 		"b":   {Fence: duty.Fence{Holder: "side-2", Token: 8}, Machine: "10.1.0.8", Began: now + time.Minute, Piece: 13, Work: report},
--- a/quarantine/follow.go
+++ b/quarantine/follow.go
@@ -30,7 +30,7 @@
 // Run follows the events of other processes and writes those of this one until ctx is cancelled.
 func (t *Tracker) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	pace := store.Pace{BytesPerSecond: feedBudget, MaxAge: feedMaxAge, Savings: feedSavings}
+	pace := store.Pace{BytesPerSecond: feedBudget, MaxPause: feedMaxAge, Burst: feedSavings}
 	wg.Go(func() { store.Follow(ctx, t.Rows, store.Source{Table: Table, Pace: pace, Wait: feedWait}, t) })
 	wg.Go(func() { t.write(ctx) })
 	wg.Go(func() { t.expire(ctx) })
@@ -105,10 +105,10 @@
 }
 
 // Lost implements store.Watcher.
-func (t *Tracker) Lost(err error) { store.LogLoss(t.Log, Table, err) }
+func (t *Tracker) Lost(err error) { store.LogLost(t.Log, Table, err) }
 
 // Regained implements store.Watcher.
-func (t *Tracker) Regained(after time.Duration) { store.LogReturn(t.Log, Table, after) }
+func (t *Tracker) Regained(after time.Duration) { store.LogRegained(t.Log, Table, after) }
 
 // expire removes expired contents until ctx is cancelled.
 func (t *Tracker) expire(ctx context.Context) {
--- a/scaling/meter.go
+++ b/scaling/meter.go
@@ -11,8 +11,8 @@
 	"mulberryscale.example/transport/codec"
 )
 
-// Place is a service in an availability zone, the subject of an order.
-type Place struct {
+// Target is a service in an availability zone, the subject of an order.
+type Target struct {
 	Service string `cbor:"1,keyasint"`
 	Zone    string `cbor:"2,keyasint"`
 }
@@ -43,29 +43,29 @@
 }
 
 type busy struct {
-	Place  Place   `cbor:"1,keyasint"`
-	Places float64 `cbor:"2,keyasint"`
+	Target Target  `cbor:"1,keyasint"`
+	Slots  float64 `cbor:"2,keyasint"`
 }
 
 // Meter counts the places that a process's requests take or wait for. It is safe
 // for concurrent use.
 type Meter struct {
 	mu   sync.Mutex
-	now  map[Place]int
-	sums map[Place]int
+	now  map[Target]int
+	sums map[Target]int
 	n    int // samples
 }
 
 // NewMeter returns a meter without requests.
-func NewMeter() *Meter { return &Meter{now: map[Place]int{}, sums: map[Place]int{}} }
+func NewMeter() *Meter { return &Meter{now: map[Target]int{}, sums: map[Target]int{}} }
 
 // Begin counts a request until end is called, once.
-func (m *Meter) Begin(p Place) (end func()) {
+func (m *Meter) Begin(p Target) (end func()) {
 	m.add(p, 1)
 	return func() { m.add(p, -1) }
 }
 
-func (m *Meter) add(p Place, n int) {
+func (m *Meter) add(p Target, n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.now[p] += n
@@ -75,7 +75,7 @@
 }
 
 // sample adds what is counted now, and what extra tells besides.
-func (m *Meter) sample(extra map[Place]int) {
+func (m *Meter) sample(extra map[Target]int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.n++
@@ -95,7 +95,7 @@
 	for p, sum := range m.sums {
 		means = append(means, busy{p, float64(sum) / float64(m.n)})
 	}
-	m.n, m.sums = 0, map[Place]int{}
+	m.n, m.sums = 0, map[Target]int{}
 	return means
 }
 
@@ -104,10 +104,10 @@
 	Rows  store.Rows
 	Meter *Meter
 	// Extra is what is counted elsewhere, such as items that wait; nil is nothing.
-	Extra func() map[Place]int
-	// Scaled reports whether the endpoints of a service are ordered at all.
-	Scaled func(service string) bool
-	Now    func() (time.Duration, bool)
+	Extra func() map[Target]int
+	// Autoscaled reports whether the endpoints of a service are ordered at all.
+	Autoscaled func(service string) bool
+	Now        func() (time.Duration, bool)
 	// Zone is this process's availability zone, Name is its own.
 	Zone, Name string
 	Log        logrus.FieldLogger
@@ -126,7 +126,7 @@
 			return
 		case <-ticker.C:
 		}
-		var extra map[Place]int
+		var extra map[Target]int
 		if w.Extra != nil {
 			extra = w.Extra()
 		}
@@ -142,7 +142,7 @@
 func (w *Writer) write(ctx context.Context) {
 	var scaled []busy
 	for _, b := range w.Meter.take() {
-		if w.Scaled(b.Place.Service) {
+		if w.Autoscaled(b.Target.Service) {
 			scaled = append(scaled, b)
 		}
 	}
--- a/scaling/orders.go
+++ b/scaling/orders.go
@@ -15,14 +15,14 @@
 
 // Order wants a number of endpoints.
 type Order struct {
-	Place     Place `cbor:"1,keyasint"`
-	Endpoints int   `cbor:"2,keyasint"`
+	Target    Target `cbor:"1,keyasint"`
+	Endpoints int    `cbor:"2,keyasint"`
 	// At is the store's clock when it was decided.
 	At time.Duration `cbor:"3,keyasint"`
 }
 
-// Sink takes orders.
-type Sink interface {
+// Scaler takes orders.
+type Scaler interface {
 	// Scale sends an order once, unless acting says at the moment of sending that it
 	// may not be sent any more. nil means that it was accepted.
 	Scale(ctx context.Context, f duty.Fence, acting func() bool, o *Order) error
@@ -32,7 +32,7 @@
 const SubjectPrefix = "scale/"
 
 // Subject is the duty's subject of orders for a place.
-func Subject(p Place) string { return SubjectPrefix + p.Service + "/" + p.Zone }
+func Subject(p Target) string { return SubjectPrefix + p.Service + "/" + p.Zone }
 
 // decisionTime is between two decisions on a place.
 const decisionTime = 3 * time.Second
@@ -41,14 +41,14 @@
 // which it is decided. What was ordered stands in the store as the work of the
 // last piece, since the platform does not tell it.
 type Orders struct {
-	Place Place
-	Rows  store.Rows
-	View  *fleet.View
+	Target Target
+	Rows   store.Rows
+	View   *fleet.View
 	// Zones are the availability zones of all processes.
-	Zones []string
-	Now   func() (time.Duration, bool)
-	Sink  Sink
-	Log   logrus.FieldLogger
+	Zones  []string
+	Now    func() (time.Duration, bool)
+	Scaler Scaler
+	Log    logrus.FieldLogger
 
 	policy Policy
 	// stale are rows of processes that are gone, which Decide met.
@@ -76,7 +76,7 @@
 	var former Order
 	if last != nil {
 		if err := codec.Unmarshal(last, &former); err != nil {
-			return nil, fmt.Errorf("the last order of %s in %s: %w", o.Place.Service, o.Place.Zone, err)
+			return nil, fmt.Errorf("the last order of %s in %s: %w", o.Target.Service, o.Target.Zone, err)
 		}
 	}
 	now, ok := o.Now()
@@ -84,7 +84,7 @@
 	if !ok || snap.Config == nil || !snap.Listed {
 		return nil, nil
 	}
-	service := snap.Config.Service(o.Place.Service)
+	service := snap.Config.Service(o.Target.Service)
 	if service == nil || service.Autoscale == nil {
 		return nil, nil
 	}
@@ -92,25 +92,25 @@
 	if err != nil {
 		return nil, err
 	}
-	observed := Observed{Busy: busy}
-	for _, i := range snap.OfService(o.Place.Service) {
-		if i.Zone == o.Place.Zone {
+	observed := Observed{BusySlots: busy}
+	for _, i := range snap.OfService(o.Target.Service) {
+		if i.Zone == o.Target.Zone {
 			observed.Serving++
-			observed.Places = max(observed.Places, i.Slots)
+			observed.SlotsPerEndpoint = max(observed.SlotsPerEndpoint, i.Slots)
 		}
 	}
 	if !heard && observed.Serving > 0 && former.Endpoints == 0 {
 		return nil, nil // nobody has told of a load yet: what is there stays
 	}
-	want := o.policy.Decide(*service.Autoscale, observed, Ordered{former.Endpoints, former.At}, now)
+	want := o.policy.Decide(*service.Autoscale, observed, LastOrder{former.Endpoints, former.At}, now)
 	if want == former.Endpoints || (former.Endpoints == 0 && want == observed.Serving) {
 		return nil, nil
 	}
 	o.Log.WithFields(logrus.Fields{
-		"service": o.Place.Service, "zone": o.Place.Zone, "busy": busy, "places": observed.Places, "serving": observed.Serving,
+		"service": o.Target.Service, "zone": o.Target.Zone, "busy": busy, "places": observed.SlotsPerEndpoint, "serving": observed.Serving,
 		"former": former.Endpoints, "endpoints": want,
 	}).Info("endpoints to be ordered")
-	return codec.Marshal(Order{Place: o.Place, Endpoints: want, At: now})
+	return codec.Marshal(Order{Target: o.Target, Endpoints: want, At: now})
 }
 
 // load sums what processes have written of the place; heard says that one did.
@@ -131,17 +131,17 @@
 				o.stale = append(o.stale, row.Key)
 			case age <= freshTime:
 				heard = true
-				sum += l.of(o.Place)
+				sum += l.of(o.Target)
 			}
 		}
 	}
 	return sum, heard, nil
 }
 
-func (l *load) of(p Place) float64 {
+func (l *load) of(p Target) float64 {
 	for _, b := range l.Busy {
-		if b.Place == p {
-			return b.Places
+		if b.Target == p {
+			return b.Slots
 		}
 	}
 	return 0
@@ -153,7 +153,7 @@
 	if err := codec.Unmarshal(work, &order); err != nil {
 		return fmt.Errorf("order: %w", err)
 	}
-	return o.Sink.Scale(ctx, f, acting, &order)
+	return o.Scaler.Scale(ctx, f, acting, &order)
 }
 
 // Settled implements duty.Work: it removes the rows of processes that are gone.
--- a/scaling/orders_test.go
+++ b/scaling/orders_test.go
@@ -14,7 +14,7 @@
 	"mulberryscale.example/transport/codec"
 )
 
-var here = Place{Service: "desk", Zone: "z"}
+var here = Target{Service: "desk", Zone: "z"}
 
 func newOrders(s *rowstore.Store, serving int) (*Orders, *fleet.View) {
 	view := fleet.NewView()
@@ -26,13 +26,13 @@
 		list = append(list, fleet.Instance{ID: string(rune('a' + i)), Service: "desk", Zone: "z", Addr: "10.0.0.1:" + string(rune('1'+i)), Slots: testPlaces})
 	}
 	view.UpdateInstances(append(list, fleet.Instance{ID: "y", Service: "desk", Zone: "y", Addr: "10.0.1.1:1", Slots: testPlaces}), nil)
-	return &Orders{Place: here, Rows: s, View: view, Zones: []string{"y", "z"}, Now: s.Now, Log: observe.Discard()}, view
+	return &Orders{Target: here, Rows: s, View: view, Zones: []string{"y", "z"}, Now: s.Now, Log: observe.Discard()}, view
 }
 
 func startWriter(ctx context.Context, s *rowstore.Store, zone, name string) *Meter {
 	m := NewMeter()
 	w := &Writer{
-		Rows: s, Meter: m, Scaled: func(service string) bool { return service == "desk" }, Now: s.Now, Zone: zone, Name: name, Log: observe.Discard(),
+		Rows: s, Meter: m, Autoscaled: func(service string) bool { return service == "desk" }, Now: s.Now, Zone: zone, Name: name, Log: observe.Discard(),
 	}
 	go w.Run(ctx)
 	return m
@@ -66,11 +66,11 @@
 		a, b := startWriter(t.Context(), s, "y", "a"), startWriter(t.Context(), s, "z", "b")
 		var ends []func()
 		for range 10 {
-			ends = append(ends, a.Begin(here), b.Begin(here), a.Begin(Place{"desk", "y"}), b.Begin(Place{"other", "z"}))
+			ends = append(ends, a.Begin(here), b.Begin(here), a.Begin(Target{"desk", "y"}), b.Begin(Target{"other", "z"}))
 		}
 		time.Sleep(2*writeInterval + time.Millisecond)
 		got := decide(t, o, nil)
-		if got == nil || got.Endpoints != 5 || got.Place != here {
+		if got == nil || got.Endpoints != 5 || got.Target != here {
 			t.Fatalf("got %+v, want 5 endpoints for 20 places", got)
 		}
 		work, err := codec.Marshal(got)
@@ -130,7 +130,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, sink := rowstore.New(), &fakeSink{}
 		o, _ := newOrders(s, 3)
-		o.Sink = sink
+		o.Scaler = sink
 		ctx, stop := context.WithCancel(t.Context())
 		gone := startWriter(ctx, s, "z", "gone")
 		gone.Begin(here)
--- a/scaling/policy.go
+++ b/scaling/policy.go
@@ -32,16 +32,16 @@
 
 // Observed is a service in an availability zone as it was measured.
 type Observed struct {
-	// Busy are the places that requests take or wait for.
-	Busy float64
-	// Places are those of one endpoint.
-	Places int
+	// BusySlots are the places that requests take or wait for.
+	BusySlots float64
+	// SlotsPerEndpoint are those of one endpoint.
+	SlotsPerEndpoint int
 	// Serving are the endpoints that are registered and take work.
 	Serving int
 }
 
-// Ordered is the last order; its zero value is none.
-type Ordered struct {
+// LastOrder is the last order; its zero value is none.
+type LastOrder struct {
 	Endpoints int
 	// At is when it was given.
 	At time.Duration
@@ -56,17 +56,17 @@
 }
 
 // Decide returns how many endpoints there should be now. Times are of one clock.
-func (p *Policy) Decide(bounds fleet.Autoscale, o Observed, last Ordered, now time.Duration) int {
+func (p *Policy) Decide(bounds fleet.Autoscale, o Observed, last LastOrder, now time.Duration) int {
 	have := last.Endpoints
 	if have == 0 {
 		have = o.Serving
 	}
-	if o.Places <= 0 {
+	if o.SlotsPerEndpoint <= 0 {
 		return have
 	}
 	clamp := func(n int) int { return max(bounds.Min, min(bounds.Max, n)) }
-	more := clamp(min(needed(o.Busy, o.Places, upUse), largestGrowth*max(1, o.Serving)))
-	fewer := clamp(needed(o.Busy, o.Places, downUse))
+	more := clamp(min(needed(o.BusySlots, o.SlotsPerEndpoint, upUse), largestGrowth*max(1, o.Serving)))
+	fewer := clamp(needed(o.BusySlots, o.SlotsPerEndpoint, downUse))
 	starting := last.Endpoints > 0 && now-last.At < bounds.Boot
 	switch {
 	case more > have:
--- a/scaling/policy_test.go
+++ b/scaling/policy_test.go
@@ -27,7 +27,7 @@
 func play(seconds int, load func(second int) float64) day {
 	var d day
 	var p Policy
-	var last Ordered
+	var last LastOrder
 	serving, coming := testBounds.Min, map[int]int{}
 	waiting := 0.0
 	for s := range seconds {
@@ -43,12 +43,12 @@
 			have = serving
 		}
 		now := time.Duration(s) * time.Second
-		want := p.Decide(testBounds, Observed{Busy: offered, Places: testPlaces, Serving: serving}, last, now)
+		want := p.Decide(testBounds, Observed{BusySlots: offered, SlotsPerEndpoint: testPlaces, Serving: serving}, last, now)
 		if want != have {
 			if s > 180 {
 				d.orders++
 			}
-			last = Ordered{want, now}
+			last = LastOrder{want, now}
 			if want > have {
 				coming[s+int(testBounds.Boot.Seconds())] += want - have
 			} else {
@@ -99,17 +99,17 @@
 func TestBoundsHold(t *testing.T) {
 	for name, c := range map[string]struct {
 		o    Observed
-		last Ordered
+		last LastOrder
 		want int
 	}{
-		"idle, below the least":        {Observed{0, 6, 1}, Ordered{}, 2},
-		"overloaded":                   {Observed{900, 6, 9}, Ordered{}, 20},
-		"above the most":               {Observed{100, 6, 25}, Ordered{}, 20},
-		"places unknown":               {Observed{900, 0, 4}, Ordered{}, 4},
-		"ordered ones still start":     {Observed{27, 6, 4}, Ordered{6, 95 * time.Second}, 6},
-		"far more needed meanwhile":    {Observed{60, 6, 4}, Ordered{6, 95 * time.Second}, 6},
-		"six times the load at once":   {Observed{100, 6, 4}, Ordered{}, 12},
-		"ordered ones should be there": {Observed{27, 6, 6}, Ordered{6, 80 * time.Second}, 7},
+		"idle, below the least":        {Observed{0, 6, 1}, LastOrder{}, 2},
+		"overloaded":                   {Observed{900, 6, 9}, LastOrder{}, 20},
+		"above the most":               {Observed{100, 6, 25}, LastOrder{}, 20},
+		"places unknown":               {Observed{900, 0, 4}, LastOrder{}, 4},
+		"ordered ones still start":     {Observed{27, 6, 4}, LastOrder{6, 95 * time.Second}, 6},
+		"far more needed meanwhile":    {Observed{60, 6, 4}, LastOrder{6, 95 * time.Second}, 6},
+		"six times the load at once":   {Observed{100, 6, 4}, LastOrder{}, 12},
+		"ordered ones should be there": {Observed{27, 6, 6}, LastOrder{6, 80 * time.Second}, 7},
 	} {
 		var p Policy
 		if got := p.Decide(testBounds, c.o, c.last, 100*time.Second); got != c.want {
@@ -120,7 +120,7 @@
 
 func TestLowLoadMustLast(t *testing.T) {
 	var p Policy
-	low, last := Observed{6, 6, 12}, Ordered{12, 0}
+	low, last := Observed{6, 6, 12}, LastOrder{12, 0}
 	if got := p.Decide(testBounds, low, last, 100*time.Second); got != 12 {
 		t.Errorf("given back at once: %d", got)
 	}
--- a/service/node/node.go
+++ b/service/node/node.go
@@ -65,9 +65,9 @@
 	b.store.Traffic = b.countTraffic
 	b.log = logger.WithFields(logrus.Fields{observe.FieldProcess: settings.Node, "role": role, "incarnation": b.incarnation})
 	b.rows = &detour.Store{
-		Own: b.store, Changed: b.tellDetour,
-		Used:   func() { b.counters.Add(observe.NameStoreDetours, observe.RowNone, 1) },
-		Others: &others{node: settings.Node, own: settings.Engine, port: settings.PeerPort, view: b.view, peers: b.peers},
+		Direct: b.store, OnSwitch: b.tellDetour,
+		OnRelayed: func() { b.counters.Add(observe.NameStoreDetours, observe.RowNone, 1) },
+		Peers:     &others{node: settings.Node, own: settings.Engine, port: settings.PeerPort, view: b.view, peers: b.peers},
 	}
 	b.ledger = &batch.Ledger{Store: b.rows, RowBytes: settings.RowBytes, ObjectBytes: settings.ObjectBytes}
 	return b, nil
--- a/service/node/pace.go
+++ b/service/node/pace.go
@@ -42,7 +42,7 @@
 // instancesPace is how the list of instances is followed: one that leaves must
 // get nothing new within the platform's bound.
 func instancesPace(s *nodefile.Settings) store.Pace {
-	return store.Pace{BytesPerSecond: instancesBudget, MaxAge: within(s.DrainTime)}
+	return store.Pace{BytesPerSecond: instancesBudget, MaxPause: within(s.DrainTime)}
 }
 
 // operatorPace is how configurations, which hold the API keys, and named versions
@@ -52,7 +52,7 @@
 	if s.RevokeTime > 0 {
 		bound = min(bound, s.RevokeTime)
 	}
-	return store.Pace{BytesPerSecond: operatorBudget, MaxAge: within(bound)}
+	return store.Pace{BytesPerSecond: operatorBudget, MaxPause: within(bound)}
 }
 
 // jobsSavings keeps the budget of one period of the trainers, 4 s, less a second:
@@ -62,10 +62,10 @@
 
 // agentJobsPace is how an agent follows the jobs.
 func agentJobsPace() store.Pace {
-	return store.Pace{BytesPerSecond: jobsBudget, MaxAge: jobsAge, Savings: jobsSavings}
+	return store.Pace{BytesPerSecond: jobsBudget, MaxPause: jobsAge, Burst: jobsSavings}
 }
 
 // entryJobsPace is how an entry follows the jobs.
 func entryJobsPace() store.Pace {
-	return store.Pace{BytesPerSecond: jobsBudget, MinAge: demandAge, MaxAge: demandAge}
+	return store.Pace{BytesPerSecond: jobsBudget, MinPause: demandAge, MaxPause: demandAge}
 }
--- a/service/node/peers.go
+++ b/service/node/peers.go
@@ -87,7 +87,7 @@
 )
 
 // others draws the agents through which this process reaches the store when its
-// own path is lost. It is a detour.Others.
+// own path is lost. It is a detour.Peers.
 type others struct {
 	node  string
 	own   string // address of the engine beside this process, if there is one
@@ -99,8 +99,8 @@
 	turn atomic.Uint32
 }
 
-// Draw implements detour.Others.
-func (o *others) Draw() []store.Store {
+// Candidates implements detour.Peers.
+func (o *others) Candidates() []store.Store {
 	hosts := o.hosts()
 	var drawn []store.Store
 	for i := range min(othersAsked, len(hosts)) {
--- a/service/node/peers_test.go
+++ b/service/node/peers_test.go
@@ -60,7 +60,7 @@
 		if turn := int(o.turn.Load()); turn != round {
 			t.Fatalf("turn %d in round %d", turn, round)
 		}
-		drawn := o.Draw()
+		drawn := o.Candidates()
 		if len(drawn) != othersAsked {
 			t.Fatalf("%d drawn", len(drawn))
 		}
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	if n := len((&others{view: fleet.NewView(), peers: &peers{}}).Draw()); n != 0 {
+	if n := len((&others{view: fleet.NewView(), peers: &peers{}}).Candidates()); n != 0 {
 		t.Errorf("%d drawn from an empty list", n)
 	}
 }
--- a/service/node/scaling.go
+++ b/service/node/scaling.go
@@ -14,9 +14,9 @@
 
 // measure has a process write what its requests take of services whose endpoints
 // are ordered, until ctx ends. extra is what does not go through the meter.
-func (b *base) measure(ctx context.Context, wg *sync.WaitGroup, meter *scaling.Meter, extra func() map[scaling.Place]int) {
+func (b *base) measure(ctx context.Context, wg *sync.WaitGroup, meter *scaling.Meter, extra func() map[scaling.Target]int) {
 	writer := &scaling.Writer{
-		Rows: b.rows, Meter: meter, Extra: extra, Scaled: b.scaled, Now: b.store.Now, Zone: b.settings.Zone, Name: b.settings.Node, Log: b.log,
+		Rows: b.rows, Meter: meter, Extra: extra, Autoscaled: b.scaled, Now: b.store.Now, Zone: b.settings.Zone, Name: b.settings.Node, Log: b.log,
 	}
 	wg.Go(func() { writer.Run(ctx) })
 }
@@ -33,16 +33,16 @@
 
 // meterSends counts the places that an entry's requests take.
 func meterSends(meter *scaling.Meter) func(to fleet.Instance) (end func()) {
-	return func(to fleet.Instance) func() { return meter.Begin(scaling.Place{Service: to.Service, Zone: to.Zone}) }
+	return func(to fleet.Instance) func() { return meter.Begin(scaling.Target{Service: to.Service, Zone: to.Zone}) }
 }
 
 // ownLoad is what the items here take of the engine beside an agent, or wait for.
-func (a *Agent) ownLoad() map[scaling.Place]int {
+func (a *Agent) ownLoad() map[scaling.Target]int {
 	n := a.worker.Load()
 	if n == 0 {
 		return nil
 	}
-	return map[scaling.Place]int{{Service: a.settings.Service, Zone: a.settings.Zone}: n}
+	return map[scaling.Target]int{{Service: a.settings.Service, Zone: a.settings.Zone}: n}
 }
 
 // orderEndpoints has an agent take its turns at ordering endpoints, for all
@@ -54,7 +54,7 @@
 	}
 	a.measure(ctx, wg, scaling.NewMeter(), a.ownLoad)
 	wg.Go(func() {
-		running := map[scaling.Place]context.CancelFunc{}
+		running := map[scaling.Target]context.CancelFunc{}
 		for ctx.Err() == nil {
 			changed := a.view.Changed()
 			a.followPlaces(ctx, running)
@@ -68,16 +68,16 @@
 
 // followPlaces starts a performer for each place whose endpoints are ordered, and
 // stops those of other places.
-func (a *Agent) followPlaces(ctx context.Context, running map[scaling.Place]context.CancelFunc) {
+func (a *Agent) followPlaces(ctx context.Context, running map[scaling.Target]context.CancelFunc) {
 	snap := a.view.Snapshot()
-	wanted := map[scaling.Place]bool{}
+	wanted := map[scaling.Target]bool{}
 	if snap.Config != nil {
 		for _, s := range snap.Config.Services {
 			if s.Autoscale == nil {
 				continue
 			}
 			for _, i := range snap.OfService(s.Name) {
-				wanted[scaling.Place{Service: i.Service, Zone: i.Zone}] = true
+				wanted[scaling.Target{Service: i.Service, Zone: i.Zone}] = true
 			}
 		}
 	}
@@ -98,12 +98,12 @@
 }
 
 // performOrders takes turns at the orders for one place.
-func (a *Agent) performOrders(ctx context.Context, p scaling.Place) {
+func (a *Agent) performOrders(ctx context.Context, p scaling.Target) {
 	performer := &duty.Performer{
 		Seat:  a.seat(scaling.Subject(p)),
 		Order: &duty.Order{Self: a.settings.IP, Others: a.agents, Keep: true, Lookers: duty.FewLookers},
 		Work: &scaling.Orders{
-			Place: p, Rows: a.store, View: a.view, Zones: a.settings.Zones, Now: a.store.Now, Sink: a.duties, Log: a.log,
+			Target: p, Rows: a.store, View: a.view, Zones: a.settings.Zones, Now: a.store.Now, Scaler: a.duties, Log: a.log,
 		},
 		Log: a.log, Counters: a.counters,
 	}
--- a/service/node/scaling_test.go
+++ b/service/node/scaling_test.go
@@ -24,9 +24,9 @@
 	rows := httptest.NewServer(standin.New(rowstore.New()))
 	t.Cleanup(rows.Close)
 	var mu sync.Mutex
-	ordered := map[scaling.Place]int{}
+	ordered := map[scaling.Target]int{}
 	var problems []string
-	highest := map[scaling.Place]uint64{}
+	highest := map[scaling.Target]uint64{}
 	platform := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		call, err := duties.Decode(r)
 		mu.Lock()
@@ -35,7 +35,7 @@
 			problems = append(problems, fmt.Sprint(call, err))
 			return
 		}
-		p := call.Order.Place
+		p := call.Order.Target
 		if call.Fence.Token <= highest[p] {
 			problems = append(problems, fmt.Sprintf("token %d after %d", call.Fence.Token, highest[p]))
 		}
@@ -80,7 +80,7 @@
 			a.measure(ctx, &wg, meter, nil)
 		}
 	}
-	busy := scaling.Place{Service: "desk", Zone: "z"}
+	busy := scaling.Target{Service: "desk", Zone: "z"}
 	for range 300 {
 		mu.Lock()
 		n := ordered[busy]
--- a/service/node/watch.go
+++ b/service/node/watch.go
@@ -24,9 +24,9 @@
 }
 
 func (c *configWatcher) Replace(s store.Snapshot) { c.Apply(s) }
-func (c *configWatcher) Lost(err error)           { store.LogLoss(c.log, operator.TableOperator, err) }
+func (c *configWatcher) Lost(err error)           { store.LogLost(c.log, operator.TableOperator, err) }
 func (c *configWatcher) Regained(after time.Duration) {
-	store.LogReturn(c.log, operator.TableOperator, after)
+	store.LogRegained(c.log, operator.TableOperator, after)
 }
 
 func (c *configWatcher) Apply(s store.Snapshot) {
@@ -86,7 +86,7 @@
 	}
 }
 
-func (w *instanceWatcher) Lost(err error) { store.LogLoss(w.log, operator.TableInstances, err) }
+func (w *instanceWatcher) Lost(err error) { store.LogLost(w.log, operator.TableInstances, err) }
 
 // minOutage is the shortest loss of the feed that earns missing entries their
 // grace. An entry lapses after three heartbeats of silence, the first of which may
@@ -95,7 +95,7 @@
 const minOutage = time.Second
 
 func (w *instanceWatcher) Regained(after time.Duration) {
-	store.LogReturn(w.log, operator.TableInstances, after)
+	store.LogRegained(w.log, operator.TableInstances, after)
 	if after > minOutage {
 		w.graceUntil = time.Now().Add(returnGrace)
 	}
--- a/store/detour/detour.go
+++ b/store/detour/detour.go
@@ -22,22 +22,22 @@
 	"mulberryscale.example/store"
 )
 
-// Others are the processes that may be asked.
-type Others interface {
-	// Draw returns the store as some other processes reach it, in the order in
+// Peers are the processes that may be asked.
+type Peers interface {
+	// Candidates returns the store as some other processes reach it, in the order in
 	// which to ask them; there may be none.
-	Draw() []store.Store
+	Candidates() []store.Store
 }
 
 // Store is a store.Store with a detour. It is safe for concurrent use.
 type Store struct {
-	// Own is the process's own path.
-	Own    store.Store
-	Others Others
-	// Used, if set, is told of each call that got through by another process, and
+	// Direct is the process's own path.
+	Direct store.Store
+	Peers  Peers
+	// OnRelayed, if set, is told of each call that got through by another process, and
 	// Changed when such calls begin and end.
-	Used    func()
-	Changed func(detouring bool)
+	OnRelayed func()
+	OnSwitch  func(detouring bool)
 
 	path path
 }
@@ -119,7 +119,7 @@
 		go func() {
 			r := result[T]{own: own}
 			if own {
-				r.value, r.err = do(ctx, s.Own, wait)
+				r.value, r.err = do(ctx, s.Direct, wait)
 			} else {
 				r.value, r.err = through(ctx, s, wait, do)
 			}
@@ -176,15 +176,15 @@
 		if s.path.otherAnswered(time.Now()) {
 			s.changed(true)
 		}
-		if s.Used != nil {
-			s.Used()
+		if s.OnRelayed != nil {
+			s.OnRelayed()
 		}
 	}
 }
 
 func (s *Store) changed(detouring bool) {
-	if s.Changed != nil {
-		s.Changed(detouring)
+	if s.OnSwitch != nil {
+		s.OnSwitch(detouring)
 	}
 }
 
@@ -196,7 +196,7 @@
 func through[T any](ctx context.Context, s *Store, wait time.Duration, do ask[T]) (T, error) {
 	var none T
 	err := error(errNoOther)
-	for _, other := range s.Others.Draw() {
+	for _, other := range s.Peers.Candidates() {
 		var value T
 		value, err = bounded(ctx, wait, func(ctx context.Context) (T, error) { return do(ctx, other, wait) })
 		if answered(err) {
--- a/store/detour/detour_test.go
+++ b/store/detour/detour_test.go
@@ -33,12 +33,12 @@
 	for range 3 {
 		r.others = append(r.others, r.store.Client())
 	}
-	r.reach = &detour.Store{Own: r.own, Others: r}
+	r.reach = &detour.Store{Direct: r.own, Peers: r}
 	return r
 }
 
-// Draw implements detour.Others; calls go through the wire's encoding.
-func (r *rig) Draw() []store.Store {
+// Candidates implements detour.Peers; calls go through the wire's encoding.
+func (r *rig) Candidates() []store.Store {
 	var drawn []store.Store
 	for _, o := range r.others {
 		drawn = append(drawn, detour.Remote{Call: func(ctx context.Context, c *detour.Call) (*detour.Reply, error) {
@@ -122,7 +122,7 @@
 func TestSilentPathDelaysNoCallForLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig()
-		r.reach.Own = silence{r.own}
+		r.reach.Direct = silence{r.own}
 		for i, limit := range []time.Duration{450 * time.Millisecond, 0, 0} { // others are asked first from then on
 			began := time.Now()
 			if _, err := r.reach.Commit(t.Context(), put(fmt.Sprint(i))); err != nil {
@@ -141,7 +141,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig()
 		var told []bool
-		r.reach.Changed = func(detouring bool) { told = append(told, detouring) }
+		r.reach.OnSwitch = func(detouring bool) { told = append(told, detouring) }
 		r.own.Cut(errBusy)
 		for i := range 5 {
 			if _, err := r.reach.Commit(t.Context(), put(fmt.Sprint("a", i))); err != nil {
@@ -227,7 +227,7 @@
 // deaf are others that give no answer at all, such as those behind the same cut.
 type deaf struct{}
 
-func (deaf) Draw() []store.Store {
+func (deaf) Candidates() []store.Store {
 	return []store.Store{detour.Remote{Call: func(ctx context.Context, _ *detour.Call) (*detour.Reply, error) {
 		<-ctx.Done()
 		return nil, context.Cause(ctx)
@@ -254,7 +254,7 @@
 func TestSilentOthersHoldUpNoCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const wait, bound = time.Second, 2 * time.Second
-		reach := &detour.Store{Own: boundedFeed{rowstore.New(), bound}, Others: deaf{}}
+		reach := &detour.Store{Direct: boundedFeed{rowstore.New(), bound}, Peers: deaf{}}
 		for range 5 {
 			began := time.Now()
 			if _, err := reach.Feed(t.Context(), "t", 0, wait); err == nil {
@@ -265,7 +265,7 @@
 			}
 		}
 		r := newRig()
-		r.reach.Others = deaf{}
+		r.reach.Peers = deaf{}
 		r.own.Cut(errBusy)
 		began := time.Now()
 		if _, err := r.reach.Commit(t.Context(), put("a")); err == nil {
--- a/store/follow.go
+++ b/store/follow.go
@@ -131,12 +131,12 @@
 	return f.rows.Feed(ctx, f.source.Table, f.version, f.source.Wait)
 }
 
-// LogLoss is the log line of a lost feed, shared by all watchers.
-func LogLoss(log logrus.FieldLogger, table string, err error) {
+// LogLost is the log line of a lost feed, shared by all watchers.
+func LogLost(log logrus.FieldLogger, table string, err error) {
 	log.WithFields(logrus.Fields{"dependency": "store", "table": table}).WithError(err).Warn("feed lost")
 }
 
-// LogReturn is the log line of a feed that is heard again.
-func LogReturn(log logrus.FieldLogger, table string, after time.Duration) {
+// LogRegained is the log line of a feed that is heard again.
+func LogRegained(log logrus.FieldLogger, table string, after time.Duration) {
 	log.WithFields(logrus.Fields{"dependency": "store", "table": table, "after_ms": after.Milliseconds()}).Info("feed regained")
 }
--- a/store/pace.go
+++ b/store/pace.go
@@ -15,14 +15,14 @@
 	// BytesPerSecond is what answers may cost while that keeps the reader
 	// abreast within MaxAge; 0 is no bound, so that no pause is made.
 	BytesPerSecond int
-	// MaxAge bounds the pause, and so the age of what is believed.
-	MaxAge time.Duration
-	// MinAge is the least pause, for readers that need no fresh news.
-	MinAge time.Duration
-	// Savings is how long the budget of quiet times is kept for a burst. Without it
+	// MaxPause bounds the pause, and so the age of what is believed.
+	MaxPause time.Duration
+	// MinPause is the least pause, for readers that need no fresh news.
+	MinPause time.Duration
+	// Burst is how long the budget of quiet times is kept for a burst. Without it
 	// the second of two jobs that are accepted within milliseconds of each other is
 	// heard of only after the pause that the first one cost.
-	Savings time.Duration
+	Burst time.Duration
 }
 
 const (
@@ -42,19 +42,19 @@
 	at    time.Time // when saved was reckoned
 }
 
-func newPacer(p Pace) *pacer { return &pacer{Pace: p, saved: p.Savings, at: time.Now()} }
+func newPacer(p Pace) *pacer { return &pacer{Pace: p, saved: p.Burst, at: time.Now()} }
 
 // pause is how long to wait after an answer that came now.
 func (p *pacer) pause(s Snapshot) time.Duration {
 	if p.BytesPerSecond <= 0 {
-		return p.MinAge
+		return p.MinPause
 	}
 	now := time.Now()
-	p.saved = min(p.Savings, p.saved+now.Sub(p.at))
+	p.saved = min(p.Burst, p.saved+now.Sub(p.at))
 	p.at = now
 	p.saved -= time.Duration(float64(s.cost()) / float64(p.BytesPerSecond) * float64(time.Second))
-	p.saved = max(p.saved, -p.MaxAge)
-	return max(p.MinAge, -p.saved)
+	p.saved = max(p.saved, -p.MaxPause)
+	return max(p.MinPause, -p.saved)
 }
 
 // cost estimates an answer's bytes.
--- a/store/pace_test.go
+++ b/store/pace_test.go
@@ -50,7 +50,7 @@
 			rows, w := &countingRows{Rows: s}, &applied{}
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			go store.Follow(ctx, rows, store.Source{Table: "beats", Pace: store.Pace{BytesPerSecond: 6000, MaxAge: 1300 * time.Millisecond}}, w)
+			go store.Follow(ctx, rows, store.Source{Table: "beats", Pace: store.Pace{BytesPerSecond: 6000, MaxPause: 1300 * time.Millisecond}}, w)
 			for i := range writers {
 				go func() {
 					time.Sleep(1200 * time.Millisecond * time.Duration(i) / time.Duration(writers))
@@ -83,7 +83,7 @@
 func TestQuietTableIsHeardAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, w := rowstore.New(), &applied{}
-		go store.Follow(t.Context(), s, store.Source{Table: "t", Pace: store.Pace{BytesPerSecond: 2500, MaxAge: time.Second}}, w)
+		go store.Follow(t.Context(), s, store.Source{Table: "t", Pace: store.Pace{BytesPerSecond: 2500, MaxPause: time.Second}}, w)
 		time.Sleep(5500 * time.Millisecond)
 		wrote := time.Now()
 		s.Put(store.Row{Key: store.Key{Table: "t", Name: "a"}, Value: []byte("v")})
@@ -138,7 +138,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			s := rowstore.New()
 			rows, w := &countingRows{Rows: s}, &applied{}
-			pace := store.Pace{BytesPerSecond: 2500, MaxAge: 300 * time.Millisecond, Savings: savings}
+			pace := store.Pace{BytesPerSecond: 2500, MaxPause: 300 * time.Millisecond, Burst: savings}
 			go store.Follow(t.Context(), rows, store.Source{Table: "jobs", Pace: pace}, w)
 			time.Sleep(time.Second)
 			write := func(name string, bytes int) {
--- a/tablestore/apply.go
+++ b/tablestore/apply.go
@@ -217,22 +217,22 @@
 	e := &ConflictError{Base: req.Base, Current: current}
 	base, err := s.rows(ctx, req.Base)
 	if err != nil {
-		e.Unread = err
+		e.CompareErr = err
 		return e
 	}
 	theirs, err := s.rows(ctx, current.Version)
 	if err != nil {
-		e.Unread = err
+		e.CompareErr = err
 		return e
 	}
 	mine, err := table.Parse(req.Format, req.Body)
 	if err != nil {
-		e.Unread = err
+		e.CompareErr = err
 		return e
 	}
 	merge, err := table.Merge3(base, mine, theirs)
 	if err != nil {
-		e.Unread = err
+		e.CompareErr = err
 		return e
 	}
 	e.Mine = table.Diff(base, mine)
--- a/tablestore/errors.go
+++ b/tablestore/errors.go
@@ -23,17 +23,17 @@
 	Mine, Theirs []table.Change
 	// Merge joins both edits; it is to be checked by the operator.
 	Merge table.Merge
-	// Unread is set, and the fields from Mine on are empty, when the two
+	// CompareErr is set, and the fields from Mine on are empty, when the two
 	// versions could not be read for the comparison.
-	Unread error
+	CompareErr error
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
 	text := fmt.Sprintf("not applied: version %d by %q came first, this edit was made from version %d",
 		e.Current.Version, e.Current.Author, e.Base)
-	if e.Unread != nil {
-		return fmt.Sprintf("%s; the versions could not be compared: %v", text, e.Unread)
+	if e.CompareErr != nil {
+		return fmt.Sprintf("%s; the versions could not be compared: %v", text, e.CompareErr)
 	}
 	return fmt.Sprintf("%s; %d changes here, %d there, %d in conflict",
 		text, len(e.Mine), len(e.Theirs), len(e.Merge.Conflicts))
--- a/tablesync/notice.go
+++ b/tablesync/notice.go
@@ -13,7 +13,7 @@
 // runNotices sends notices after each install and, now and then, to the peers
 // that are known to be behind.
 func (s *Spread) runNotices(ctx context.Context) {
-	renotice := time.NewTicker(s.config.Renotice)
+	renotice := time.NewTicker(s.config.RenotifyInterval)
 	defer renotice.Stop()
 	var noticed uint64
 	for {
--- a/tablesync/spread.go
+++ b/tablesync/spread.go
@@ -20,10 +20,10 @@
 const (
 	// DefaultFanout leaves 0.03% of many entries without a notice in the mean;
 	// those learn from later headers and from the table service.
-	DefaultFanout        = 8
-	DefaultMaxConcurrent = 64
-	DefaultCallTimeout   = 2 * time.Second
-	DefaultRenotice      = 5 * time.Second
+	DefaultFanout           = 8
+	DefaultMaxConcurrent    = 64
+	DefaultCallTimeout      = 2 * time.Second
+	DefaultRenotifyInterval = 5 * time.Second
 )
 
 // Bounds of what is kept between calls.
@@ -54,8 +54,8 @@
 	MaxConcurrent int
 	// CallTimeout bounds one call of a peer.
 	CallTimeout time.Duration
-	// Renotice is how often peers that are still behind get a notice.
-	Renotice time.Duration
+	// RenotifyInterval is how often peers that are still behind get a notice.
+	RenotifyInterval time.Duration
 	// Rand draws the entries; nil draws from the runtime's source.
 	Rand *rand.Rand
 	Log  logrus.FieldLogger
@@ -97,7 +97,7 @@
 	setDefault(&c.Fanout, DefaultFanout)
 	setDefault(&c.MaxConcurrent, DefaultMaxConcurrent)
 	setDefault(&c.CallTimeout, DefaultCallTimeout)
-	setDefault(&c.Renotice, DefaultRenotice)
+	setDefault(&c.RenotifyInterval, DefaultRenotifyInterval)
 	return &Spread{config: c, wake: make(chan struct{}, 1), laggards: make(map[string]uint64)}
 }
 
--- a/tablesync/spread_test.go
+++ b/tablesync/spread_test.go
@@ -180,7 +180,7 @@
 		}
 		f.network.HealAll(transport.PeerID(cut.peer.ID))
 		f.entries[0].spread.Observe(wire.Header{From: cut.peer.ID, Addr: cut.peer.Addr})
-		time.Sleep(2 * DefaultRenotice)
+		time.Sleep(2 * DefaultRenotifyInterval)
 		if n := f.behind(1); n > 0 {
 			t.Fatal("the healed agent is still behind")
 		}
