--- a/batch/messages.go
+++ b/batch/messages.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"mulberryscale.example/store/detour"
+	"mulberryscale.example/store/relay"
 )
 
 // PeerRequest is a request from one agent to another; exactly one of the pointers is set.
@@ -14,7 +14,7 @@
 	Take   *TakeRequest   `cbor:"3,keyasint,omitempty"`
 	Give   *Handover      `cbor:"4,keyasint,omitempty"`
 	// Store is a call to the store that the receiver makes for a caller that cannot reach it.
-	Store *detour.Call `cbor:"5,keyasint,omitempty"`
+	Store *relay.Call `cbor:"5,keyasint,omitempty"`
 }
 
 // PeerReply is the reply to a PeerRequest.
@@ -22,8 +22,8 @@
 	Status   *Status   `cbor:"1,keyasint,omitempty"`
 	Handover *Handover `cbor:"2,keyasint,omitempty"`
 	// Taken is the number of items of PeerRequest.Give that were taken over.
-	Taken int           `cbor:"3,keyasint,omitempty"`
-	Store *detour.Reply `cbor:"4,keyasint,omitempty"`
+	Taken int          `cbor:"3,keyasint,omitempty"`
+	Store *relay.Reply `cbor:"4,keyasint,omitempty"`
 }
 
 // StatusRequest asks for the state of jobs.
--- a/batch/peer.go
+++ b/batch/peer.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"mulberryscale.example/observe"
-	"mulberryscale.example/store/detour"
+	"mulberryscale.example/store/relay"
 )
 
 // PeerClient sends requests to other agents.
@@ -31,7 +31,7 @@
 	case req.Give != nil:
 		return &PeerReply{Taken: w.accept(req.From, req.Give)}
 	case req.Store != nil && w.Direct != nil:
-		return &PeerReply{Store: detour.Serve(w.ctx, w.Direct, req.Store)}
+		return &PeerReply{Store: relay.Serve(w.ctx, w.Direct, req.Store)}
 	}
 	return &PeerReply{}
 }
--- a/batch/rig_test.go
+++ b/batch/rig_test.go
@@ -16,7 +16,7 @@
 	"mulberryscale.example/fleet"
 	"mulberryscale.example/internal/standin/rowstore"
 	"mulberryscale.example/observe"
-	"mulberryscale.example/store/detour"
+	"mulberryscale.example/store/relay"
 )
 
 // eventGap is the time between two events of the stand-in engines.
@@ -261,7 +261,7 @@
 	addr := engineAddr(i)
 	way := r.store.Client()
 	r.storeClients[addr] = way
-	reached := &detour.Store{Direct: way, Peers: &rigPeers{r, addr}}
+	reached := &relay.Store{Direct: way, Peers: &rigPeers{r, addr}}
 	keeper := r.newKeeper(reached)
 	w := NewWorker(WorkerConfig{
 		Direct: way, Quarantine: keeper,
--- a/batch/rigpeers_test.go
+++ b/batch/rigpeers_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 
 	"mulberryscale.example/store"
-	"mulberryscale.example/store/detour"
+	"mulberryscale.example/store/relay"
 )
 
 // rigPeers are the other agents of a rig, as ways to the store.
@@ -20,7 +20,7 @@
 		if addr == o.self {
 			continue
 		}
-		drawn = append(drawn, detour.Remote{Call: func(ctx context.Context, c *detour.Call) (*detour.Reply, error) {
+		drawn = append(drawn, relay.Remote{Call: func(ctx context.Context, c *relay.Call) (*relay.Reply, error) {
 			reply, err := o.rig.peers.Call(ctx, addr, &PeerRequest{From: o.self, Store: c})
 			if err != nil {
 				return nil, fmt.Errorf("%w: %v", store.ErrRefused, err)
--- a/batch/worker_test.go
+++ b/batch/worker_test.go
@@ -10,7 +10,7 @@
 	"mulberryscale.example/internal/pause"
 	"mulberryscale.example/internal/standin/rowstore"
 	"mulberryscale.example/store"
-	"mulberryscale.example/store/detour"
+	"mulberryscale.example/store/relay"
 )
 
 func TestJobRunsToItsEnd(t *testing.T) {
@@ -368,7 +368,7 @@
 func TestAnAgentThatHasNotStartedTakesNothing(t *testing.T) {
 	w := NewWorker(WorkerConfig{})
 	for _, req := range []*PeerRequest{
-		{Status: &StatusRequest{Jobs: []string{"j"}}}, {Take: &TakeRequest{Job: "j"}}, {Give: &Handover{Job: "j"}}, {Store: &detour.Call{List: &store.Range{Table: TableJobs}}},
+		{Status: &StatusRequest{Jobs: []string{"j"}}}, {Take: &TakeRequest{Job: "j"}}, {Give: &Handover{Job: "j"}}, {Store: &relay.Call{List: &store.Range{Table: TableJobs}}},
 	} {
 		if reply := w.Serve(req); reply.Status != nil || reply.Handover != nil || reply.Taken != 0 || reply.Store != nil {
 			t.Errorf("got %+v", reply)
--- a/service/node/node.go
+++ b/service/node/node.go
@@ -22,7 +22,7 @@
 	"mulberryscale.example/platform/operator"
 	"mulberryscale.example/quarantine"
 	"mulberryscale.example/store"
-	"mulberryscale.example/store/detour"
+	"mulberryscale.example/store/relay"
 )
 
 // base is what both programs have.
@@ -33,7 +33,7 @@
 	log         *logrus.Entry
 	bounded     *observe.Bounded
 	counters    *observe.Counters
-	// store is this process's own path to the store, rows the same with a detour
+	// store is this process's own path to the store, rows the same with a relay
 	// through agents.
 	store  *metastore.Client
 	rows   store.Store
@@ -64,7 +64,7 @@
 	}
 	b.store.Traffic = b.countTraffic
 	b.log = logger.WithFields(logrus.Fields{observe.FieldProcess: settings.Node, "role": role, "incarnation": b.incarnation})
-	b.rows = &detour.Store{
+	b.rows = &relay.Store{
 		Direct: b.store, OnSwitch: b.tellDetour,
 		OnRelayed: func() { b.counters.Add(observe.NameStoreDetours, observe.RowNone, 1) },
 		Peers:     &others{node: settings.Node, own: settings.Engine, port: settings.PeerPort, view: b.view, peers: b.peers},
--- a/service/node/peers.go
+++ b/service/node/peers.go
@@ -18,7 +18,7 @@
 	"mulberryscale.example/fleet"
 	"mulberryscale.example/keys"
 	"mulberryscale.example/store"
-	"mulberryscale.example/store/detour"
+	"mulberryscale.example/store/relay"
 	"mulberryscale.example/transport"
 	"mulberryscale.example/transport/quictransport"
 )
@@ -87,7 +87,7 @@
 )
 
 // others draws the agents through which this process reaches the store when its
-// own path is lost. It is a detour.Peers.
+// own path is lost. It is a relay.Peers.
 type others struct {
 	node  string
 	own   string // address of the engine beside this process, if there is one
@@ -99,7 +99,7 @@
 	turn atomic.Uint32
 }
 
-// Candidates implements detour.Peers.
+// Candidates implements relay.Peers.
 func (o *others) Candidates() []store.Store {
 	hosts := o.hosts()
 	var drawn []store.Store
@@ -107,7 +107,7 @@
 		at := (int(o.turn.Load())*othersAsked + i) % len(hosts)
 		addr := net.JoinHostPort(hosts[at], strconv.Itoa(o.port))
 		last := i == min(othersAsked, len(hosts))-1
-		drawn = append(drawn, detour.Remote{Call: func(ctx context.Context, c *detour.Call) (*detour.Reply, error) {
+		drawn = append(drawn, relay.Remote{Call: func(ctx context.Context, c *relay.Call) (*relay.Reply, error) {
 			reply, err := o.call(ctx, addr, c)
 			if last && (err != nil || reply == nil || !reply.Done()) {
 				o.turn.Add(1)
@@ -139,7 +139,7 @@
 }
 
 // call asks one agent.
-func (o *others) call(ctx context.Context, addr string, c *detour.Call) (*detour.Reply, error) {
+func (o *others) call(ctx context.Context, addr string, c *relay.Call) (*relay.Reply, error) {
 	reply, err := o.peers.Call(ctx, addr, &batch.PeerRequest{From: o.own, Store: c})
 	if errors.Is(err, errUnsent) {
 		return nil, fmt.Errorf("%w: %v", store.ErrRefused, err)
--- a/store/detour/detour.go
+++ b/store/relay/relay.go
@@ -1,4 +1,4 @@
-// Package detour lets a process that has lost its path to the store go on
+// Package relay lets a process that has lost its path to the store go on
 // through other processes that still have one.
 //
 // The pattern: the store turns a third of the processes away for seconds, or is
@@ -11,7 +11,7 @@
 //
 // A store that is away for all is told apart by the others' answers: then nobody
 // is asked for a while.
-package detour
+package relay
 
 import (
 	"context"
@@ -29,7 +29,7 @@
 	Candidates() []store.Store
 }
 
-// Store is a store.Store with a detour. It is safe for concurrent use.
+// Store is a store.Store that relays calls when its own path fails. It is safe for concurrent use.
 type Store struct {
 	// Direct is the process's own path.
 	Direct store.Store
--- a/store/detour/detour_test.go
+++ b/store/relay/relay_test.go
@@ -1,4 +1,4 @@
-package detour_test
+package relay_test
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"mulberryscale.example/internal/standin/rowstore"
 	"mulberryscale.example/store"
-	"mulberryscale.example/store/detour"
+	"mulberryscale.example/store/relay"
 	"mulberryscale.example/transport/codec"
 )
 
@@ -24,7 +24,7 @@
 	own    *rowstore.Client
 	others []*rowstore.Client
 	asked  atomic.Int64 // calls of the others
-	reach  *detour.Store
+	reach  *relay.Store
 }
 
 func newRig() *rig {
@@ -33,18 +33,18 @@
 	for range 3 {
 		r.others = append(r.others, r.store.Client())
 	}
-	r.reach = &detour.Store{Direct: r.own, Peers: r}
+	r.reach = &relay.Store{Direct: r.own, Peers: r}
 	return r
 }
 
-// Candidates implements detour.Peers; calls go through the wire's encoding.
+// Candidates implements relay.Peers; calls go through the wire's encoding.
 func (r *rig) Candidates() []store.Store {
 	var drawn []store.Store
 	for _, o := range r.others {
-		drawn = append(drawn, detour.Remote{Call: func(ctx context.Context, c *detour.Call) (*detour.Reply, error) {
+		drawn = append(drawn, relay.Remote{Call: func(ctx context.Context, c *relay.Call) (*relay.Reply, error) {
 			r.asked.Add(1)
-			sent, got := recode(c), &detour.Reply{}
-			data, err := codec.Marshal(detour.Serve(ctx, o, sent))
+			sent, got := recode(c), &relay.Reply{}
+			data, err := codec.Marshal(relay.Serve(ctx, o, sent))
 			if err != nil {
 				return nil, err
 			}
@@ -54,12 +54,12 @@
 	return drawn
 }
 
-func recode(c *detour.Call) *detour.Call {
+func recode(c *relay.Call) *relay.Call {
 	data, err := codec.Marshal(c)
 	if err != nil {
 		panic(err)
 	}
-	out := &detour.Call{}
+	out := &relay.Call{}
 	if err := codec.Unmarshal(data, out); err != nil {
 		panic(err)
 	}
@@ -212,13 +212,13 @@
 }
 
 func TestUnknownCallIsRefused(t *testing.T) {
-	remote := detour.Remote{Call: func(ctx context.Context, _ *detour.Call) (*detour.Reply, error) {
-		return detour.Serve(ctx, rowstore.New(), &detour.Call{}), nil
+	remote := relay.Remote{Call: func(ctx context.Context, _ *relay.Call) (*relay.Reply, error) {
+		return relay.Serve(ctx, rowstore.New(), &relay.Call{}), nil
 	}}
 	if _, err := remote.List(t.Context(), store.Range{}); !errors.Is(err, store.ErrInvalid) {
 		t.Errorf("got %v", err)
 	}
-	old := detour.Remote{Call: func(context.Context, *detour.Call) (*detour.Reply, error) { return nil, nil }}
+	old := relay.Remote{Call: func(context.Context, *relay.Call) (*relay.Reply, error) { return nil, nil }}
 	if _, err := old.List(t.Context(), store.Range{}); !errors.Is(err, store.ErrRefused) {
 		t.Errorf("a process that makes no such calls: %v", err)
 	}
@@ -228,7 +228,7 @@
 type deaf struct{}
 
 func (deaf) Candidates() []store.Store {
-	return []store.Store{detour.Remote{Call: func(ctx context.Context, _ *detour.Call) (*detour.Reply, error) {
+	return []store.Store{relay.Remote{Call: func(ctx context.Context, _ *relay.Call) (*relay.Reply, error) {
 		<-ctx.Done()
 		return nil, context.Cause(ctx)
 	}}}
@@ -254,7 +254,7 @@
 func TestSilentOthersHoldUpNoCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const wait, bound = time.Second, 2 * time.Second
-		reach := &detour.Store{Direct: boundedFeed{rowstore.New(), bound}, Peers: deaf{}}
+		reach := &relay.Store{Direct: boundedFeed{rowstore.New(), bound}, Peers: deaf{}}
 		for range 5 {
 			began := time.Now()
 			if _, err := reach.Feed(t.Context(), "t", 0, wait); err == nil {
--- a/store/detour/wire.go
+++ b/store/relay/wire.go
@@ -1,4 +1,4 @@
-package detour
+package relay
 
 import (
 	"context"
