--- a/batch/orphans.go
+++ b/batch/orphans.go
@@ -63,8 +63,8 @@
 		return
 	}
 	others := h.peerEngines(jobs)
-	scan := h.lost.due(time.Now(), len(others)+1)
-	if !scan && len(others) > 0 && h.lost.neighbourDue(time.Now()) {
+	scan := h.orphanScans.due(time.Now(), len(others)+1)
+	if !scan && len(others) > 0 && h.orphanScans.neighbourDue(time.Now()) {
 		next := neighbour(h.Engine, others)
 		_, alive := h.queryStatuses(ctx, jobs, []string{next})[next]
 		scan = !alive
