--- a/batch/rig_test.go
+++ b/batch/rig_test.go
@@ -16,7 +16,7 @@
 	"mulberryscale.example/fleet"
 	"mulberryscale.example/internal/standin/rowstore"
 	"mulberryscale.example/observe"
-	"mulberryscale.example/store/detour"
+	"mulberryscale.example/store/relay"
 )
 
 // eventGap is the time between two events of the fake engines.
@@ -262,7 +262,7 @@
 	addr := engineAddr(i)
 	client := r.store.Client()
 	r.storeClients[addr] = client
-	withFallback := &detour.Store{Own: client, Others: &rigPeers{r, addr}}
+	withFallback := &relay.Store{Direct: client, Peers: &rigPeers{r, addr}}
 	tracker := r.newTracker(withFallback)
 	w := NewWorker(WorkerConfig{
 		Direct: client, Quarantine: tracker,
