--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -7,110 +7,111 @@
 	"mulberryscale.example/wire"
 )
 
-// Bounds of passing news of instances on.
+// Bounds of the gossip about new instances.
 const (
-	// newsTellings is how often an entry tells each piece of news. When every
-	// entry tells it so often to a random other, one in e^12 misses it.
-	newsTellings = 12
-	// newsPerMessage bounds the news in one message.
-	newsPerMessage = 8
-	// mostNews bounds the news kept; the oldest is dropped.
-	mostNews = 256
+	// gossipTransmissions is how often an entry sends each member. If every entry sends it
+	// that often to a random other entry, one in e^12 entries misses it.
+	gossipTransmissions = 12
+	// membersPerMessage is the maximum number of members in one message.
+	membersPerMessage = 8
+	// maxQueuedMembers bounds the queue; the oldest member is dropped.
+	maxQueuedMembers = 256
 )
 
-// newsKey names a piece of news: an id can come back at another address.
-type newsKey struct{ id, addr string }
+// memberKey identifies a member. An id can come back at another address.
+type memberKey struct{ id, addr string }
 
-// pieceOfNews is an instance that is to be told of some times more.
-type pieceOfNews struct {
-	instance platform.Instance
-	left     int
+// queuedMember is an instance with the number of messages that it is still to be sent in.
+type queuedMember struct {
+	instance  platform.Instance
+	remaining int
 }
 
-// Gossip passes on which instances came since the instance list was read before,
-// from entry to entry. Each entry reads a long list rarely, but all together
-// read it often. It is safe for concurrent use.
+// Gossip spreads instances that are new on the instance list from entry to entry. Each entry
+// reads a long list rarely, but all entries together read it often. It is safe for
+// concurrent use.
 type Gossip struct {
 	mu   sync.Mutex
-	seen map[newsKey]bool
-	// pieces is a queue: what was told goes to its end.
-	pieces []pieceOfNews
+	seen map[memberKey]bool
+	// queue is in the order of sending. A member that was sent goes to its end.
+	queue []queuedMember
 }
 
-// NewGossip returns empty news.
-func NewGossip() *Gossip { return &Gossip{seen: map[newsKey]bool{}} }
+// NewGossip returns a Gossip with an empty queue.
+func NewGossip() *Gossip { return &Gossip{seen: map[memberKey]bool{}} }
 
-// AddNew takes in two readings of the list, one after the other. What the
-// second names and the first does not is news.
-func (n *Gossip) AddNew(before, after []platform.Instance) {
+// AddNew queues the instances that are in after and not in before, two successive reads of
+// the list.
+func (g *Gossip) AddNew(before, after []platform.Instance) {
 	if len(before) == 0 {
-		return // the first reading: everything is new to this entry alone
+		return // the first read: its instances are new to this entry only
 	}
-	known := make(map[newsKey]bool, len(before))
+	known := make(map[memberKey]bool, len(before))
 	for _, in := range before {
-		known[newsKey{in.ID, in.Addr}] = true
+		known[memberKey{in.ID, in.Addr}] = true
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	for _, in := range after {
-		if !known[newsKey{in.ID, in.Addr}] {
-			n.add(in)
+		if !known[memberKey{in.ID, in.Addr}] {
+			g.add(in)
 		}
 	}
 }
 
-// Merge takes in what another entry told and returns what is new of it.
-func (n *Gossip) Merge(members []wire.Member) []platform.Instance {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+// Merge queues the members that another entry sent, as far as they are new, and returns
+// those.
+func (g *Gossip) Merge(members []wire.Member) []platform.Instance {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	var fresh []platform.Instance
-	for _, m := range members[:min(len(members), newsPerMessage)] {
+	for _, m := range members[:min(len(members), membersPerMessage)] {
 		in := platform.Instance{ID: m.ID, Role: m.Role, Zone: m.Zone, Addr: m.Addr, State: platform.InstanceLive}
-		if m.ID != "" && m.Addr != "" && n.add(in) {
+		if m.ID != "" && m.Addr != "" && g.add(in) {
 			fresh = append(fresh, in)
 		}
 	}
 	return fresh
 }
 
-// add says whether the instance was not known as news.
-func (n *Gossip) add(in platform.Instance) bool {
-	key := newsKey{in.ID, in.Addr}
-	if n.seen[key] {
+// add queues an instance and returns whether it was new.
+func (g *Gossip) add(in platform.Instance) bool {
+	key := memberKey{in.ID, in.Addr}
+	if g.seen[key] {
 		return false
 	}
-	if len(n.seen) >= mostNews {
-		n.forgetTold()
+	if len(g.seen) >= maxQueuedMembers {
+		g.pruneSeen()
 	}
-	if len(n.pieces) >= mostNews {
-		n.pieces = n.pieces[1:]
+	if len(g.queue) >= maxQueuedMembers {
+		g.queue = g.queue[1:]
 	}
-	n.seen[key] = true
-	n.pieces = append(n.pieces, pieceOfNews{instance: in, left: newsTellings})
+	g.seen[key] = true
+	g.queue = append(g.queue, queuedMember{instance: in, remaining: gossipTransmissions})
 	return true
 }
 
-// forgetTold forgets the keys of what is not told any more.
-func (n *Gossip) forgetTold() {
-	clear(n.seen)
-	for _, p := range n.pieces {
-		n.seen[newsKey{p.instance.ID, p.instance.Addr}] = true
+// pruneSeen forgets the keys of members that are not queued any more.
+func (g *Gossip) pruneSeen() {
+	clear(g.seen)
+	for _, q := range g.queue {
+		g.seen[memberKey{q.instance.ID, q.instance.Addr}] = true
 	}
 }
 
-// NextBatch returns what goes into the next message.
-func (n *Gossip) NextBatch() []wire.Member {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	count := min(len(n.pieces), newsPerMessage)
+// NextBatch returns the members for the next message.
+func (g *Gossip) NextBatch() []wire.Member {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	count := min(len(g.queue), membersPerMessage)
 	var members []wire.Member
-	for _, p := range n.pieces[:count] {
-		in := p.instance
+	for _, q := range g.queue[:count] {
+		in := q.instance
 		members = append(members, wire.Member{ID: in.ID, Role: in.Role, Zone: in.Zone, Addr: in.Addr})
-		if p.left--; p.left > 0 {
-			n.pieces = append(n.pieces, p)
+		if q.remaining--; q.remaining > 0 {
+			g.queue = append(g.queue, q)
 		}
 	}
-	n.pieces = n.pieces[count:]
+	g.queue = g.queue[count:]
 	return members
 }
--- a/membership/gossip_test.go
+++ b/membership/gossip_test.go
@@ -12,33 +12,33 @@
 	"mulberryscale.example/wire"
 )
 
-// TestNewsReachesAll: what one entry reads of the list reaches the others in a
-// few rounds of exchanges between neighbours, and is not told for ever.
-func TestNewsReachesAll(t *testing.T) {
+// TestGossipReachesAllEntries checks that an instance which one entry found on the list reaches
+// all others in a few rounds of exchanges between neighbours, and is then no longer sent.
+func TestGossipReachesAllEntries(t *testing.T) {
 	const n, rounds = 205, 20
 	entries := instanceList(n, 0, 26)
 	index := map[string]int{}
-	news := make([]*Gossip, n)
+	gossips := make([]*Gossip, n)
 	for i, in := range entries {
 		index[in.ID] = i
-		news[i] = NewGossip()
+		gossips[i] = NewGossip()
 	}
 	fresh := platform.Instance{ID: "agent-new", Role: platform.RoleAgent, Zone: "zone-01", Addr: "10.9.9.9:1", State: platform.InstanceLive}
-	news[0].AddNew(entries, append(entries[:n:n], fresh))
+	gossips[0].AddNew(entries, append(entries[:n:n], fresh))
 	rng := rand.New(rand.NewPCG(1, 2))
 	knows := map[int]bool{0: true}
-	told := 0
+	sent := 0
 	var allKnow int
 	for round := range rounds {
 		for i, in := range entries {
 			peers := Neighbours(in.ID, append(entries[:i:i], entries[i+1:]...), 8)
 			j := index[peers[rng.IntN(len(peers))].ID]
-			offer, reply := news[i].NextBatch(), news[j].NextBatch()
-			told += len(offer) + len(reply)
-			if len(news[j].Merge(offer)) > 0 {
+			offer, reply := gossips[i].NextBatch(), gossips[j].NextBatch()
+			sent += len(offer) + len(reply)
+			if len(gossips[j].Merge(offer)) > 0 {
 				knows[j] = true
 			}
-			if len(news[i].Merge(reply)) > 0 {
+			if len(gossips[i].Merge(reply)) > 0 {
 				knows[i] = true
 			}
 		}
@@ -46,46 +46,47 @@
 			allKnow = round + 1
 		}
 	}
-	t.Logf("all %d entries know after %d rounds, %d tellings", n, allKnow, told)
+	t.Logf("all %d entries know the instance after %d rounds, sent %d times", n, allKnow, sent)
 	if len(knows) != n {
-		t.Errorf("%d of %d entries know", len(knows), n)
+		t.Errorf("%d of %d entries know the instance", len(knows), n)
 	}
-	if told > n*newsTellings {
-		t.Errorf("told %d times by %d entries", told, n)
+	if sent > n*gossipTransmissions {
+		t.Errorf("sent %d times by %d entries", sent, n)
 	}
 }
 
-// TestNewsIsBounded: a flood of news neither grows messages nor what is kept.
-func TestNewsIsBounded(t *testing.T) {
-	n := NewGossip()
-	n.AddNew(instanceList(1, 0, 1), instanceList(0, 3000, 4))
-	if len(n.pieces) > mostNews || len(n.seen) > 2*mostNews {
-		t.Errorf("keeps %d pieces and %d keys", len(n.pieces), len(n.seen))
+// TestGossipIsBounded checks that a flood of new instances grows neither the messages nor the
+// queue beyond their bounds.
+func TestGossipIsBounded(t *testing.T) {
+	g := NewGossip()
+	g.AddNew(instanceList(1, 0, 1), instanceList(0, 3000, 4))
+	if len(g.queue) > maxQueuedMembers || len(g.seen) > 2*maxQueuedMembers {
+		t.Errorf("%d queued members and %d seen keys", len(g.queue), len(g.seen))
 	}
-	if got := len(n.NextBatch()); got != newsPerMessage {
-		t.Errorf("told %d pieces in a message", got)
+	if got := len(g.NextBatch()); got != membersPerMessage {
+		t.Errorf("%d members in a message", got)
 	}
-	if fresh := n.Merge(make([]wire.Member, 100)); len(fresh) > 0 {
-		t.Errorf("took in %d members without id and address", len(fresh))
+	if fresh := g.Merge(make([]wire.Member, 100)); len(fresh) > 0 {
+		t.Errorf("%d members without id and address were accepted", len(fresh))
 	}
 }
 
-// TestMerge: news takes the place of a known address unless the agent is live.
+// TestMerge checks that a gossiped address replaces the listed one unless the agent is live.
 func TestMerge(t *testing.T) {
 	list := instanceList(0, 2, 1)
 	view := NewView()
 	view.ApplyList(list)
 	view.ApplyReport(wire.Header{From: list[0].ID, Incarnation: "a"}, wire.Report{Seq: 1}, time.Unix(1000, 0))
-	heard := []platform.Instance{{ID: list[0].ID, Addr: "10.1.1.1:1"}, {ID: list[1].ID, Addr: "10.1.1.2:1"}, {ID: "third", Addr: "10.1.1.3:1"}}
-	merged := merge(list, heard, view.Snapshot())
+	gossiped := []platform.Instance{{ID: list[0].ID, Addr: "10.1.1.1:1"}, {ID: list[1].ID, Addr: "10.1.1.2:1"}, {ID: "third", Addr: "10.1.1.3:1"}}
+	merged := merge(list, gossiped, view.Snapshot())
 	if len(merged) != 3 || merged[0].Addr != list[0].Addr || merged[1].Addr != "10.1.1.2:1" || merged[2].ID != "third" {
 		t.Errorf("merged to %v", merged)
 	}
 }
 
-// TestHeardAgentIsWatched: an agent that another entry tells of is watched long
+// TestGossipedAgentIsWatched checks that an agent which another entry gossips is watched long
 // before the list is read again.
-func TestHeardAgentIsWatched(t *testing.T) {
+func TestGossipedAgentIsWatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
@@ -101,7 +102,7 @@
 		w.MergeGossip([]wire.Member{{ID: in.ID, Role: in.Role, Zone: in.Zone, Addr: in.Addr}})
 		time.Sleep(time.Second)
 		if a := cfg.View.Snapshot().Agent(in.ID); a == nil || a.State != StateLive {
-			t.Errorf("the agent heard of is %+v", a)
+			t.Errorf("the gossiped agent is %+v", a)
 		}
 	})
 }
--- a/membership/intervals.go
+++ b/membership/intervals.go
@@ -2,54 +2,56 @@
 
 import "time"
 
-// Budgets of one entry's control traffic and the costs that they are shared by;
-// docs/CAPACITY.md adds them up.
+// Bandwidth budgets of one entry's control traffic and the sizes of its messages;
+// docs/CAPACITY.md has the totals.
 const (
-	// watchBudget is the bytes a second that the reports of an entry's watches may take.
+	// watchBudget is the bandwidth for the reports of all watches of an entry, in bytes per second.
 	watchBudget = 3200
-	// reportCost is the bytes of one report on the network, both ways, with
-	// QUIC's and UDP's part: BenchmarkWatchQUIC.
-	reportCost = 320
-	// listBudget is the bytes a second that reading the instance list may take.
+	// reportBytes is the size of one report on the network in bytes, both directions and
+	// with the QUIC and UDP overhead, as measured by BenchmarkWatchQUIC.
+	reportBytes = 320
+	// listBudget is the bandwidth for reading the instance list, in bytes per second.
 	listBudget = 2000
-	// lineCost is the bytes of one line of the instance list: BenchmarkInstanceList.
-	lineCost = 94
-	// stepUp is the ratio of one interval to the next shorter one.
-	stepUp = 1.25
+	// listLineBytes is the size of one line of the instance list in bytes, as measured by
+	// BenchmarkInstanceList.
+	listLineBytes = 94
+	// intervalStep is the factor between one report interval and the next longer one.
+	intervalStep = 1.25
 )
 
-// Early reading of a long list: when so many of the watched agents are suspect,
-// the list is read after this part of its interval.
+// A long list is read early when more than suspectShare of the watched agents are suspect:
+// after earlyShare of its interval.
 const (
 	suspectShare = 1.0 / 8
 	earlyShare   = 1.0 / 16
-	// listJitter is how far a long interval is shortened or lengthened at random.
+	// listJitter is the share of a long interval by which it is shortened or lengthened at random.
 	listJitter = 0.25
 )
 
-// WatchIntervals spaces the reports of watched agents so that all of them
-// together stay within watchBudget. Where an entry watches the whole fleet,
-// the configured intervals hold. An agent that leaves or fails reports at once,
-// whatever the interval.
+// WatchIntervals returns the shortest and the longest interval between two reports of a
+// watched agent, such that the reports of all watched agents together stay within
+// watchBudget. If an entry watches the whole fleet, the configured intervals apply. An agent
+// that drains or fails reports at once, whatever the interval.
 func WatchIntervals(shortest, longest time.Duration, watched, agents int) (time.Duration, time.Duration) {
 	if watched >= agents {
 		return shortest, longest
 	}
-	affordable := time.Duration(watched*reportCost) * time.Second / watchBudget
+	affordable := time.Duration(watched*reportBytes) * time.Second / watchBudget
 	spaced := shortest
-	for spaced < affordable { // in steps, so that watches are not opened anew at each change
-		spaced = time.Duration(float64(spaced) * stepUp)
+	for spaced < affordable { // in steps, so that small changes of the fleet don't reopen all watches
+		spaced = time.Duration(float64(spaced) * intervalStep)
 	}
 	return spaced, max(longest, spaced)
 }
 
-// ListInterval spaces the reads of a list of so many lines.
+// ListInterval returns the interval between two reads of an instance list with the given
+// number of lines, within listBudget and no shorter than shortest.
 func ListInterval(shortest time.Duration, lines int) time.Duration {
-	return max(shortest, time.Duration(lines*lineCost)*time.Second/listBudget)
+	return max(shortest, time.Duration(lines*listLineBytes)*time.Second/listBudget)
 }
 
-// listDue says whether the list is to be read again, waited after the last
-// time. Many suspects ask for it early: they may have been replaced.
+// listDue returns whether the list is to be read again when the last read is waited ago. It
+// is read early if many agents are suspect, since they may have been replaced.
 func listDue(waited, interval time.Duration, snap *Snapshot) bool {
 	if waited >= interval {
 		return true
--- a/membership/scale_test.go
+++ b/membership/scale_test.go
@@ -19,7 +19,7 @@
 	designZones   = 26
 )
 
-// instanceList makes a list whose zones get their instances in turn.
+// instanceList returns a list of instances that are dealt to the zones round robin.
 func instanceList(entries, agents, zones int) []platform.Instance {
 	var list []platform.Instance
 	for i := range entries + agents {
@@ -34,7 +34,7 @@
 	return list
 }
 
-// subsets is each entry's choice, by entry.
+// subsets returns the subset of each entry, by the entry's id.
 func subsets(list []platform.Instance, size int) map[string][]platform.Instance {
 	chosen := map[string][]platform.Instance{}
 	for _, in := range list {
@@ -45,7 +45,7 @@
 	return chosen
 }
 
-// watchersByAgent inverts subsets.
+// watchersByAgent counts the watchers of each agent in subsets.
 func watchersByAgent(list []platform.Instance, chosen map[string][]platform.Instance) map[string]int {
 	watchers := map[string]int{}
 	for _, in := range list {
@@ -61,69 +61,70 @@
 	return watchers
 }
 
-// evenness is how evenly subsets spread.
+// evenness holds the smallest and largest counts over all agents or entries: watchers per
+// agent, agents per entry, and agents per entry outside the entry's zone.
 type evenness struct {
-	// Watchers of an agent, agents of an entry and those in other zones than its own.
-	leastWatchers, mostWatchers int
-	leastAgents, mostAgents     int
-	leastFar, mostFar           int
+	minWatchers, maxWatchers int
+	minAgents, maxAgents     int
+	minRemote, maxRemote     int
 }
 
 func measureEvenness(entries, agents int) evenness {
 	list := instanceList(entries, agents, designZones)
 	chosen := subsets(list, DefaultSubset)
-	var counts, sizes, others []int
+	var counts, sizes, remotes []int
 	for _, n := range watchersByAgent(list, chosen) {
 		counts = append(counts, n)
 	}
 	for _, entry := range list[:entries] {
-		mine := chosen[entry.ID]
-		sizes = append(sizes, len(mine))
-		far := slices.DeleteFunc(mine, func(in platform.Instance) bool { return in.Zone == entry.Zone })
-		others = append(others, len(far))
+		subset := chosen[entry.ID]
+		sizes = append(sizes, len(subset))
+		remote := slices.DeleteFunc(subset, func(in platform.Instance) bool { return in.Zone == entry.Zone })
+		remotes = append(remotes, len(remote))
 	}
 	return evenness{
-		slices.Min(counts), slices.Max(counts), slices.Min(sizes), slices.Max(sizes), slices.Min(others), slices.Max(others),
+		slices.Min(counts), slices.Max(counts), slices.Min(sizes), slices.Max(sizes), slices.Min(remotes), slices.Max(remotes),
 	}
 }
 
-// TestSubsetIsEven checks, at a quarter of the design size, that no agent goes
-// unwatched, that subsets are even and that the loss of a zone leaves each
-// entry some agents.
+// TestSubsetIsEven checks, at a quarter of the design size, that every agent is watched, that
+// subsets are of similar size and that each entry still has agents after the loss of its zone.
 func TestSubsetIsEven(t *testing.T) {
 	e := measureEvenness(designEntries/4, designAgents/4)
 	t.Logf("%+v", e)
-	if e.leastWatchers < leastWatchers {
-		t.Errorf("an agent has %d watchers", e.leastWatchers)
+	if e.minWatchers < minWatchers {
+		t.Errorf("an agent has %d watchers", e.minWatchers)
 	}
-	if e.mostAgents > subsetSlack*DefaultSubset || e.leastAgents < DefaultSubset/2 {
-		t.Errorf("subsets have %d to %d agents", e.leastAgents, e.mostAgents)
+	if e.maxAgents > subsetSlack*DefaultSubset || e.minAgents < DefaultSubset/2 {
+		t.Errorf("subsets have %d to %d agents", e.minAgents, e.maxAgents)
 	}
-	if e.leastFar < 1 {
+	if e.minRemote < 1 {
 		t.Error("an entry would have no agent after the loss of its zone")
 	}
 }
 
-// BenchmarkEvenness measures the subsets of the design size. Run it with -benchtime=1x.
+// BenchmarkEvenness measures the spread of subsets at the design size. Run it with
+// -benchtime=1x.
 func BenchmarkEvenness(b *testing.B) {
 	for b.Loop() {
 		e := measureEvenness(designEntries, designAgents)
-		b.ReportMetric(float64(e.leastWatchers), "least-watchers")
-		b.ReportMetric(float64(e.mostWatchers), "most-watchers")
-		b.ReportMetric(float64(e.leastAgents), "least-agents")
-		b.ReportMetric(float64(e.mostAgents), "most-agents")
-		b.ReportMetric(float64(e.leastFar), "least-far")
-		b.ReportMetric(float64(e.mostFar), "most-far")
+		b.ReportMetric(float64(e.minWatchers), "least-watchers")
+		b.ReportMetric(float64(e.maxWatchers), "most-watchers")
+		b.ReportMetric(float64(e.minAgents), "least-agents")
+		b.ReportMetric(float64(e.maxAgents), "most-agents")
+		b.ReportMetric(float64(e.minRemote), "least-far")
+		b.ReportMetric(float64(e.maxRemote), "most-far")
 	}
 }
 
-// TestSubsetMovesLittle removes one entry and one agent from the list.
+// TestSubsetMovesLittle checks that few watches move when one entry and one agent are removed
+// from the list.
 func TestSubsetMovesLittle(t *testing.T) {
 	list := instanceList(82, 1000, 5)
 	before := subsets(list, DefaultSubset)
-	less := slices.Delete(slices.Clone(list), 500, 501)
-	less = slices.Delete(less, 7, 8)
-	after := subsets(less, DefaultSubset)
+	fewer := slices.Delete(slices.Clone(list), 500, 501)
+	fewer = slices.Delete(fewer, 7, 8)
+	after := subsets(fewer, DefaultSubset)
 	moved, total := 0, 0
 	for id, agents := range after {
 		total += len(agents)
@@ -134,13 +135,13 @@
 		}
 	}
 	t.Logf("%d of %d watches are new", moved, total)
-	// The lost entry's watches are taken over, and little else moves.
+	// Other entries take over the removed entry's watches, and few others move.
 	if moved > 2*DefaultSubset {
 		t.Errorf("%d of %d watches are new", moved, total)
 	}
 }
 
-// TestSmallFleetIsWatchedWhole: today's sizes need no subset.
+// TestSmallFleetIsWatchedWhole checks that each entry of a small fleet watches all agents.
 func TestSmallFleetIsWatchedWhole(t *testing.T) {
 	list := instanceList(3, 15, 3)
 	for id, agents := range subsets(list, DefaultSubset) {
@@ -150,22 +151,22 @@
 	}
 }
 
-// TestWatchIntervals: a whole fleet is watched as configured, a subset within
-// the budget.
+// TestWatchIntervals checks that the configured intervals apply if an entry watches the whole
+// fleet, and that the reports of a subset stay within watchBudget.
 func TestWatchIntervals(t *testing.T) {
 	if shortest, _ := WatchIntervals(DefaultMinInterval, DefaultMaxInterval, 15, 15); shortest != DefaultMinInterval {
 		t.Errorf("reports of a small fleet every %v", shortest)
 	}
 	for _, watched := range []int{8, 32, 64, 128} {
 		shortest, longest := WatchIntervals(DefaultMinInterval, DefaultMaxInterval, watched, designAgents)
-		perSecond := float64(watched*reportCost) / shortest.Seconds()
+		perSecond := float64(watched*reportBytes) / shortest.Seconds()
 		if perSecond > watchBudget || longest < shortest {
 			t.Errorf("%d watches, every %v to %v: %.0f B/s", watched, shortest, longest, perSecond)
 		}
 	}
 }
 
-// BenchmarkSubset is the processor time of one choice, by agents.
+// BenchmarkSubset measures the processor time of choosing one subset, by number of agents.
 func BenchmarkSubset(b *testing.B) {
 	for _, agents := range []int{1000, 2500, 5000, 10000} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
@@ -178,7 +179,7 @@
 	}
 }
 
-// BenchmarkInstanceList is the bytes and the decoding time of a list, by lines.
+// BenchmarkInstanceList measures the size and the decoding time of a list, by number of lines.
 func BenchmarkInstanceList(b *testing.B) {
 	for _, lines := range []int{1000, 2500, 5000, 10820} {
 		b.Run(fmt.Sprintf("lines=%d", lines), func(b *testing.B) {
@@ -197,7 +198,7 @@
 	}
 }
 
-// testReport is a report of a busy agent that works for a number of rows.
+// testReport returns a report of a busy agent that serves the given number of rows.
 func testReport(rows int) wire.Reply {
 	r := &wire.Report{Seq: 123456, Zone: "zone-07", Healthy: true, Slots: 64, Running: 60, Queued: 200, QueuedTokens: 150000, Capacity: 800}
 	r.Models = []wire.ModelReport{{Model: "guide-model", Version: 1234, Ready: true}, {Model: "siphon-model", Version: 321, Ready: true}}
@@ -208,8 +209,8 @@
 	return wire.Reply{Header: h, Report: r}
 }
 
-// BenchmarkReport is one report decoded and taken in by an entry that watches a
-// number of agents, and its bytes as CBOR.
+// BenchmarkReport measures decoding a CBOR report and applying it to the view, by number of
+// watched agents.
 func BenchmarkReport(b *testing.B) {
 	for _, watched := range []int{8, 32, 64, 128} {
 		b.Run(fmt.Sprintf("watched=%d", watched), func(b *testing.B) {
@@ -235,7 +236,7 @@
 	}
 }
 
-// BenchmarkReportSize is the bytes of a report as CBOR, by rows.
+// BenchmarkReportSize measures the size of a report as CBOR, by number of rows.
 func BenchmarkReportSize(b *testing.B) {
 	for _, rows := range []int{1, 4, 16, 64} {
 		b.Run(fmt.Sprintf("rows=%d", rows), func(b *testing.B) {
@@ -251,7 +252,7 @@
 	}
 }
 
-// TestListDue: a long list is read rarely, and early when many agents are suspect.
+// TestListDue checks that a long list is read rarely, and early if many agents are suspect.
 func TestListDue(t *testing.T) {
 	interval := ListInterval(DefaultListInterval, designEntries+designAgents)
 	if interval < 5*time.Minute || ListInterval(DefaultListInterval, 24) != DefaultListInterval {
@@ -261,7 +262,7 @@
 	agents := instanceList(0, 40, 4)
 	view.ApplyList(agents)
 	if listDue(interval-1, interval, view.Snapshot()) || !listDue(interval, interval, view.Snapshot()) {
-		t.Error("not read just at its interval")
+		t.Error("not read exactly at its interval")
 	}
 	for _, in := range agents[:6] {
 		view.MarkSuspect(in.ID)
@@ -271,18 +272,18 @@
 	}
 }
 
-// TestNeighboursConnect: from any entry, all others are reached by way of neighbours.
+// TestNeighboursConnect checks that the graph of neighbours connects practically all entries.
 func TestNeighboursConnect(t *testing.T) {
 	const n = designEntries / 4
 	entries := instanceList(n, 0, designZones)
 	for _, start := range []int{0, n / 2} {
 		reached := map[string]bool{entries[start].ID: true}
-		for front := []string{entries[start].ID}; len(front) > 0; front = front[1:] {
-			others := slices.DeleteFunc(slices.Clone(entries), func(in platform.Instance) bool { return in.ID == front[0] })
-			for _, in := range Neighbours(front[0], others, 8) {
+		for queue := []string{entries[start].ID}; len(queue) > 0; queue = queue[1:] {
+			others := slices.DeleteFunc(slices.Clone(entries), func(in platform.Instance) bool { return in.ID == queue[0] })
+			for _, in := range Neighbours(queue[0], others, 8) {
 				if !reached[in.ID] {
 					reached[in.ID] = true
-					front = append(front, in.ID)
+					queue = append(queue, in.ID)
 				}
 			}
 		}
--- a/membership/snapshot.go
+++ b/membership/snapshot.go
@@ -1,6 +1,6 @@
-// Package membership is what an entry instance knows of agents and of other
-// entries. Direct evidence (an agent's own reports) decides; the platform's
-// lagging instance list only says whom to ask.
+// Package membership tracks the agents and the other entries that an entry instance knows.
+// An agent's own reports decide its state. The platform's instance list lags behind and is
+// used only to discover the instances.
 package membership
 
 import (
@@ -12,22 +12,24 @@
 	"mulberryscale.example/wire"
 )
 
-// State is an agent's state in an entry's view, a state of the chart agent.yaml.
+// State is an agent's state in an entry's view, one of the states of the state chart
+// agent.yaml.
 type State string
 
 // States of an agent.
 const (
-	// StateNew: listed, and not heard from yet.
+	// StateNew is an agent on the instance list that has not reported yet.
 	StateNew State = "new"
-	// StateLive: its reports arrive.
+	// StateLive is an agent whose reports arrive.
 	StateLive State = "live"
-	// StateSuspect: its reports stopped, or a call to it failed.
+	// StateSuspect is an agent whose reports stopped or to which a call failed.
 	StateSuspect State = "suspect"
-	// StateLeaving: it or the instance list said that it leaves; it stays so for the incarnation.
+	// StateLeaving is an agent that drains according to itself or to the instance list. This
+	// is final for its incarnation.
 	StateLeaving State = "leaving"
 )
 
-// Agent is one agent in a snapshot. It must not be changed.
+// Agent is one agent in a snapshot. It must not be modified.
 type Agent struct {
 	ID          string
 	Addr        string // "ip:port"
@@ -36,38 +38,38 @@
 	State       State
 	Report      wire.Report
 	ReportedAt  time.Time
-	// InFlight counts this entry's own runs at the agent. It is shared by all snapshots.
+	// InFlight counts this entry's own unfinished runs at the agent. All snapshots share it.
 	InFlight *InFlight
-	// sendsAtReport is Sends when the report arrived.
-	sendsAtReport int64
+	// inFlightAtReport is the count of InFlight when the report arrived.
+	inFlightAtReport int64
 }
 
 // InFlight counts an entry's own unfinished runs at one agent.
 type InFlight struct{ n atomic.Int64 }
 
-// Begin counts a run that is sent.
+// Begin adds a run that is being sent.
 func (s *InFlight) Begin() { s.n.Add(1) }
 
-// End counts a run that ended.
+// End removes a run that has finished, whatever its outcome.
 func (s *InFlight) End() { s.n.Add(-1) }
 
-// Count is the number of unfinished runs.
+// Count returns the number of unfinished runs.
 func (s *InFlight) Count() int64 { return s.n.Load() }
 
-// Load estimates the runs at the agent now: its report, corrected by what this
-// entry itself began and ended since the report arrived.
+// Load estimates the number of runs at the agent now: those in its last report, corrected by
+// the runs that this entry has started and finished since the report arrived.
 func (a *Agent) Load() int64 {
 	own := a.InFlight.Count()
 	reported := int64(a.Report.Running + a.Report.Queued)
-	return max(own, reported+own-a.sendsAtReport)
+	return max(own, reported+own-a.inFlightAtReport)
 }
 
-// Free estimates the free slots at the agent; negative when runs queue there.
+// Free estimates the number of free slots at the agent. It is negative if runs queue there.
 func (a *Agent) Free() int64 {
 	return int64(a.Report.Slots) - a.Load()
 }
 
-// Model returns the agent's report of a model; the second result is false when it has none.
+// Model returns the agent's report on a model, or false if its report does not list the model.
 func (a *Agent) Model(model string) (wire.ModelReport, bool) {
 	for _, m := range a.Report.Models {
 		if m.Model == model {
@@ -77,7 +79,7 @@
 	return wire.ModelReport{}, false
 }
 
-// Serves says whether the agent's endpoint is the plain service of a row.
+// Serves returns whether the agent's endpoint is the plain service of a row.
 func (a *Agent) Serves(row string) bool {
 	return slices.Contains(a.Report.Services, row)
 }
@@ -87,7 +89,7 @@
 	Agents []*Agent
 }
 
-// Agent returns the agent with that id, or nil.
+// Agent returns the agent with the given id, or nil.
 func (s *Snapshot) Agent(id string) *Agent {
 	i, found := slices.BinarySearchFunc(s.Agents, id, func(a *Agent, id string) int {
 		return strings.Compare(a.ID, id)
--- a/membership/subset.go
+++ b/membership/subset.go
@@ -11,42 +11,41 @@
 	"mulberryscale.example/platform"
 )
 
-// Bounds of a subset.
+// Bounds on subsets and watchers.
 const (
-	// leastWatchers is how many entries watch each agent, where there are so
-	// many, so that the loss of one entry leaves no agent without work.
-	leastWatchers = 2
-	// subsetSlack bounds a subset to so many times its intended size.
+	// minWatchers is the minimum number of entries that watch each agent, if there are that
+	// many entries, so that no agent runs out of work when one entry fails.
+	minWatchers = 2
+	// subsetSlack is the maximum size of a subset as a multiple of its intended size.
 	subsetSlack = 2
 )
 
-// Subset chooses the agents that an entry watches: size of them in the mean
-// over all entries, and at most twice as many. It draws from the agents' side:
-// each agent gets the same number of watchers, a quarter of them in other zones,
-// ranked by rendezvous hashing. So no agent goes unwatched, and an instance that
-// comes or goes moves few watches.
+// Subset returns the agents that an entry watches: size agents in the mean over all entries,
+// and at most twice as many. Watchers are assigned per agent: each agent gets the same number
+// of watchers, a quarter of them in other zones, ranked by rendezvous hashing. So every agent
+// is watched, and an instance that joins or leaves moves few watches.
 func Subset(entryID, zone string, instances []platform.Instance, size int) []platform.Instance {
-	entries, agents := split(entryID, zone, instances)
-	quota := watchersOf(len(entries), len(agents), size)
+	entries, agents := splitByRole(entryID, zone, instances)
+	quota := watchersPerAgent(len(entries), len(agents), size)
 	self := candidate{hash: xxhash.Sum64String(entryID), zone: zone}
 	rivals := map[string][]uint64{} // by the agents' zone
 	var chosen []platform.Instance
 	for _, in := range agents {
 		if _, ok := rivals[in.Zone]; !ok {
-			rivals[in.Zone] = sameSide(self, in.Zone, entries)
+			rivals[in.Zone] = sameLocality(self, in.Zone, entries)
 		}
 		if watches(self, in, rivals[in.Zone], len(entries), quota) {
 			chosen = append(chosen, in)
 		}
 	}
-	most := subsetSlack * size
-	if len(chosen) <= most {
+	limit := subsetSlack * size
+	if len(chosen) <= limit {
 		return chosen
 	}
 	slices.SortFunc(chosen, func(a, b platform.Instance) int {
 		return cmp.Compare(rankOf(self.hash, xxhash.Sum64String(b.ID)), rankOf(self.hash, xxhash.Sum64String(a.ID)))
 	})
-	return chosen[:most:most]
+	return chosen[:limit:limit]
 }
 
 // candidate is an entry that may watch an agent.
@@ -55,9 +54,9 @@
 	zone string
 }
 
-// split sorts out the list. The entry itself counts even if the list does not
-// name it yet.
-func split(entryID, zone string, instances []platform.Instance) (entries []candidate, agents []platform.Instance) {
+// splitByRole returns the entries and the agents of the list. The entry itself is included
+// even if it is not on the list yet.
+func splitByRole(entryID, zone string, instances []platform.Instance) (entries []candidate, agents []platform.Instance) {
 	entries = append(entries, candidate{hash: xxhash.Sum64String(entryID), zone: zone})
 	for _, in := range instances {
 		switch {
@@ -70,18 +69,18 @@
 	return entries, agents
 }
 
-// watchersOf is how many entries watch each agent.
-func watchersOf(entries, agents, size int) int {
+// watchersPerAgent returns the number of entries that watch each agent.
+func watchersPerAgent(entries, agents, size int) int {
 	if agents == 0 {
 		return 0
 	}
 	mean := int(math.Round(float64(size) * float64(entries) / float64(agents)))
-	return min(entries, max(leastWatchers, mean))
+	return min(entries, max(minWatchers, mean))
 }
 
-// sameSide are the entries that stand to a zone's agents as self does: all of
-// the zone, or all of the others, self among them.
-func sameSide(self candidate, zone string, entries []candidate) []uint64 {
+// sameLocality returns the hashes of the entries in the zone if self is in the zone, else
+// those of the entries outside it, in both cases with self.
+func sameLocality(self candidate, zone string, entries []candidate) []uint64 {
 	var hashes []uint64
 	for _, e := range entries {
 		if (e.zone == zone) == (self.zone == zone) {
@@ -91,26 +90,26 @@
 	return hashes
 }
 
-// watches says whether self is among the agent's watchers. Rivals are the
-// entries on self's side of the border of the agent's zone.
+// watches returns whether self is among the agent's watchers. rivals are all entries in the
+// agent's zone if self is in it, else all entries outside that zone.
 func watches(self candidate, agent platform.Instance, rivals []uint64, entries, quota int) bool {
-	isNear := self.zone == agent.Zone
-	near := len(rivals)
-	if !isNear {
-		near = entries - len(rivals)
+	isLocal := self.zone == agent.Zone
+	local := len(rivals)
+	if !isLocal {
+		local = entries - len(rivals)
 	}
-	farQuota := max(quota/4, quota-near)
-	if quota >= leastWatchers {
-		farQuota = max(farQuota, 1)
+	remoteQuota := max(quota/4, quota-local)
+	if quota >= minWatchers {
+		remoteQuota = max(remoteQuota, 1)
 	}
-	farQuota = min(farQuota, entries-near)
-	if isNear {
-		return ranksWithin(self.hash, agent.ID, rivals, quota-farQuota)
+	remoteQuota = min(remoteQuota, entries-local)
+	if isLocal {
+		return ranksWithin(self.hash, agent.ID, rivals, quota-remoteQuota)
 	}
-	return ranksWithin(self.hash, agent.ID, rivals, farQuota)
+	return ranksWithin(self.hash, agent.ID, rivals, remoteQuota)
 }
 
-// ranksWithin says whether fewer than allowed rivals rank before self.
+// ranksWithin returns whether fewer than allowed rivals rank before self.
 func ranksWithin(self uint64, agentID string, rivals []uint64, allowed int) bool {
 	agent := xxhash.Sum64String(agentID)
 	own := rankOf(self, agent)
@@ -126,9 +125,9 @@
 	return before < allowed
 }
 
-// Neighbours chooses at most n of the instances, by rendezvous hashing on the
-// ids, for a process to keep connections to. The choice is stable when others
-// come and go.
+// Neighbours returns at most n of the instances, chosen by rendezvous hashing on the ids, for
+// the process with the given id to keep connections to. The choice changes little when
+// instances join or leave.
 func Neighbours(id string, instances []platform.Instance, n int) []platform.Instance {
 	if len(instances) <= n {
 		return instances
--- a/membership/view.go
+++ b/membership/view.go
@@ -12,8 +12,9 @@
 	"mulberryscale.example/wire"
 )
 
-// View gathers evidence on agents and publishes snapshots. It is safe for
-// concurrent use; Snapshot takes no lock.
+// View combines the instance list, the agents' reports and failed calls into the state of
+// each agent, and publishes it as snapshots. It is safe for concurrent use; Snapshot takes no
+// lock.
 type View struct {
 	mu      sync.Mutex
 	agents  map[string]*Agent
@@ -33,44 +34,43 @@
 // Snapshot returns the newest snapshot.
 func (v *View) Snapshot() *Snapshot { return v.current.Load() }
 
-// Changed is closed when the next snapshot is published.
+// Changed returns a channel that is closed when the next snapshot is published.
 func (v *View) Changed() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.changed
 }
 
-// Entries returns the other entries that the instance list named last. Callers must not change it.
+// Entries returns the other entries of the last instance list. Callers must not modify it.
 func (v *View) Entries() []platform.Instance { return *v.entries.Load() }
 
-// SetEntries takes in the other entries of the instance list.
+// SetEntries stores the other entries of the instance list.
 func (v *View) SetEntries(entries []platform.Instance) { v.entries.Store(&entries) }
 
-// ApplyList takes in the watched lines of the instance list. Agents that the list
-// no longer names are forgotten only when they are not live by their own
-// reports, since the list lags. A list without any agent is not believed: it
-// would leave nothing to route to.
+// ApplyList updates the view with the watched agents of the instance list. An agent that is no
+// longer on the list is removed only if it is not live by its own reports, since the list lags
+// behind. A list without any agent is ignored: it would leave nothing to route to.
 func (v *View) ApplyList(instances []platform.Instance) {
 	if len(instances) == 0 {
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	named := make(map[string]bool, len(instances))
+	listed := make(map[string]bool, len(instances))
 	for _, in := range instances {
-		named[in.ID] = true
-		v.list(in)
+		listed[in.ID] = true
+		v.applyInstance(in)
 	}
 	maps.DeleteFunc(v.agents, func(id string, a *Agent) bool {
-		return !named[id] && a.State != StateLive
+		return !listed[id] && a.State != StateLive
 	})
 	v.publish()
 }
 
-func (v *View) list(in platform.Instance) {
+func (v *View) applyInstance(in platform.Instance) {
 	a := v.copyOf(in.ID)
 	if a.Addr != in.Addr {
-		// Another instance under the same id: what was known does not hold for it.
+		// Another instance under the same id: the former one's state does not apply to it.
 		*a = Agent{ID: in.ID, State: StateNew, InFlight: a.InFlight}
 	}
 	a.Addr = in.Addr
@@ -81,8 +81,8 @@
 	v.agents[in.ID] = a
 }
 
-// ApplyReport takes in an agent's report and says whether it was newer than the
-// one known. A report that arrives late or out of order is dropped.
+// ApplyReport updates the view with an agent's report and returns whether it was newer than
+// the last one. A report that arrives late or out of order is dropped.
 func (v *View) ApplyReport(h wire.Header, r wire.Report, now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -99,7 +99,7 @@
 	a.Incarnation = h.Incarnation
 	a.Report = r
 	a.ReportedAt = now
-	a.sendsAtReport = a.InFlight.Count()
+	a.inFlightAtReport = a.InFlight.Count()
 	v.agents[a.ID] = a
 	v.publish()
 	return true
@@ -115,12 +115,12 @@
 	return StateLive
 }
 
-// MarkSuspect records that an agent's reports stopped or that a call to it failed.
+// MarkSuspect records that an agent's reports stopped or that a call to the agent failed.
 func (v *View) MarkSuspect(id string) {
 	v.setState(id, StateSuspect)
 }
 
-// MarkLeaving records that an agent said that it is draining.
+// MarkLeaving records that an agent has said that it is draining.
 func (v *View) MarkLeaving(id string) {
 	v.setState(id, StateLeaving)
 }
--- a/membership/watcher.go
+++ b/membership/watcher.go
@@ -15,21 +15,21 @@
 	"mulberryscale.example/wire"
 )
 
-// WatcherConfig holds a watcher's dependencies and intervals.
+// WatcherConfig holds the dependencies and settings of a Watcher.
 type WatcherConfig struct {
-	// EntryID and Zone are this entry's own.
+	// EntryID and Zone are the id and the availability zone of this entry.
 	EntryID string
 	Zone    string
 	View    *View
 	Dialer  transport.Dialer
 	List    platform.InstanceList
-	// Header makes the header of a watch request.
+	// Header returns the header for a watch request.
 	Header func() wire.Header
-	// Observe takes in the header of each report; it may be nil.
+	// Observe is called with the header of each report; it may be nil.
 	Observe func(wire.Header)
-	// Subset is how many agents an entry watches in the mean of all entries.
+	// Subset is the mean number of agents that an entry watches, over all entries.
 	Subset int
-	// ListInterval is how often the instance list is read.
+	// ListInterval is the shortest interval between two reads of the instance list.
 	ListInterval time.Duration
 	// MinInterval and MaxInterval bound the time between two reports of an agent.
 	MinInterval time.Duration
@@ -43,34 +43,36 @@
 	DefaultListInterval = 2 * time.Second
 	DefaultMinInterval  = 50 * time.Millisecond
 	DefaultMaxInterval  = time.Second
-	// silentIntervals is how many MaxIntervals without a report make a suspect.
+	// silentIntervals is the number of MaxIntervals without a report after which an agent is
+	// suspect.
 	silentIntervals = 3
-	firstRedial     = 50 * time.Millisecond
-	mostRedial      = 2 * time.Second
+	minRedialDelay  = 50 * time.Millisecond
+	maxRedialDelay  = 2 * time.Second
 )
 
-// Watcher keeps a View up to date: it reads the instance list, chooses the
-// subset to watch, and holds one watch stream to each agent of it.
+// Watcher keeps a View up to date: it reads the instance list, chooses the subset of agents to
+// watch, and keeps a watch stream to each of them.
 type Watcher struct {
 	cfg     WatcherConfig
 	mu      sync.Mutex
 	watches map[watchKey]context.CancelFunc
 	wg      sync.WaitGroup
-	// listed is the list read last with what was heard since; Run alone uses it.
-	listed []platform.Instance
-	news   *Gossip
-	heard  chan []platform.Instance
+	// lastList is the last instance list with the members gossiped since. Only the goroutine
+	// of Run uses it.
+	lastList []platform.Instance
+	gossip   *Gossip
+	gossiped chan []platform.Instance
 }
 
-// watchKey names one watch stream: an id can come back at another address, and
-// a fleet that grows or shrinks changes the interval of reports.
+// watchKey identifies a watch stream. An id can come back at another address, and a fleet that
+// grows or shrinks changes the interval of reports.
 type watchKey struct {
 	id, addr string
 	shortest time.Duration
 	longest  time.Duration
 }
 
-// NewWatcher returns a watcher; zero intervals and sizes get their defaults.
+// NewWatcher returns a watcher. Zero intervals and sizes are replaced by their defaults.
 func NewWatcher(cfg WatcherConfig) *Watcher {
 	if cfg.Subset == 0 {
 		cfg.Subset = DefaultSubset
@@ -85,11 +87,11 @@
 		cfg.MaxInterval = DefaultMaxInterval
 	}
 	return &Watcher{
-		cfg: cfg, watches: map[watchKey]context.CancelFunc{}, news: NewGossip(), heard: make(chan []platform.Instance, mostNews),
+		cfg: cfg, watches: map[watchKey]context.CancelFunc{}, gossip: NewGossip(), gossiped: make(chan []platform.Instance, maxQueuedMembers),
 	}
 }
 
-// Run watches until ctx ends.
+// Run reads the list and watches agents until ctx is cancelled.
 func (w *Watcher) Run(ctx context.Context) {
 	defer w.wg.Wait()
 	for ctx.Err() == nil {
@@ -98,10 +100,10 @@
 	}
 }
 
-// listInterval is when to read the list again. A reading that failed is
-// repeated early; entries that started together come apart by jitter.
+// listInterval returns the time until the next read of the list. A failed read is retried
+// early. Jitter spreads the reads of entries that started together.
 func (w *Watcher) listInterval(read bool) time.Duration {
-	interval := ListInterval(w.cfg.ListInterval, len(w.listed))
+	interval := ListInterval(w.cfg.ListInterval, len(w.lastList))
 	if !read {
 		interval = time.Duration(float64(interval) * earlyShare)
 	}
@@ -111,8 +113,8 @@
 	return time.Duration(float64(interval) * (1 - listJitter + 2*listJitter*rand.Float64()))
 }
 
-// awaitListDue waits until the list is to be read again or ctx ends, and
-// meanwhile takes in what other entries tell.
+// awaitListDue waits until the list is to be read again or ctx is cancelled, and meanwhile
+// applies the members that other entries gossip.
 func (w *Watcher) awaitListDue(ctx context.Context, interval time.Duration) {
 	read := time.Now()
 	tick := time.NewTicker(w.cfg.ListInterval)
@@ -122,34 +124,34 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-		case heard := <-w.heard:
-			w.apply(ctx, merge(w.listed, heard, w.cfg.View.Snapshot()))
+		case members := <-w.gossiped:
+			w.apply(ctx, merge(w.lastList, members, w.cfg.View.Snapshot()))
 		}
 	}
 }
 
-// GossipBatch is what this entry tells others of instances.
-func (w *Watcher) GossipBatch() []wire.Member { return w.news.NextBatch() }
+// GossipBatch returns the members for the next gossip message to another entry.
+func (w *Watcher) GossipBatch() []wire.Member { return w.gossip.NextBatch() }
 
-// MergeGossip takes in what another entry tells of instances. It never blocks: what
-// finds no room is learnt from the list.
+// MergeGossip passes on the members that another entry gossips. It never blocks: if the
+// channel is full, the members are dropped and found on the next read of the list.
 func (w *Watcher) MergeGossip(members []wire.Member) {
-	fresh := w.news.Merge(members)
+	fresh := w.gossip.Merge(members)
 	if len(fresh) == 0 {
 		return
 	}
 	select {
-	case w.heard <- fresh:
+	case w.gossiped <- fresh:
 	default:
 	}
 }
 
-// merge adds instances that were heard of to a list. An address that was heard
-// takes the place of a known one unless the agent there is live: the list is
-// older than the news, but an agent's own reports are newer than both.
-func merge(listed, heard []platform.Instance, snap *Snapshot) []platform.Instance {
+// merge adds gossiped instances to a list. A gossiped address replaces the listed one unless
+// the agent at the listed one is live: gossip is newer than the list, but an agent's own
+// reports are newer than both.
+func merge(listed, gossiped []platform.Instance, snap *Snapshot) []platform.Instance {
 	merged := slices.Clone(listed)
-	for _, in := range heard {
+	for _, in := range gossiped {
 		i := slices.IndexFunc(merged, func(known platform.Instance) bool { return known.ID == in.ID })
 		if i < 0 {
 			merged = append(merged, in)
@@ -162,32 +164,32 @@
 	return merged
 }
 
-// refresh reads the list once and says whether it could. When the list is down,
-// the last view stays.
+// refresh reads the list once and returns whether that succeeded. If it fails, the view stays
+// as it is.
 func (w *Watcher) refresh(ctx context.Context) bool {
 	instances, err := w.cfg.List.Instances(ctx)
 	if err != nil {
 		w.cfg.Log.WithError(err).Warn("instance list not read; the last view stays")
 		return false
 	}
-	w.news.AddNew(w.listed, instances)
+	w.gossip.AddNew(w.lastList, instances)
 	w.apply(ctx, instances)
 	return true
 }
 
-// apply chooses the agents to watch from a list.
+// apply updates the view with a list, and starts and stops watches to match its subset.
 func (w *Watcher) apply(ctx context.Context, instances []platform.Instance) {
 	subset := Subset(w.cfg.EntryID, w.cfg.Zone, instances, w.cfg.Subset)
 	w.cfg.View.SetEntries(w.otherEntries(instances))
 	w.cfg.View.ApplyList(subset)
-	w.listed = instances
-	wanted := w.keys(instances, subset)
-	w.follow(ctx, subset, wanted)
-	w.unfollow(instances, wanted)
+	w.lastList = instances
+	keys := w.watchKeys(instances, subset)
+	w.startWatches(ctx, subset, keys)
+	w.stopWatches(instances, keys)
 }
 
-// keys names the watches of a subset, in its order.
-func (w *Watcher) keys(instances, subset []platform.Instance) []watchKey {
+// watchKeys returns the keys of the watches of a subset, in the order of the subset.
+func (w *Watcher) watchKeys(instances, subset []platform.Instance) []watchKey {
 	agents := 0
 	for _, in := range instances {
 		if in.Role == platform.RoleAgent {
@@ -212,8 +214,8 @@
 	return entries
 }
 
-// follow starts a watch for each agent of the subset that has none.
-func (w *Watcher) follow(ctx context.Context, subset []platform.Instance, keys []watchKey) {
+// startWatches starts a watch for each agent of the subset that is not watched yet.
+func (w *Watcher) startWatches(ctx context.Context, subset []platform.Instance, keys []watchKey) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i, in := range subset {
@@ -227,12 +229,11 @@
 	}
 }
 
-// unfollow ends the watches of agents that left the subset. An agent that the
-// list does not name at all stays watched while its reports arrive, since the
-// list lags.
-func (w *Watcher) unfollow(listed []platform.Instance, wanted []watchKey) {
-	inSubset := make(map[watchKey]bool, len(wanted))
-	for _, key := range wanted {
+// stopWatches cancels the watches of agents that are no longer in the subset. An agent that is
+// not on the list at all stays watched while its reports arrive, since the list lags behind.
+func (w *Watcher) stopWatches(listed []platform.Instance, keys []watchKey) {
+	inSubset := make(map[watchKey]bool, len(keys))
+	for _, key := range keys {
 		inSubset[key] = true
 	}
 	isListed := make(map[string]bool, len(listed))
@@ -249,12 +250,12 @@
 		cancel()
 		delete(w.watches, key)
 		if !w.isWatched(key.id) {
-			w.cfg.View.MarkSuspect(key.id) // and forgotten at the next reading of the list
+			w.cfg.View.MarkSuspect(key.id) // and removed at the next read of the list
 		}
 	}
 }
 
-// isWatched says whether a watch of the agent runs. The caller holds the lock.
+// isWatched returns whether a watch of the agent is running. The caller holds w.mu.
 func (w *Watcher) isWatched(id string) bool {
 	for key := range w.watches {
 		if key.id == id {
@@ -269,16 +270,16 @@
 	return a != nil && a.Addr == key.addr && a.State == StateLive
 }
 
-// watch holds the watch stream to one agent, redialling when it breaks.
+// watch keeps a watch stream to one agent and reopens it, with backoff, when it breaks.
 func (w *Watcher) watch(ctx context.Context, in platform.Instance, key watchKey) {
-	delays := retry.NewBackoff(firstRedial, mostRedial)
+	delays := retry.NewBackoff(minRedialDelay, maxRedialDelay)
 	for ctx.Err() == nil {
-		got := w.watchOnce(ctx, in, key)
+		reports := w.watchOnce(ctx, in, key)
 		if ctx.Err() != nil {
 			return
 		}
 		w.cfg.View.MarkSuspect(in.ID)
-		if got > 0 {
+		if reports > 0 {
 			delays.Reset()
 		}
 		select {
@@ -288,7 +289,8 @@
 	}
 }
 
-// watchOnce returns how many reports one stream brought.
+// watchOnce opens one watch stream, handles its reports until it closes, and returns their
+// number.
 func (w *Watcher) watchOnce(ctx context.Context, in platform.Instance, key watchKey) int {
 	s, err := w.cfg.Dialer.Open(ctx, in.Addr)
 	if err != nil {
@@ -302,8 +304,8 @@
 	}
 	stop := context.AfterFunc(ctx, func() { s.Close() })
 	defer stop()
-	silent := silentIntervals * key.longest
-	timer := time.AfterFunc(silent, func() { s.Close() })
+	timeout := silentIntervals * key.longest
+	timer := time.AfterFunc(timeout, func() { s.Close() })
 	defer timer.Stop()
 	reports := 0
 	for {
@@ -311,13 +313,13 @@
 		if err := s.Recv(&r); err != nil {
 			return reports
 		}
-		timer.Reset(silent)
+		timer.Reset(timeout)
 		reports++
-		w.take(&r)
+		w.handleReply(&r)
 	}
 }
 
-func (w *Watcher) take(r *wire.Reply) {
+func (w *Watcher) handleReply(r *wire.Reply) {
 	if w.cfg.Observe != nil {
 		w.cfg.Observe(r.Header)
 	}
--- a/membership/watcher_bench_test.go
+++ b/membership/watcher_bench_test.go
@@ -26,7 +26,7 @@
 
 func (l fixedList) Instances(context.Context) ([]platform.Instance, error) { return l, nil }
 
-// serveReports answers watches with reports until they end.
+// serveReports returns a handler that answers a watch with reports until the watch is closed.
 func serveReports(id string) transport.Handler {
 	return func(ctx context.Context, s transport.Stream) {
 		var req wire.Request
@@ -45,7 +45,7 @@
 	}
 }
 
-// serveAgents serves reports of the listed agents and notes their addresses in the list.
+// serveAgents serves reports of the listed agents and sets their addresses in the list.
 func serveAgents(ctx context.Context, tb testing.TB, running *sync.WaitGroup, list []platform.Instance) *memtransport.Network {
 	tb.Helper()
 	network := memtransport.NewNetwork()
@@ -60,7 +60,7 @@
 	return network
 }
 
-// watcherConfig is the settings of entry-1's watcher with a list that does not change.
+// watcherConfig returns the settings of the watcher of entry-1 with a list that does not change.
 func watcherConfig(network *memtransport.Network, list []platform.Instance) WatcherConfig {
 	log := logrus.New()
 	log.SetLevel(logrus.PanicLevel)
@@ -70,9 +70,9 @@
 	}
 }
 
-// BenchmarkWatcher is the processor time of a report from the agent's message
-// to the entry's snapshot, both ends in memory, and the memory of a watch, by
-// watched agents. Run it with -benchtime=1x.
+// BenchmarkWatcher measures the processor time of a report, from the agent's message to the
+// entry's snapshot with both in one process, and the memory of a watch, by number of watched
+// agents. Run it with -benchtime=1x.
 func BenchmarkWatcher(b *testing.B) {
 	for _, n := range []int{8, 32, 64, 128} {
 		b.Run(fmt.Sprintf("watched=%d", n), func(b *testing.B) {
