--- a/fleet/config.go
+++ b/fleet/config.go
@@ -1,6 +1,6 @@
-// Package fleet holds what a process believes of the deployment: the operators'
-// configuration, the instances that are registered, and the weight versions that
-// trainers have named. What it hands out are immutable snapshots.
+// Package fleet holds a process's local copy of the state of the deployment: the operators'
+// configuration, the registered instances, and the weight versions that trainers have named.
+// It hands out immutable snapshots.
 package fleet
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind is the kind of a route. It determines whether the route's requests may be retried.
 type Kind string
 
 // Kinds of routes.
@@ -28,43 +28,44 @@
 	KindBatch Kind = "batch"
 )
 
-// Backend is a service that a route sends to.
+// Backend is a service that a route sends requests to.
 type Backend struct {
 	Service string
-	// Weight is its share among the route's backends, relative to the others.
+	// Weight is its share of the route's requests, relative to the route's other backends.
 	Weight float64
 }
 
-// Route is one row of the configuration.
+// Route is a row of the configuration that tells how to serve requests of a host and path.
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins and ends with a slash; the longest that matches wins.
+	// Prefix is a path prefix that begins and ends with a slash. The longest match wins.
 	Prefix   string
 	Kind     Kind
 	Backends []Backend
-	// Timeout is how long the operator wants a request kept waiting.
+	// Timeout is how long a request may take until it is answered.
 	Timeout time.Duration
-	// Objective is the time within which an answer earns its full credit.
+	// Objective is the latency objective: an answer within it gets full credit.
 	Objective time.Duration
-	// Priority is the rank among routes, 0 the highest.
+	// Priority is the rank among routes; 0 is the highest.
 	Priority int
-	// MaxAttempts bounds the endpoints that one request may be sent to.
+	// MaxAttempts is the maximum number of endpoints that one request may be sent to.
 	MaxAttempts int
-	// Resumable streams may go on at another endpoint after their last event.
+	// Resumable streams may be continued at another endpoint after their last event.
 	Resumable bool
-	// SingleVersion wants all of an item's text from one weight version.
+	// SingleVersion requires that all of an item's text comes from one weight version.
 	SingleVersion bool
-	// ItemTTL is how long after its submission an item may be given up.
+	// ItemTTL is the time after its submission after which an item may be abandoned.
 	ItemTTL time.Duration
-	// RunTarget is how long after its submission a batch job should be done.
+	// RunTarget is the time after its submission within which a batch job should be done.
 	RunTarget time.Duration
-	// Anonymous routes take requests without the key of an organisation.
+	// Anonymous routes accept requests without the key of an organisation.
 	Anonymous bool
 }
 
-// Backend picks the service for a request by the backends' weights; the same
-// request always gets the same. It is empty for a route without backends.
+// Backend returns the service for a request, chosen by the backends' weights and a hash of the
+// request, so that the same request always gets the same service. It returns "" for a route
+// without backends.
 func (r *Route) Backend(request string) string {
 	if len(r.Backends) == 0 {
 		return ""
@@ -83,31 +84,31 @@
 	return r.Backends[len(r.Backends)-1].Service
 }
 
-// unitInterval maps a hash to [0, 1), with as many bits as a float64 has.
+// unitInterval maps a hash to [0, 1) with the precision of a float64.
 func unitInterval(hash uint64) float64 {
 	const bits = 53
 	return float64(hash>>(64-bits)) / (1 << bits)
 }
 
-// Service is a group of like endpoints.
+// Service is a group of interchangeable endpoints.
 type Service struct {
 	Name string
-	// MaxConns bounds the connections to one endpoint, of all callers together.
+	// MaxConns is the maximum number of connections to one endpoint, from all callers together.
 	MaxConns int
-	// Models are the models that its engines serve; none for a plain service.
+	// Models are the models that its engines serve; empty for a plain service.
 	Models []string
-	// Autoscale is set where the system orders how many endpoints there are.
+	// Autoscale is set if the system controls the number of endpoints, else nil.
 	Autoscale *Autoscale
 }
 
-// Autoscale bounds the endpoints of a service in one availability zone.
+// Autoscale bounds the number of endpoints of a service in one availability zone.
 type Autoscale struct {
 	Min, Max int
-	// Boot is how long a new endpoint needs until it serves.
+	// Boot is the time until a new endpoint serves.
 	Boot time.Duration
 }
 
-// Limits bound what a client may send and how long it may take.
+// Limits bound the size of a client's request and the time that the client may take.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -121,19 +122,19 @@
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Organisations hold the keys that clients bear; none where clients need no key.
+	// Organisations hold the clients' API keys; empty if clients need no key.
 	Organisations []Organisation
-	// UnknownKinds names the routes whose kind is not known here; they are taken
-	// as unsafe.
+	// UnknownKinds names the routes whose kind this version of the program doesn't know. They
+	// are treated as unsafe.
 	UnknownKinds []string
 
-	byHost map[string][]*Route // the longest prefix first
+	byHost map[string][]*Route // longest prefix first
 	byKey  map[keyDigest]*Organisation
 	byName map[string]*Organisation
 }
 
-// Index prepares the configuration for its searches; it is called once, before
-// the configuration is shared.
+// Index builds the indexes that the lookups use. It must be called once, before the
+// configuration is shared.
 func (c *Config) Index() {
 	c.indexOrganisations()
 	c.byHost = make(map[string][]*Route)
@@ -147,7 +148,7 @@
 	}
 }
 
-// Match returns the route of a host and path, or nil.
+// Match returns the route for a host and path, or nil.
 func (c *Config) Match(host, path string) *Route {
 	for _, r := range c.routesOf(host) {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -157,13 +158,13 @@
 	return nil
 }
 
-// routesOf are a host's routes, the longest prefix first.
+// routesOf returns a host's routes, the longest prefix first.
 func (c *Config) routesOf(host string) []*Route { return c.byHost[strings.ToLower(host)] }
 
-// HasService reports whether a service is one of the configuration's.
+// HasService reports whether the configuration has a service of the given name.
 func (c *Config) HasService(service string) bool { return c.Service(service) != nil }
 
-// Service returns a service by name, or nil.
+// Service returns the service of the given name, or nil.
 func (c *Config) Service(name string) *Service {
 	for i := range c.Services {
 		if c.Services[i].Name == name {
--- a/fleet/incarnation.go
+++ b/fleet/incarnation.go
@@ -2,88 +2,90 @@
 
 import "time"
 
-// Incarnation is one start of an endpoint. An endpoint may start again under the
-// id that it had; it then knows nothing of before. Whatever is believed of a
-// running endpoint, such as its load or its speed, is kept by its incarnation.
+// Incarnation identifies one start of an endpoint. An endpoint may restart under the same id
+// and has then lost its state. So state of a running endpoint, such as its load or its speed,
+// is kept by incarnation.
 type Incarnation struct {
 	ID string
-	// StartedAt is the Unix millisecond of its start; 0 if it does not say.
+	// StartedAt is the start time in Unix milliseconds; 0 if the endpoint doesn't report it.
 	StartedAt int64
 }
 
-// Incarnation is the instance's.
+// Incarnation returns the incarnation of the instance.
 func (i Instance) Incarnation() Incarnation { return Incarnation{ID: i.ID, StartedAt: i.StartedAt} }
 
-// Load is what an endpoint tells of itself with its answers: requests that run,
-// that wait in its queue, and the places for running ones.
+// Load is the load that an endpoint reports with its answers: the numbers of running requests,
+// of requests in its queue, and of slots for running requests.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// LatestIncarnations are the newest births that are known of endpoints, by id, so that an
-// older one seen later changes nothing. It is not safe for concurrent use.
+// LatestIncarnations tracks the latest known start of each endpoint by id, so that information
+// about a former incarnation that arrives late can be ignored. It is not safe for concurrent
+// use.
 type LatestIncarnations struct {
-	newest map[string]birth
+	latest map[string]latestStart
 }
 
-type birth struct {
-	born int64
-	seen time.Time
+// latestStart is the latest known start of an endpoint, and when it was last seen.
+type latestStart struct {
+	startedAt int64
+	seenAt    time.Time
 }
 
-// birthMemory is how long the birth of an endpoint that is no longer heard of is
-// remembered: lists and reports of it lag by some seconds at most.
-const birthMemory = 2 * time.Minute
+// startRetention is how long the start of an endpoint is remembered after it was last seen.
+// Lists and reports lag behind by some seconds at most.
+const startRetention = 2 * time.Minute
 
-// NewLatestIncarnations knows no births yet.
+// NewLatestIncarnations returns an empty LatestIncarnations.
 func NewLatestIncarnations() *LatestIncarnations {
-	return &LatestIncarnations{newest: map[string]birth{}}
+	return &LatestIncarnations{latest: map[string]latestStart{}}
 }
 
-// Observe says how a birth stands to the newest that is known of the id, and
-// remembers it if it is newer.
-func (b *LatestIncarnations) Observe(i Incarnation, now time.Time) IncarnationOrder {
-	known := b.newest[i.ID]
+// Observe compares an incarnation with the latest known one of the same id, and records it
+// unless it is older or has no start time.
+func (l *LatestIncarnations) Observe(i Incarnation, now time.Time) IncarnationOrder {
+	known := l.latest[i.ID]
 	switch {
-	case i.StartedAt == 0 && known.born > 0:
+	case i.StartedAt == 0 && known.startedAt > 0:
 		return IncarnationUnknown
-	case i.StartedAt < known.born:
+	case i.StartedAt < known.startedAt:
 		return IncarnationOlder
 	}
 	order := IncarnationCurrent
-	if i.StartedAt > known.born && known.born > 0 {
+	if i.StartedAt > known.startedAt && known.startedAt > 0 {
 		order = IncarnationNewer
 	}
 	if i.StartedAt > 0 {
-		b.newest[i.ID] = birth{i.StartedAt, now}
+		l.latest[i.ID] = latestStart{i.StartedAt, now}
 	}
-	b.forget(now)
+	l.prune(now)
 	return order
 }
 
-// forget drops births that were not heard of for long.
-func (b *LatestIncarnations) forget(now time.Time) {
-	for id, known := range b.newest {
-		if now.Sub(known.seen) > birthMemory {
-			delete(b.newest, id)
+// prune removes starts that were last seen more than startRetention ago.
+func (l *LatestIncarnations) prune(now time.Time) {
+	for id, known := range l.latest {
+		if now.Sub(known.seenAt) > startRetention {
+			delete(l.latest, id)
 		}
 	}
 }
 
-// IncarnationOrder is how a birth stands to the newest known.
+// IncarnationOrder is how an incarnation compares with the latest known one of its id.
 type IncarnationOrder int
 
-// Orders of births.
+// Results of LatestIncarnations.Observe.
 const (
-	// IncarnationCurrent is the newest known, or the first of its id.
+	// IncarnationCurrent is the latest known incarnation, or the first of its id.
 	IncarnationCurrent IncarnationOrder = iota
-	// IncarnationNewer is a start again under an id that is known.
+	// IncarnationNewer is a restart under a known id.
 	IncarnationNewer
-	// IncarnationOlder is a former incarnation, seen late.
+	// IncarnationOlder is a former incarnation.
 	IncarnationOlder
-	// IncarnationUnknown says nothing of its birth though the endpoint has told one
-	// before, so it is not the endpoint's own word.
+	// IncarnationUnknown has no start time though the endpoint has reported one before, so
+	// the information does not come from the endpoint itself.
 	IncarnationUnknown
 )
--- a/fleet/organisation.go
+++ b/fleet/organisation.go
@@ -2,24 +2,23 @@
 
 import "crypto/sha256"
 
-// APIKey is the secret by which a client shows its organisation. It prints as a
-// placeholder wherever it is formatted, so that it stands in no log line, error
-// or dump.
+// APIKey is the secret by which a client authenticates as an organisation. It is formatted as
+// a placeholder, so that it never appears in a log line, error or dump.
 type APIKey string
 
-const hiddenKey = "[api key]"
+const keyPlaceholder = "[api key]"
 
 // String implements fmt.Stringer.
-func (APIKey) String() string { return hiddenKey }
+func (APIKey) String() string { return keyPlaceholder }
 
 // GoString implements fmt.GoStringer.
-func (APIKey) GoString() string { return hiddenKey }
+func (APIKey) GoString() string { return keyPlaceholder }
 
 // MarshalText implements encoding.TextMarshaler, which JSON and YAML use.
-func (APIKey) MarshalText() ([]byte, error) { return []byte(hiddenKey), nil }
+func (APIKey) MarshalText() ([]byte, error) { return []byte(keyPlaceholder), nil }
 
-// keyDigest stands for a key in the index, which would print the key itself: fmt
-// asks no unexported field how it wants to be printed.
+// keyDigest is the hash of a key. The index has it in place of the key, since fmt does not call
+// the String method of unexported fields and would print the key itself.
 type keyDigest [sha256.Size]byte
 
 func (k APIKey) digest() keyDigest { return sha256.Sum256([]byte(k)) }
@@ -28,22 +27,23 @@
 type Organisation struct {
 	Name string
 	Keys []APIKey
-	// Priority is its rank among organisations, 0 the highest. It goes before the
+	// Priority is its rank among organisations; 0 is the highest. It takes precedence over the
 	// priority of a route.
 	Priority int
 }
 
-// HasOrganisations reports whether requests bear the key of an organisation.
+// HasOrganisations reports whether the configuration has organisations, so that requests need
+// the key of one.
 func (c *Config) HasOrganisations() bool { return len(c.Organisations) > 0 }
 
 // Organisation returns the organisation that holds a key, or nil.
 func (c *Config) Organisation(key APIKey) *Organisation { return c.byKey[key.digest()] }
 
-// OrganisationByName returns an organisation by name, or nil.
+// OrganisationByName returns the organisation of the given name, or nil.
 func (c *Config) OrganisationByName(name string) *Organisation { return c.byName[name] }
 
-// JobRoutes reports whether a host has routes for batch jobs whose clients need a
-// key, and such whose clients need none.
+// JobRoutes reports whether a host has routes for batch jobs that need a key, and whether it
+// has such routes that need none.
 func (c *Config) JobRoutes(host string) (keyed, anonymous bool) {
 	for _, r := range c.routesOf(host) {
 		if r.Kind != KindBatch {
@@ -55,8 +55,8 @@
 	return keyed, anonymous
 }
 
-// indexOrganisations prepares the search by key and by name. Of two that hold
-// one key the first stands, as of two routes with one prefix.
+// indexOrganisations builds the indexes by key and by name. If two organisations have the same
+// key or name, the first one wins, as with two routes of the same prefix.
 func (c *Config) indexOrganisations() {
 	c.byKey = make(map[keyDigest]*Organisation)
 	c.byName = make(map[string]*Organisation)
--- a/fleet/organisation_test.go
+++ b/fleet/organisation_test.go
@@ -26,12 +26,12 @@
 		t.Errorf("got %v", o)
 	}
 	if !c.HasOrganisations() || (&Config{}).HasOrganisations() {
-		t.Error("a configuration is organised if it has organisations")
+		t.Error("HasOrganisations must be true with organisations and false without")
 	}
 }
 
-// TestKeysAreNotPrinted formats a configuration in all ways that logs, errors and
-// dumps use.
+// TestKeysAreNotPrinted formats a configuration in all ways that logs, errors and dumps use, and
+// checks that no key appears.
 func TestKeysAreNotPrinted(t *testing.T) {
 	c := &Config{Organisations: []Organisation{{Name: "guthi", Keys: []APIKey{"secret-1"}}}}
 	c.Index()
@@ -43,7 +43,7 @@
 		string(asJSON), fmt.Sprint(c.Organisations), fmt.Sprintf("%+v", c), fmt.Sprintf("%#v", c),
 	} {
 		if strings.Contains(text, "secret") || strings.Contains(text, fmt.Sprintf("%x", "secret")) {
-			t.Errorf("a key stands in %s", text)
+			t.Errorf("a key appears in %s", text)
 		}
 	}
 }
@@ -66,15 +66,15 @@
 	v := NewView()
 	now := time.Now()
 	if v.ConfigAge(now) < time.Hour {
-		t.Error("nothing was heard yet")
+		t.Error("the configuration was never confirmed")
 	}
 	v.ConfirmConfig(now)
 	if age := v.ConfigAge(now.Add(2 * time.Second)); age != 2*time.Second {
 		t.Errorf("got %s", age)
 	}
-	// The monotonic clock stood still while the wall clock went on.
-	frozen := now.Round(0).Add(9 * time.Second)
-	if age := v.ConfigAge(frozen); age != 9*time.Second {
-		t.Errorf("after a freeze: %s", age)
+	// The monotonic clock was stopped while the wall clock went on.
+	afterSuspend := now.Round(0).Add(9 * time.Second)
+	if age := v.ConfigAge(afterSuspend); age != 9*time.Second {
+		t.Errorf("after a suspension: %s", age)
 	}
 }
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -10,64 +10,64 @@
 	"time"
 )
 
-// Instance is one incarnation of an endpoint, as the instance list has it.
+// Instance is one incarnation of an endpoint as registered in the instance list.
 type Instance struct {
 	ID      string
 	Service string
 	Addr    string // ip:port
 	Zone    string
 	Slots   int
-	// StartedAt is the Unix millisecond of its start; 0 if it does not say.
+	// StartedAt is the start time in Unix milliseconds; 0 if the endpoint doesn't report it.
 	StartedAt int64
 	// Draining instances get no new work.
 	Draining bool
 	// Versions are the weight versions of its models.
 	Versions map[string]uint64
-	// RowVersion is the store's version of its entry: of two instances at an address
-	// the one with the newer entry lives, and the other was there before it.
+	// RowVersion is the store's version of its row. Of two instances at an address, the one
+	// with the newer row is running and the other one is its predecessor.
 	RowVersion uint64
 }
 
-// SameContent reports whether an instance's entry says the same as another one's,
-// whenever either was written.
+// SameContent reports whether the rows of two instances have the same content, whatever their
+// versions.
 func (i Instance) SameContent(other Instance) bool {
 	return i.ID == other.ID && i.Service == other.Service && i.Addr == other.Addr && i.Zone == other.Zone &&
 		i.Slots == other.Slots && i.StartedAt == other.StartedAt && i.Draining == other.Draining && maps.Equal(i.Versions, other.Versions)
 }
 
-// Snapshot is what is believed at one moment. It is immutable.
+// Snapshot is the state of the deployment as known at one moment. It is immutable.
 type Snapshot struct {
 	// Config is nil until the first configuration has been read.
 	Config *Config
-	// Instances are all registered ones, by id.
+	// Instances are all registered instances, by id.
 	Instances map[string]Instance
-	// Listed says that the instance list has been read at least once.
+	// Listed is true once the instance list has been read.
 	Listed bool
 	// Named are the newest weight versions that trainers have named, by model.
 	Named map[string]uint64
-	// NamedAt is when this process learnt of them.
+	// NamedAt is when this process received them, by model.
 	NamedAt map[string]time.Time
 
 	byService map[string][]Instance
 	byAddr    map[string]Instance
 }
 
-// OfService returns a service's instances that take new work, ordered by address.
+// OfService returns the instances of a service that accept new work, ordered by address.
 func (s *Snapshot) OfService(service string) []Instance { return s.byService[service] }
 
-// AtAddr returns the instance at an address. Of several, the one that is not
-// draining wins, then the one whose entry is newer.
+// AtAddr returns the instance at an address, or false. Of several instances, the one that is not
+// draining wins, then the one with the newer row.
 func (s *Snapshot) AtAddr(addr string) (Instance, bool) {
-	found, ok := s.byAddr[addr]
-	return found, ok
+	instance, ok := s.byAddr[addr]
+	return instance, ok
 }
 
-// IsDraining reports whether an instance that was listed says that it leaves.
+// IsDraining reports whether this incarnation of an instance is listed as draining.
 func (s *Snapshot) IsDraining(i Instance) bool {
 	return s.Contains(i) && s.Instances[i.ID].Draining
 }
 
-// Contains reports whether the list has just this incarnation of an instance.
+// Contains reports whether exactly this incarnation of an instance is listed.
 func (s *Snapshot) Contains(i Instance) bool {
 	now, listed := s.Instances[i.ID]
 	return listed && now.Incarnation() == i.Incarnation()
@@ -76,15 +76,15 @@
 // View holds the newest snapshot. It is safe for concurrent use.
 type View struct {
 	current atomic.Pointer[Snapshot]
-	// configHeard is when the read began whose answer last told of the operators'
-	// rows, by the wall clock and the monotonic one; nil before the first.
-	configHeard atomic.Pointer[time.Time]
+	// configConfirmedAt is the start of the last read that returned all changes of the
+	// operators' rows, with both wall clock and monotonic time; nil before the first.
+	configConfirmedAt atomic.Pointer[time.Time]
 
 	mu      sync.Mutex // serialises updates
 	changed chan struct{}
 }
 
-// NewView returns a view that believes nothing yet.
+// NewView returns a view with an empty snapshot.
 func NewView() *View {
 	v := &View{changed: make(chan struct{})}
 	v.current.Store(&Snapshot{
@@ -96,15 +96,15 @@
 // Snapshot returns the newest snapshot.
 func (v *View) Snapshot() *Snapshot { return v.current.Load() }
 
-// Changed is closed at the next change.
+// Changed returns a channel that is closed at the next change.
 func (v *View) Changed() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.changed
 }
 
-// SetConfig puts a configuration in force, unless one as new is in force
-// already; it reports whether it did.
+// SetConfig puts a configuration in force unless the one in force is as new or newer. It
+// reports whether it did.
 func (v *View) SetConfig(c *Config) bool {
 	done := false
 	v.update(func(s *Snapshot) {
@@ -117,27 +117,28 @@
 	return done
 }
 
-// ConfirmConfig notes that a read which began at a moment told all of the operators'
-// rows that was new then.
-func (v *View) ConfirmConfig(asked time.Time) { v.configHeard.Store(&asked) }
+// ConfirmConfig records that a read which started at readAt returned all changes of the
+// operators' rows up to then.
+func (v *View) ConfirmConfig(readAt time.Time) { v.configConfirmedAt.Store(&readAt) }
 
-// ConfigAge is how long ago the configuration in force was the newest for sure.
-// It goes on while the process stands still: of the monotonic clock, which may
-// stop then, and the wall clock, which may jump, the one that says more counts.
+// ConfigAge returns how long ago the configuration in force was last confirmed to be the
+// newest. It also counts time in which the process was suspended: the monotonic clock may stop
+// then and the wall clock may jump, so the larger of the two differences is returned.
 func (v *View) ConfigAge(now time.Time) time.Duration {
-	heard := v.configHeard.Load()
-	if heard == nil {
+	confirmedAt := v.configConfirmedAt.Load()
+	if confirmedAt == nil {
 		return time.Duration(math.MaxInt64)
 	}
-	return max(now.Sub(*heard), now.Round(0).Sub(heard.Round(0)))
+	return max(now.Sub(*confirmedAt), now.Round(0).Sub(confirmedAt.Round(0)))
 }
 
-// UpdateInstances applies changes: instances that are new or changed, and ids that are gone.
-func (v *View) UpdateInstances(changed []Instance, gone []string) {
+// UpdateInstances applies changes of the instance list: new or changed instances, and the ids
+// of removed ones.
+func (v *View) UpdateInstances(changed []Instance, removed []string) {
 	v.update(func(s *Snapshot) {
 		s.Listed = true
 		s.Instances = maps.Clone(s.Instances)
-		for _, id := range gone {
+		for _, id := range removed {
 			delete(s.Instances, id)
 		}
 		for _, i := range changed {
@@ -147,8 +148,8 @@
 	})
 }
 
-// SetNamed takes a weight version that a trainer has named; an older one than
-// known is ignored. It reports whether the version was news.
+// SetNamed records a weight version that a trainer has named, unless a version as new or newer
+// is known. It reports whether it did.
 func (v *View) SetNamed(model string, version uint64) bool {
 	done := false
 	v.update(func(s *Snapshot) {
@@ -172,24 +173,24 @@
 	v.changed = make(chan struct{})
 }
 
-// follows reports whether an instance stands at its address instead of another.
-func (i *Instance) follows(other Instance) bool {
+// replaces reports whether an instance takes precedence over another one at the same address.
+func (i *Instance) replaces(other Instance) bool {
 	if i.Draining != other.Draining {
 		return other.Draining
 	}
 	return i.RowVersion > other.RowVersion
 }
 
-// index sorts the instances by address and service. Those of a service that the
-// configuration does not name were registered by somebody else: they take no
-// address from an instance that can be used.
+// index builds the indexes by address and by service. Instances of a service that is not in the
+// configuration were registered by somebody else. They are left out, so that they don't
+// displace an instance in use at the same address.
 func (s *Snapshot) index() {
 	s.byAddr = make(map[string]Instance, len(s.Instances))
 	for _, i := range s.Instances {
 		if s.Config != nil && !s.Config.HasService(i.Service) {
 			continue
 		}
-		if found, ok := s.byAddr[i.Addr]; !ok || i.follows(found) {
+		if found, ok := s.byAddr[i.Addr]; !ok || i.replaces(found) {
 			s.byAddr[i.Addr] = i
 		}
 	}
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestOneInstanceAtAnAddress has an engine that was restarted before the entry
-// of its former incarnation lapsed.
+// TestOneInstanceAtAnAddress checks that an address has one instance only if an engine was
+// restarted before the row of its former incarnation expired.
 func TestOneInstanceAtAnAddress(t *testing.T) {
 	v := NewView()
 	v.UpdateInstances([]Instance{
@@ -40,11 +40,11 @@
 		t.Errorf("got %v", list)
 	}
 	if i, ok := v.Snapshot().AtAddr("10.0.0.2:1"); !ok || i.ID != "third" {
-		t.Errorf("at an address that another service has now: %v", i)
+		t.Errorf("at an address that an instance of another service has taken over: %v", i)
 	}
 	v.UpdateInstances(nil, []string{"second"})
 	if list := v.Snapshot().OfService("s"); len(list) != 1 || list[0].ID != "first" {
-		t.Errorf("once it is gone: %v", list)
+		t.Errorf("after the removal: %v", list)
 	}
 }
 
@@ -72,7 +72,7 @@
 	select {
 	case <-changed:
 	default:
-		t.Error("the change was not told")
+		t.Error("Changed was not signalled")
 	}
 	if list := v.Snapshot().OfService("s"); len(list) != 1 {
 		t.Errorf("got %v", list)
@@ -88,9 +88,9 @@
 		}
 	}
 	if n < 800 || n > 1200 {
-		t.Fatalf("%d of 10,000 to a tenth", n)
+		t.Fatalf("%d of 10,000 requests went to a backend with a tenth of the weight", n)
 	}
 	if (&Route{}).Backend("r") != "" {
-		t.Fatal("a route without backends has none")
+		t.Fatal("a route without backends must return none")
 	}
 }
