--- a/service/entry/claimed.go
+++ b/service/entry/claimed.go
@@ -18,25 +18,26 @@
 )
 
 const (
-	// claimRounds bounds how often one call takes over claims that never ran.
-	claimRounds = 4
-	// attachRounds bounds how often a lost answer is asked for.
-	attachRounds = 5
-	// claimRetryAfter is when to come back while the table service is down.
+	// maxClaimRounds is how many claims one call makes or takes over at most.
+	maxClaimRounds = 4
+	// maxAttachAttempts is how often an agent is asked for a run whose answer was lost.
+	maxAttachAttempts = 5
+	// claimRetryAfter is the Retry-After while the table service is down.
 	claimRetryAfter = 2 * time.Second
-	// unknownRetryAfter is when to ask again for an outcome that is not known.
+	// unknownRetryAfter is the Retry-After while the outcome of a run is not known.
 	unknownRetryAfter = 2 * time.Second
 )
 
-// claimDigest identifies a completion's content.
+// claimDigest returns a digest of a completion request's content.
 func claimDigest(req *api.CompletionRequest) string {
 	return digest.Of(req.Model, req.Prompt, fmt.Sprint(req.MaxTokens, req.Temperature, req.Seed))
 }
 
-// runIdentified runs a call by what its caller said of repeating it.
+// runIdentified runs a call: under a claim if it has a key and must run at most once,
+// otherwise with retries.
 func (e *Entry) runIdentified(ctx context.Context, work *call, id identity, digest string) (*wire.Done, *api.Refusal) {
-	work.subject = quarantine.FingerprintOf(work.row.Name, digest)
-	if refusal := e.admitContent(ctx, work); refusal != nil {
+	work.fingerprint = quarantine.FingerprintOf(work.row.Name, digest)
+	if refusal := e.quarantineRefusal(ctx, work); refusal != nil {
 		return nil, refusal
 	}
 	if !id.nonIdempotent || id.key == "" {
@@ -45,41 +46,41 @@
 	return e.runClaimed(ctx, work, id.key, digest)
 }
 
-// runClaimed runs a keyed call that must run at most once: it is claimed in the
-// table service for one incarnation of one agent before it is sent. A call
-// whose claim another made is answered with that run's answer. A claim that is
-// proven never to run is taken over, a few times at most.
+// runClaimed runs a keyed call that must run at most once: before it is sent, it is
+// claimed in the table service for one incarnation of one agent. If another call has
+// claimed the key, this one returns the answer of that call's run. A claim whose run is
+// proven never to start is taken over, for at most maxClaimRounds rounds in all.
 func (e *Entry) runClaimed(ctx context.Context, work *call, key, digest string) (*wire.Done, *api.Refusal) {
 	e.budget.CountAttempt()
 	work.route.Exclude = map[string]bool{}
-	var stands *claims.Claim // the claim to take over, nil when there is none
+	var previous *claims.Claim // the claim to take over, nil when there is none
 	var last *api.Refusal
-	for range claimRounds {
+	for range maxClaimRounds {
 		agent, none := e.pickReady(ctx, work)
 		if none != nil {
 			return nil, cmp.Or(last, none)
 		}
-		claim, mine, err := e.claim(ctx, work.row.Name, key, digest, stands, agent)
+		claim, owned, err := e.claim(ctx, work.row.Name, key, digest, previous, agent)
 		if err != nil {
 			return nil, e.claimRefusal(err)
 		}
-		done, refusal := e.runClaim(ctx, work, key, digest, &claim, mine, agent)
+		done, refusal := e.runClaim(ctx, work, key, digest, &claim, owned, agent)
 		if refusal == nil {
 			return done, nil
 		}
-		if !e.mayEndAnother(work) || !mayTakeOver(refusal) || !e.mayRetry(work.row.Name, refusal) {
+		if !e.mayTryAnother(work) || !mayTakeOver(refusal) || !e.mayRetry(work.row.Name, refusal) {
 			return nil, refusal
 		}
-		work.route.Exclude[agent.ID] = mine && refusedBy(agent, refusal)
-		stands, last = &claim, refusal
+		work.route.Exclude[agent.ID] = owned && refusedBy(agent, refusal)
+		previous, last = &claim, refusal
 	}
 	return nil, last
 }
 
-// runClaim runs a claimed call, or answers it with the run of the call that
-// has claimed its key.
-func (e *Entry) runClaim(ctx context.Context, work *call, key, digest string, claim *claims.Claim, mine bool, agent *membership.Agent) (*wire.Done, *api.Refusal) {
-	if mine {
+// runClaim runs a call whose claim is owned by it, and otherwise returns the answer of
+// the run of the call that made the claim.
+func (e *Entry) runClaim(ctx context.Context, work *call, key, digest string, claim *claims.Claim, owned bool, agent *membership.Agent) (*wire.Done, *api.Refusal) {
+	if owned {
 		return e.runOwned(ctx, work, key, claim, agent)
 	}
 	if claim.Digest != digest {
@@ -88,19 +89,20 @@
 	return e.resolve(ctx, work, key, claim)
 }
 
-// mayTakeOver says whether a refusal proves that the claim never ran and never
-// will, and another agent may do better.
+// mayTakeOver reports whether a refusal proves that the claim's run never started and
+// never will, and another agent may succeed.
 func mayTakeOver(r *api.Refusal) bool {
 	return r.NotRun == api.NotRunTrue && (r.Code == api.CodeFenced || retry.Repeatable(r, false))
 }
 
-// refusedBy says whether the agent does not take the call now. One that has
-// only restarted, or was fenced for this claim, may take it under another.
+// refusedBy reports whether the agent refuses the call under any claim. An agent that
+// has restarted, or has fenced this claim, may accept the call under another claim.
 func refusedBy(agent *membership.Agent, r *api.Refusal) bool {
 	return r.Peer == agent.ID && r.Code != api.CodeFenced && r.Code != api.CodeWrongIncarnation
 }
 
-// mayRetry takes a retry from the budget and counts it.
+// mayRetry takes a retry from the budget and counts it. It returns false if the budget
+// is used up.
 func (e *Entry) mayRetry(row string, refusal *api.Refusal) bool {
 	if !e.budget.Take() {
 		e.cfg.Counters.Refusal(row, api.CodeRetryBudget)
@@ -110,22 +112,23 @@
 	return true
 }
 
-// claim makes the claim of a key for an agent, or takes over one that never ran.
-func (e *Entry) claim(ctx context.Context, row, key, digest string, stands *claims.Claim, agent *membership.Agent) (claims.Claim, bool, error) {
+// claim claims a key for an agent, or takes over the previous claim, whose run never
+// started. It returns the claim in force and whether it is the one made here.
+func (e *Entry) claim(ctx context.Context, row, key, digest string, previous *claims.Claim, agent *membership.Agent) (claims.Claim, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, DefaultClaimTimeout)
 	defer cancel()
 	c := claims.Claim{
 		Owner: uuid.NewString(), Agent: agent.ID, Addr: agent.Addr, Incarnation: agent.Incarnation,
 		Digest: digest, At: time.Now(),
 	}
-	if stands != nil {
-		return e.claims.TakeOver(ctx, row, key, *stands, c)
+	if previous != nil {
+		return e.claims.TakeOver(ctx, row, key, *previous, c)
 	}
 	return e.claims.Make(ctx, row, key, c)
 }
 
-// claimRefusal refuses a call that was not claimed, and hence not sent. An
-// earlier call with its key may have run all the same.
+// claimRefusal returns the refusal of a call that could not be claimed and hence was not
+// sent. An earlier call with its key may have run nevertheless.
 func (e *Entry) claimRefusal(err error) *api.Refusal {
 	message := "this call was not sent, since the table service cannot record its claim now: " + err.Error()
 	r := e.refusal(api.CodeClaimStoreDown, message, StepClaim, claimRetryAfter)
@@ -133,8 +136,8 @@
 	return r
 }
 
-// runOwned sends the run that this entry has claimed, once. When the answer is
-// lost, it asks the same agent for it.
+// runOwned sends the run that this entry has claimed, once. If the answer is lost, it
+// asks the same agent for the outcome.
 func (e *Entry) runOwned(ctx context.Context, work *call, key string, claim *claims.Claim, agent *membership.Agent) (*wire.Done, *api.Refusal) {
 	run := e.claimedRun(ctx, work, key, claim)
 	done, refusal := e.send(ctx, work, agent, run)
@@ -143,18 +146,19 @@
 		return done, refusal
 	case refusal.Code == api.CodeWrongIncarnation:
 		// The run was sent only to the process that refused it.
-		proven := *refusal
-		proven.NotRun = api.NotRunTrue
-		proven.RetryAfter = unknownRetryAfter
-		return nil, &proven
+		corrected := *refusal
+		corrected.NotRun = api.NotRunTrue
+		corrected.RetryAfter = unknownRetryAfter
+		return nil, &corrected
 	case refusal.Code == api.CodeTransport:
 		return e.resolve(ctx, work, key, claim)
 	}
 	return nil, refusal
 }
 
+// claimedRun returns the run of a claim, to be sent to the claim's agent.
 func (e *Entry) claimedRun(ctx context.Context, work *call, key string, claim *claims.Claim) *wire.Run {
-	run := work.work
+	run := work.template
 	run.RunID = uuid.NewString()
 	run.Row = work.row.Name
 	run.Key = claims.RunKey(work.row.Name, key, claim.Generation)
@@ -165,12 +169,12 @@
 	return &run
 }
 
-// attach asks the claim's agent for the run, without ever starting it.
+// attach asks the claim's agent for the run's answer, without ever starting the run.
 func (e *Entry) attach(ctx context.Context, work *call, key string, claim *claims.Claim) (*wire.Done, *api.Refusal) {
 	agent := e.claimedAgent(claim)
-	delays := retry.NewBackoff(firstDelay, mostDelay)
+	delays := retry.NewBackoff(minRetryDelay, maxRetryDelay)
 	var refusal *api.Refusal
-	for range attachRounds {
+	for range maxAttachAttempts {
 		e.cfg.Counters.Retry(work.row.Name, string(retry.ReasonAttach))
 		run := e.claimedRun(ctx, work, key, claim)
 		run.AttachOnly = true
@@ -186,7 +190,7 @@
 	return nil, e.unknownOutcome(claim, refusal.Message)
 }
 
-// claimedAgent is the agent that a claim names, whether it is watched or not.
+// claimedAgent returns the agent that a claim names, whether this entry watches it or not.
 func (e *Entry) claimedAgent(claim *claims.Claim) *membership.Agent {
 	a := e.view.Snapshot().Agent(claim.Agent)
 	if a != nil && a.Addr == claim.Addr {
@@ -195,14 +199,14 @@
 	return &membership.Agent{ID: claim.Agent, Addr: claim.Addr, Sends: &membership.Sends{}}
 }
 
-// resolve answers a call with the run of its claim, without ever starting it.
-// A refusal says not_run true only when the claim's agent has proved that the
-// run never began and never will: an agent that does not know the key may get
-// it late, and is asked to fence it first.
+// resolve returns the answer of a claim's run, without ever starting the run. A refusal
+// has not_run true only if the claim's agent has proved that the run never started and
+// never will: an agent that does not know the key may still receive the run late, so it
+// is asked to fence the key first.
 func (e *Entry) resolve(ctx context.Context, work *call, key string, claim *claims.Claim) (*wire.Done, *api.Refusal) {
 	done, refusal := e.attach(ctx, work, key, claim)
 	if refusal == nil || refusal.Code != api.CodeNoEndpoint {
-		return done, e.resolved(claim, refusal)
+		return done, e.claimOutcome(claim, refusal)
 	}
 	runKey := claims.RunKey(work.row.Name, key, claim.Generation)
 	state, err := e.client.Fence(ctx, claim.Agent, claim.Addr, claim.Incarnation, runKey)
@@ -213,20 +217,21 @@
 		return nil, neverRan(claim)
 	}
 	done, refusal = e.attach(ctx, work, key, claim)
-	return done, e.resolved(claim, refusal)
+	return done, e.claimOutcome(claim, refusal)
 }
 
-// unfenced refuses a call whose claim's agent did not fence it.
+// unfenced returns the refusal of a call whose claim's agent did not fence it.
 func (e *Entry) unfenced(claim *claims.Claim, refusal *api.Refusal) *api.Refusal {
-	lost := e.unknownOutcome(claim, refusal.Message)
+	unknown := e.unknownOutcome(claim, refusal.Message)
 	if refusal.Code == api.CodeWrongIncarnation {
-		lost.RetryAfter = 0 // the agent that knew is gone for good
+		unknown.RetryAfter = 0 // the incarnation that knew the outcome no longer exists
 	}
-	return lost
+	return unknown
 }
 
-// resolved keeps what proves nothing of the claim's run from being taken for a proof.
-func (e *Entry) resolved(claim *claims.Claim, refusal *api.Refusal) *api.Refusal {
+// claimOutcome returns the refusal for an answer of the claim's agent. One that proves
+// nothing about the claim's run becomes an unknown outcome.
+func (e *Entry) claimOutcome(claim *claims.Claim, refusal *api.Refusal) *api.Refusal {
 	if refusal == nil {
 		return nil
 	}
@@ -237,7 +242,7 @@
 	return refusal
 }
 
-// neverRan refuses a call whose claim was fenced before its run began.
+// neverRan returns the refusal of a call whose claim was fenced before its run started.
 func neverRan(claim *claims.Claim) *api.Refusal {
 	return &api.Refusal{
 		Code: api.CodeFenced, Message: "the request never reached the agent that its claim names",
@@ -245,6 +250,7 @@
 	}
 }
 
+// unknownOutcome returns the refusal of a call whose run may or may not have taken place.
 func (e *Entry) unknownOutcome(claim *claims.Claim, cause string) *api.Refusal {
 	return &api.Refusal{
 		Code: api.CodeOutcomeUnknown, NotRun: api.NotRunUnknown, RetryAfter: unknownRetryAfter,
--- a/service/entry/completions.go
+++ b/service/entry/completions.go
@@ -53,9 +53,9 @@
 	e.cfg.Counters.Add(observe.NameTokens, row.Name, int64(tokens))
 }
 
-// beginCall bounds a call by its deadline and admits it under the row's limits.
-// The call ends with end, which takes the tokens it generated; nil means that
-// the call was refused here.
+// beginCall sets a call's deadline and admits it under the row's limits. The caller
+// calls end with the number of generated tokens when the call is done; end is nil if
+// beginCall has refused the call.
 func (e *Entry) beginCall(c iris.Context, row *table.Row) (ctx context.Context, end func(tokens int)) {
 	ctx, cancel, refusal := e.withDeadline(c, row)
 	if refusal != nil {
@@ -91,7 +91,8 @@
 	return e.row(req.Model, table.KindService, table.KindTrainer)
 }
 
-// answerCompletion runs the request and answers; it returns the tokens generated.
+// answerCompletion runs the request and writes the response. It returns the number of
+// generated tokens.
 func (e *Entry) answerCompletion(ctx context.Context, c iris.Context, row *table.Row, req *api.CompletionRequest, id identity) int {
 	completion := &api.Completion{
 		ID: "cmpl-" + uuid.NewString(), Object: objectCompletion, Created: time.Now().Unix(), Model: req.Model,
@@ -99,17 +100,17 @@
 	work := &call{
 		row: row, idempotent: !id.nonIdempotent,
 		route: routing.Request{Model: row.Model, Zone: e.cfg.Zone, PrefixKey: routing.PrefixKey(req.Prompt)},
-		work: wire.Run{Class: wire.ClassInteractive, ExpectedTokens: req.MaxTokens, Generate: &wire.Generate{
+		template: wire.Run{Class: wire.ClassInteractive, ExpectedTokens: req.MaxTokens, Generate: &wire.Generate{
 			Model: row.Model, Prompt: req.Prompt, MaxTokens: req.MaxTokens,
 			Temperature: req.Temperature, Seed: req.Seed,
 		}},
 	}
 	var stream *completionStream
 	if req.Stream {
-		var gone context.CancelFunc
-		ctx, gone = context.WithCancel(ctx)
-		defer gone()
-		stream = newCompletionStream(c.ResponseWriter(), completion, gone)
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithCancel(ctx)
+		defer cancel()
+		stream = newCompletionStream(c.ResponseWriter(), completion, cancel)
 		work.onText = stream.text
 	}
 	done, refusal := e.runIdentified(ctx, work, id, claimDigest(req))
@@ -126,7 +127,7 @@
 }
 
 func (e *Entry) failCompletion(c iris.Context, row string, stream *completionStream, refusal *api.Refusal) {
-	if stream == nil || !stream.begun {
+	if stream == nil || !stream.started {
 		e.refuse(c, row, refusal)
 		return
 	}
@@ -153,21 +154,21 @@
 // completionStream writes a completion as server-sent events.
 type completionStream struct {
 	w http.ResponseWriter
-	// conn is the connection below w, which hides it.
+	// conn controls the connection, which w hides.
 	conn *http.ResponseController
-	// gone ends the request when its caller does not read any more.
-	gone       context.CancelFunc
+	// cancel cancels the request if its caller no longer reads.
+	cancel     context.CancelFunc
 	completion *api.Completion
-	begun      bool
+	started    bool
 	sent       int // bytes of the text already sent
 }
 
-// newCompletionStream makes a stream; gone is called when its caller is lost.
-func newCompletionStream(w responseWriter, completion *api.Completion, gone context.CancelFunc) *completionStream {
-	return &completionStream{w: w, conn: http.NewResponseController(w.Naive()), completion: completion, gone: gone}
+// newCompletionStream returns a stream that calls cancel if a write to the caller fails.
+func newCompletionStream(w responseWriter, completion *api.Completion, cancel context.CancelFunc) *completionStream {
+	return &completionStream{w: w, conn: http.NewResponseController(w.Naive()), completion: completion, cancel: cancel}
 }
 
-// text sends what is new of the text.
+// text sends the part of the text that has not been sent yet.
 func (s *completionStream) text(p *generation.Progress) {
 	if len(p.Text) <= s.sent {
 		return
@@ -184,8 +185,8 @@
 	s.event("", []byte(streamEndSentinel))
 }
 
-// fail ends a stream that has begun with an error event and without the
-// closing event, so that no reader takes it for whole.
+// fail ends a started stream with an error event and without the closing event, so that
+// no reader takes it for complete.
 func (s *completionStream) fail(r *api.Refusal) {
 	body, err := json.Marshal(api.ErrorBody{Error: r})
 	if err != nil {
@@ -204,14 +205,14 @@
 }
 
 func (s *completionStream) event(name string, data []byte) {
-	if !s.begun {
+	if !s.started {
 		s.w.Header().Set("Content-Type", "text/event-stream")
 		s.w.Header().Set("Cache-Control", "no-cache")
 		s.w.WriteHeader(http.StatusOK)
-		s.begun = true
+		s.started = true
 	}
 	if err := writeInTime(s.conn, func() error { return writeEvent(s.w, name, data) }); err != nil {
-		s.gone()
+		s.cancel()
 	}
 }
 
--- a/service/entry/counters.go
+++ b/service/entry/counters.go
@@ -7,10 +7,10 @@
 	"mulberryscale.example/observe"
 )
 
-// gauge is what an entry shows of itself in /debug/vars.
+// gauge is an entry's state as shown in /debug/vars.
 type gauge struct {
-	// TableVersion is the version in force, TableAge the seconds since the
-	// table service last answered, negative when it never did.
+	// TableVersion is the version in force. TableAge is the time in seconds since the
+	// table service last answered, negative if it never did.
 	TableVersion uint64  `json:"table_version"`
 	TableAge     float64 `json:"table_age_seconds"`
 	Draining     bool    `json:"draining"`
@@ -18,7 +18,7 @@
 	Agents map[membership.State]int `json:"agents"`
 	// Sends counts this entry's unfinished runs at all agents.
 	Sends int64 `json:"unfinished_runs"`
-	// Entries counts the other entries that the instance list names.
+	// Entries counts the other entries in the instance list.
 	Entries int `json:"other_entries"`
 }
 
@@ -35,7 +35,7 @@
 	return g
 }
 
-// observeSince records how long a call of a row took.
+// observeSince records the duration of a call of a row.
 func (e *Entry) observeSince(name observe.Name, row string, began time.Time) {
 	e.cfg.Counters.Observe(name, row, time.Since(began))
 }
--- a/service/entry/doc.go
+++ b/service/entry/doc.go
@@ -1,4 +1,4 @@
-// Package entry is the thin entry instance behind the platform's balancer: the
-// callers' and trainers' HTTP API. It admits, routes, retries and streams; it
-// keeps nothing that another entry could need.
+// Package entry implements the entry instance, which runs behind the platform's
+// balancer and serves the HTTP API of callers and trainers. It admits, routes, retries
+// and streams requests, and has no state that another entry could need.
 package entry
--- a/service/entry/entry.go
+++ b/service/entry/entry.go
@@ -29,7 +29,7 @@
 // Defaults of Config.
 const (
 	DefaultMaxBody       = 64 << 20 // bytes
-	DefaultRetryRatio    = 0.1      // retries for each first attempt
+	DefaultRetryRatio    = 0.1      // retries per first attempt
 	DefaultRetryBurst    = 64
 	DefaultClaimTimeout  = 2 * time.Second
 	drainingRetryAfter   = time.Second
@@ -40,7 +40,7 @@
 type Config struct {
 	ID   string
 	Zone string
-	// Listener takes streams from our other processes; nil when there are none.
+	// Listener accepts streams from the service's other processes; nil for none.
 	Listener  transport.Listener
 	Dialer    transport.Dialer
 	Holder    *tablesync.Holder
@@ -48,17 +48,17 @@
 	Table     platform.TableService
 	Counters  *observe.Counters
 	Log       logrus.FieldLogger
-	// Subset is how many agents an entry watches in the mean of all entries.
+	// Subset is the number of agents that an entry watches, averaged over all entries.
 	Subset int
-	// Retention is how long agents keep a trainer's runs when the entry is gone.
+	// Retention is how long agents keep a trainer's runs after losing the entry.
 	Retention time.Duration
-	// MaxBody bounds the body of a caller's request, in bytes.
+	// MaxBody is the size limit of a request body, in bytes.
 	MaxBody int64
 	// Seed seeds the choice among endpoints.
 	Seed uint64
-	// Training picks the agents of samples; nil means routing.NewTraining.
+	// Training picks the agents for samples; nil means routing.NewTraining.
 	Training routing.Picker
-	// Policy says how the samples of a step are placed and moved.
+	// Policy controls how the samples of a step are placed and moved.
 	Policy rollout.Policy
 }
 
@@ -99,19 +99,20 @@
 	limits      *limits.Set
 	interactive *routing.Router
 	budget      *retry.Budget
-	// quarantine keeps calls and samples that end endpoints away from them.
+	// quarantine keeps calls and samples that crash endpoints away from them.
 	quarantine *quarantine.Tracker
 	runner     *rollout.Runner
 	sync       *tableSync
 	gossip     *gossip
 	sessions   *sessions
 	handler    http.Handler
-	warm       atomic.Bool // it has been ready
-	unready    atomic.Bool
+	wasReady   atomic.Bool // Ready has returned true before
+	unready    atomic.Bool // set by ShowUnready
 	draining   atomic.Bool
-	// active counts the calls in progress, which a drain waits for.
+	// active counts the calls in progress, for which Drain waits.
 	active sync.WaitGroup
-	// admitting guards draining against active.
+	// admitting is read-locked while a call is added to active, so that none is added
+	// after draining is set.
 	admitting sync.RWMutex
 }
 
@@ -154,25 +155,25 @@
 	}
 }
 
-// Handler serves the callers' HTTP API.
+// Handler returns the handler of the callers' and trainers' HTTP API.
 func (e *Entry) Handler() http.Handler { return e.handler }
 
-// Ready says whether the platform's balancer may send callers here. An entry
-// that starts becomes ready once it has the table and knows of every agent that
-// it watches whether it lives; after that the loss of agents does not make it
+// Ready reports whether the platform's balancer may send callers here. An entry becomes
+// ready once it has the table, has determined the state of every agent that it watches,
+// and at least one of them is live. After that a loss of agents does not make it
 // unready, since no other entry would do better.
 func (e *Entry) Ready() bool {
 	if e.unready.Load() || e.draining.Load() || e.cfg.Holder.Current() == nil {
 		return false
 	}
-	if !e.warm.Load() && e.knowsAgents() {
-		e.warm.Store(true)
+	if !e.wasReady.Load() && e.agentsKnown() {
+		e.wasReady.Store(true)
 	}
-	return e.warm.Load()
+	return e.wasReady.Load()
 }
 
-// knowsAgents says whether an agent is live and none is yet to be heard from.
-func (e *Entry) knowsAgents() bool {
+// agentsKnown reports whether at least one agent is live and the state of all is known.
+func (e *Entry) agentsKnown() bool {
 	for _, a := range e.view.Snapshot().Agents {
 		if a.State == membership.StateNew {
 			return false
@@ -196,8 +197,8 @@
 	return n
 }
 
-// Run keeps the entry's view and table up to date and serves our other
-// processes until ctx ends.
+// Run keeps the entry's view and table up to date and serves the other processes, until
+// ctx is cancelled.
 func (e *Entry) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { e.watcher.Run(ctx) })
@@ -211,33 +212,34 @@
 	return e.cfg.Listener.Serve(ctx, e.servePeer)
 }
 
-// Drain refuses new calls and waits until those in progress have ended or ctx
-// ends. Then it closes the steps that still run with a refusal, on which their
-// trainers ask another entry instance for the rest; nothing of them is lost.
+// Drain refuses new calls and waits until those in progress have finished or ctx is
+// done. In the second case it closes the remaining steps with a refusal, after which
+// their trainers request the rest from another entry instance, without any loss. It
+// returns an error if calls are still in progress closeStepsTimeout later.
 func (e *Entry) Drain(ctx context.Context) error {
 	e.admitting.Lock()
 	e.draining.Store(true)
 	e.admitting.Unlock()
-	ended := make(chan struct{})
+	finished := make(chan struct{})
 	go func() {
 		e.active.Wait()
-		close(ended)
+		close(finished)
 	}()
 	select {
-	case <-ended:
+	case <-finished:
 		return nil
 	case <-ctx.Done():
 	}
-	e.sessions.handOver()
+	e.sessions.cancelAll()
 	select {
-	case <-ended:
+	case <-finished:
 		return nil
-	case <-time.After(handOverTime):
+	case <-time.After(closeStepsTimeout):
 		return trace.Wrap(ctx.Err(), "step entry.drain: calls are still in progress")
 	}
 }
 
-// begin counts a call in; it is false when the entry is draining.
+// begin adds a call to active. It returns false if the entry is draining.
 func (e *Entry) begin() bool {
 	e.admitting.RLock()
 	defer e.admitting.RUnlock()
@@ -248,6 +250,7 @@
 	return true
 }
 
+// header returns the header of this entry's messages to other processes.
 func (e *Entry) header() wire.Header {
 	h := wire.Header{From: e.cfg.ID, Incarnation: e.incarnation, TableVersion: e.cfg.Holder.Version()}
 	if e.cfg.Listener != nil {
--- a/service/entry/gossip.go
+++ b/service/entry/gossip.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// gossipInterval is the time of a round of averaging, in which each entry
-	// begins one exchange; with manyEntries it is slowGossipInterval, so that
-	// entries with many connections stay within their bytes a second.
+	// gossipInterval is the interval of averaging rounds, in each of which every entry
+	// starts one exchange. From manyEntries entries on it is slowGossipInterval, so that
+	// entries with many connections stay within their bandwidth budget.
 	gossipInterval     = 500 * time.Millisecond
 	slowGossipInterval = time.Second
 	manyEntries        = 64
-	// gossipPeers is how many other entries an entry begins exchanges with. A
-	// random graph of this degree averages nearly as fast as a full one, and
-	// its connections are kept.
+	// gossipPeers is the number of other entries with which an entry starts exchanges. A
+	// random graph of this degree averages nearly as fast as a full one, and its
+	// connections can be kept open.
 	gossipPeers = 8
-	// gossipJitter is how far an interval is shortened or lengthened at random.
+	// gossipJitter is the largest random change of an interval, as a fraction of it.
 	gossipJitter  = 0.2
 	gossipTimeout = 2 * time.Second
 	stepGossip    = "entry.gossip"
 )
 
-// gossip shares the rows' limits out between the entries and passes on which
-// instances came and under which contents endpoints ended.
+// gossip exchanges messages between entries: it divides the rows' limits among them, and
+// spreads membership changes and the requests that crashed endpoints.
 type gossip struct {
 	e       *Entry
 	average *limits.Averager
@@ -41,9 +41,9 @@
 	return &gossip{e: e, average: limits.NewAverager(time.Now()), rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 }
 
-// run exchanges demand with random entries until ctx ends.
+// run makes an exchange with a random neighbour each interval, until ctx is cancelled.
 func (g *gossip) run(ctx context.Context) {
-	before := time.Now()
+	last := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -51,11 +51,12 @@
 		case <-time.After(g.pause()):
 		}
 		now := time.Now()
-		g.round(ctx, g.e.limits.MeasureDemand(now.Sub(before)))
-		before = now
+		g.round(ctx, g.e.limits.MeasureDemand(now.Sub(last)))
+		last = now
 	}
 }
 
+// pause returns the interval with jitter.
 func (g *gossip) pause() time.Duration {
 	return time.Duration(float64(g.interval()) * (1 - gossipJitter + 2*gossipJitter*g.rng.Float64()))
 }
@@ -67,7 +68,7 @@
 	return gossipInterval
 }
 
-// round sets the shares by what is known and makes one exchange.
+// round updates this entry's shares of the limits and makes one exchange.
 func (g *gossip) round(ctx context.Context, demand map[string]float64) {
 	peers := g.e.view.Entries()
 	entries := len(peers) + 1
@@ -81,14 +82,14 @@
 	offer := g.average.Offer()
 	offer.Entries = entries
 	offer.Members = g.e.watcher.News()
-	offer.Contents = g.e.contentNews()
+	offer.Contents = g.e.quarantineEvents()
 	reply, err := g.exchange(ctx, peer.Addr, offer)
 	if err != nil {
-		g.e.cfg.Log.WithError(err).WithField("peer", peer.ID).Debug("no exchange of demand")
+		g.e.cfg.Log.WithError(err).WithField("peer", peer.ID).Debug("gossip exchange failed")
 		return
 	}
 	g.e.watcher.Hear(reply.Members)
-	g.e.hearContents(reply.Contents)
+	g.e.mergeQuarantineEvents(reply.Contents)
 	g.average.ApplyReply(time.Now(), offer, *reply, entries, demand)
 }
 
@@ -116,14 +117,14 @@
 	return reply.Gossip, nil
 }
 
-// answer serves another entry's exchange.
+// answer answers an exchange that another entry started.
 func (g *gossip) answer(offer *wire.Gossip) wire.Reply {
 	entries := len(g.e.view.Entries()) + 1
 	reply := g.average.HandleOffer(time.Now(), *offer, entries, g.e.limits.Demand())
 	reply.Entries = entries
 	reply.Members = g.e.watcher.News()
-	reply.Contents = g.e.contentNews()
+	reply.Contents = g.e.quarantineEvents()
 	g.e.watcher.Hear(offer.Members)
-	g.e.hearContents(offer.Contents)
+	g.e.mergeQuarantineEvents(offer.Contents)
 	return wire.Reply{Header: g.e.header(), Gossip: &reply}
 }
--- a/service/entry/gossip_test.go
+++ b/service/entry/gossip_test.go
@@ -22,8 +22,9 @@
 `
 )
 
-// admitted counts the calls answered at an entry that is called at a rate for a time.
-func admitted(d *deployment.Deployment, client *http.Client, entry int, perSecond int, seconds int) int {
+// countAnswered calls an entry at the given rate for some seconds and returns the number
+// of calls that were answered with status 200.
+func countAnswered(d *deployment.Deployment, client *http.Client, entry int, perSecond int, seconds int) int {
 	n := 0
 	url := d.EntryURLs()[entry] + api.PathCompletions
 	for i := range perSecond * seconds {
@@ -40,9 +41,9 @@
 	return n
 }
 
-// TestLimitOverAllEntries calls four entries far above a row's limit, one of
-// them most: together they admit what the limit allows, and the busy entry
-// gets more of it than the others.
+// TestLimitOverAllEntries calls four entries far above a row's limit, one of them more
+// than the others, and checks that together they admit what the limit allows and that
+// the busy entry gets a larger share of it.
 func TestLimitOverAllEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := deployment.NewMemory()
@@ -68,21 +69,21 @@
 			counts := make([]int, len(rates))
 			var callers sync.WaitGroup
 			for i, rate := range rates {
-				callers.Go(func() { counts[i] = admitted(d, fabric.Client(), i, rate, seconds) })
+				callers.Go(func() { counts[i] = countAnswered(d, fabric.Client(), i, rate, seconds) })
 			}
 			callers.Wait()
 			return counts
 		}
-		measure() // the shares settle
+		measure() // until the shares have converged
 		counts := measure()
 		total := counts[0] + counts[1] + counts[2] + counts[3]
 		ratio := float64(total) / (limitPerSecond * seconds)
 		t.Logf("admitted %v, %.3f of the limit", counts, ratio)
 		if ratio < 0.8 || ratio > 1.1 {
-			t.Errorf("the entries admitted %.3f of the limit together, want 0.8 to 1.1", ratio)
+			t.Errorf("all entries together admitted %.3f of the limit, want 0.8 to 1.1", ratio)
 		}
 		if counts[0] < 2*counts[1] {
-			t.Errorf("the entry with four times the demand admitted %d, another %d", counts[0], counts[1])
+			t.Errorf("the entry with four times the demand admitted %d, another one %d", counts[0], counts[1])
 		}
 	})
 }
--- a/service/entry/http.go
+++ b/service/entry/http.go
@@ -16,7 +16,7 @@
 	"mulberryscale.example/table"
 )
 
-// Steps named in refusals.
+// Processing steps, as named in refusals.
 const (
 	StepRead   = "entry.read"
 	StepAdmit  = "entry.admit"
@@ -28,7 +28,7 @@
 	StepScore  = "entry.score"
 )
 
-// maxKeyLength bounds an Idempotency-Key, in bytes.
+// maxKeyLength is the size limit of an Idempotency-Key, in bytes.
 const maxKeyLength = 256
 
 func (e *Entry) newHandler() (http.Handler, error) {
@@ -36,11 +36,11 @@
 	app.Logger().SetLevel("disable")
 	app.Get(api.PathLive, func(c iris.Context) { c.StatusCode(http.StatusOK) })
 	app.Get(api.PathReady, e.handleReady)
-	app.Post(api.PathCompletions, e.counted(e.handleCompletion))
-	app.Any(api.PathServices+"{row:string}/{path:path}", e.counted(e.handleService))
-	app.Any(api.PathServices+"{row:string}", e.counted(e.handleService))
-	app.Post(api.PathTrainers+"{row:string}/steps/{step:string}", e.counted(e.handleStep))
-	app.Post(api.PathTrainers+"{row:string}/steps/{step:string}/confirm", e.counted(e.handleConfirm))
+	app.Post(api.PathCompletions, e.whileServing(e.handleCompletion))
+	app.Any(api.PathServices+"{row:string}/{path:path}", e.whileServing(e.handleService))
+	app.Any(api.PathServices+"{row:string}", e.whileServing(e.handleService))
+	app.Post(api.PathTrainers+"{row:string}/steps/{step:string}", e.whileServing(e.handleStep))
+	app.Post(api.PathTrainers+"{row:string}/steps/{step:string}/confirm", e.whileServing(e.handleConfirm))
 	if err := app.Build(); err != nil {
 		return nil, err
 	}
@@ -55,8 +55,8 @@
 	c.StatusCode(http.StatusOK)
 }
 
-// counted refuses calls while the entry drains and counts the others as active.
-func (e *Entry) counted(handle func(iris.Context)) iris.Handler {
+// whileServing refuses calls while the entry is draining and counts others as active.
+func (e *Entry) whileServing(handle func(iris.Context)) iris.Handler {
 	return func(c iris.Context) {
 		if !e.begin() {
 			e.refuse(c, "", e.refusal(api.CodeDraining, "this entry instance is stopping", StepAdmit, drainingRetryAfter))
@@ -67,7 +67,7 @@
 	}
 }
 
-// refusal makes a refusal of a request that did not run.
+// refusal returns the refusal of a request that did not run.
 func (e *Entry) refusal(code api.Code, message, step string, retryAfter time.Duration) *api.Refusal {
 	return &api.Refusal{
 		Code: code, Message: message, NotRun: api.NotRunTrue,
@@ -77,7 +77,7 @@
 
 // refuse answers a call with a refusal and counts it.
 func (e *Entry) refuse(c iris.Context, row string, r *api.Refusal) {
-	r = e.forKey(c, r)
+	r = e.correctForKey(c, r)
 	e.countRefusal(row, r)
 	w := c.ResponseWriter()
 	w.Header().Set("Content-Type", "application/json")
@@ -90,12 +90,11 @@
 	}
 }
 
-// forKey makes a refusal speak for the key of a call that must run at most
-// once: before its claim was looked at, it is not known whether an earlier call
-// with the key ran.
-func (e *Entry) forKey(c iris.Context, r *api.Refusal) *api.Refusal {
+// correctForKey corrects a refusal of a call that needs a claim: until the claim of its
+// key has been read, it is not known whether an earlier call with the key ran.
+func (e *Entry) correctForKey(c iris.Context, r *api.Refusal) *api.Refusal {
 	unclaimed := r.Step == StepAdmit || r.Step == StepRoute
-	if r.NotRun != api.NotRunTrue || r.Peer != e.cfg.ID || !unclaimed || !e.isClaimed(c) {
+	if r.NotRun != api.NotRunTrue || r.Peer != e.cfg.ID || !unclaimed || !e.needsClaim(c) {
 		return r
 	}
 	corrected := *r
@@ -104,8 +103,8 @@
 	return &corrected
 }
 
-// isClaimed says whether a call has a key and must run at most once.
-func (e *Entry) isClaimed(c iris.Context) bool {
+// needsClaim reports whether a call has a key and must run at most once.
+func (e *Entry) needsClaim(c iris.Context) bool {
 	if c.GetHeader(api.HeaderIdempotencyKey) == "" {
 		return false
 	}
@@ -119,12 +118,13 @@
 	return !known || !row.Repeatable
 }
 
+// countRefusal counts and logs a refusal.
 func (e *Entry) countRefusal(row string, r *api.Refusal) {
 	e.cfg.Counters.Refusal(row, r.Code)
 	e.cfg.Log.WithError(r).WithField("row", row).Info("request refused")
 }
 
-// readJSON reads a bounded body into v.
+// readJSON decodes a request's body, of at most MaxBody bytes, into v.
 func (e *Entry) readJSON(c iris.Context, v any) *api.Refusal {
 	body, refusal := e.readBody(c)
 	if refusal != nil {
@@ -149,7 +149,8 @@
 	return body, nil
 }
 
-// row finds the row of the table in force and checks its kind.
+// row returns a row of the table in force, or a refusal if it does not exist or is of
+// none of the given kinds.
 func (e *Entry) row(name string, kinds ...table.Kind) (*table.Row, *api.Refusal) {
 	snap := e.cfg.Holder.Current()
 	if snap == nil {
@@ -167,7 +168,8 @@
 	return nil, e.refusal(api.CodeBadRequest, "the row "+name+" is of kind "+string(row.Kind)+", which this call does not serve", StepAdmit, 0)
 }
 
-// withDeadline bounds a call by the caller's deadline header, else by the row's.
+// withDeadline returns a context with the deadline from the caller's header, or else
+// with that of the row.
 func (e *Entry) withDeadline(c iris.Context, row *table.Row) (context.Context, context.CancelFunc, *api.Refusal) {
 	deadline := row.Deadline
 	if text := c.GetHeader(api.HeaderDeadline); text != "" {
@@ -186,7 +188,7 @@
 	return ctx, cancel, nil
 }
 
-// budgetOf is the time left until ctx's deadline, 0 when it has none.
+// budgetOf returns the time left until ctx's deadline, or 0 if it has none.
 func budgetOf(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -195,7 +197,7 @@
 	return max(time.Until(deadline), time.Nanosecond)
 }
 
-// identity is how a caller names a request that may come again.
+// identity is a request's idempotency key, and whether it must run at most once.
 type identity struct {
 	key           string
 	nonIdempotent bool
--- a/service/entry/peers.go
+++ b/service/entry/peers.go
@@ -9,10 +9,10 @@
 	"mulberryscale.example/wire"
 )
 
-// StepPeer is the step named in refusals of calls between our processes.
+// StepPeer is the processing step named in refusals of calls between processes.
 const StepPeer = "entry.peer"
 
-// servePeer serves one call of another process of the system.
+// servePeer serves one call of another process.
 func (e *Entry) servePeer(_ context.Context, s transport.Stream) {
 	var req wire.Request
 	if err := s.Recv(&req); err != nil {
--- a/service/entry/quarantine.go
+++ b/service/entry/quarantine.go
@@ -10,35 +10,37 @@
 	"mulberryscale.example/wire"
 )
 
-// admitContent refuses a call under whose content endpoints have ended, at once, so
-// that all endpoints of its row do not end under it.
-func (e *Entry) admitContent(ctx context.Context, c *call) *api.Refusal {
-	verdict, wait := e.quarantine.Admit(ctx, c.subject, quarantine.RequestLimit)
-	if verdict != quarantine.Quarantined {
+// quarantineRefusal returns a refusal if the call's content is quarantined because
+// endpoints crashed while running it, so that it does not crash all endpoints of its row.
+func (e *Entry) quarantineRefusal(ctx context.Context, c *call) *api.Refusal {
+	state, wait := e.quarantine.Admit(ctx, c.fingerprint, quarantine.RequestLimit)
+	if state != quarantine.Quarantined {
 		return nil
 	}
 	e.quarantine.CountRefused()
 	return e.refusal(api.CodeHeld, "endpoints have ended under this request", StepRoute, wait)
 }
 
-// mayEndAnother reports whether a call that failed may go to one more endpoint.
-func (e *Entry) mayEndAnother(c *call) bool {
-	verdict, _ := e.quarantine.State(c.subject, quarantine.RequestLimit)
-	return verdict == quarantine.Clear || verdict == quarantine.Suspect
+// mayTryAnother reports whether the quarantine allows to send a failed call to one more
+// endpoint.
+func (e *Entry) mayTryAnother(c *call) bool {
+	state, _ := e.quarantine.State(c.fingerprint, quarantine.RequestLimit)
+	return state == quarantine.Clear || state == quarantine.Suspect
 }
 
-// noteEnd tells the quarantine what an attempt did to the endpoint beside an agent.
-func (e *Entry) noteEnd(c *call, agent string, refusal *api.Refusal, took time.Duration) {
+// reportOutcome reports to the quarantine whether an attempt was served or crashed the
+// endpoint beside an agent.
+func (e *Entry) reportOutcome(c *call, agent string, refusal *api.Refusal, took time.Duration) {
 	switch {
 	case refusal == nil:
-		e.quarantine.ReportServed(c.subject)
+		e.quarantine.ReportServed(c.fingerprint)
 	case refusal.EndpointEnded:
-		e.quarantine.ReportCrashAtAgent(c.subject, agent, took)
+		e.quarantine.ReportCrashAtAgent(c.fingerprint, agent, took)
 	}
 }
 
-// contentNews is what the quarantine tells other entries.
-func (e *Entry) contentNews() (list []wire.ContentNews) {
+// quarantineEvents returns the recent quarantine events, for gossip with other entries.
+func (e *Entry) quarantineEvents() (list []wire.ContentNews) {
 	for _, n := range e.quarantine.RecentEvents() {
 		list = append(list, wire.ContentNews{
 			Content: string(n.Fingerprint), Kind: int(n.Kind), Agent: n.Endpoint.ID, Born: n.Endpoint.Born,
@@ -48,14 +50,14 @@
 	return list
 }
 
-// hearContents takes in what another entry tells.
-func (e *Entry) hearContents(list []wire.ContentNews) {
-	heard := make([]quarantine.GossipEvent, 0, len(list))
+// mergeQuarantineEvents adds the quarantine events from another entry's gossip.
+func (e *Entry) mergeQuarantineEvents(list []wire.ContentNews) {
+	events := make([]quarantine.GossipEvent, 0, len(list))
 	for _, n := range list {
-		heard = append(heard, quarantine.GossipEvent{
+		events = append(events, quarantine.GossipEvent{
 			Fingerprint: quarantine.Fingerprint(n.Content), Kind: quarantine.GossipKind(n.Kind),
 			Endpoint: fleet.Incarnation{ID: n.Agent, Born: n.Born}, Took: n.Took, Trial: n.Trial, Age: n.Age,
 		})
 	}
-	e.quarantine.MergeEvents(heard)
+	e.quarantine.MergeEvents(events)
 }
--- a/service/entry/run.go
+++ b/service/entry/run.go
@@ -19,79 +19,80 @@
 	"mulberryscale.example/wire"
 )
 
-// Delays between the attempts of one interactive call.
+// Bounds of the delay between two attempts of one interactive call.
 const (
-	firstDelay = 10 * time.Millisecond
-	mostDelay  = 500 * time.Millisecond
+	minRetryDelay = 10 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
 )
 
 const (
-	// maxSwapWait is how long a call waits for endpoints that all change their
-	// weights: as long as a rolling swap takes, which no load exceeds that works.
+	// maxSwapWait is how long a call waits while all endpoints change their weights: as
+	// long as a rolling swap takes, which no successful load exceeds.
 	maxSwapWait = weights.DefaultSwapWindow
-	// mostSwapDelay is the longest pause between two looks whether one is done:
-	// a fifth of a second is within the aim of an interactive answer.
-	mostSwapDelay = 200 * time.Millisecond
+	// maxSwapDelay is the longest delay between two checks whether one is ready: a fifth
+	// of a second is within the latency objective of an interactive answer.
+	maxSwapDelay = 200 * time.Millisecond
 )
 
-// wholeAnswerInterval spaces the chunks of an answer that the caller gets as a
-// whole; they only serve to go on elsewhere after a failure.
-const wholeAnswerInterval = 100 * time.Millisecond
+// unstreamedChunkInterval is the interval of chunks for an answer that is not streamed
+// to the caller; they are only used to resume on another agent after a failure.
+const unstreamedChunkInterval = 100 * time.Millisecond
 
 // call is one interactive request on its way to an endpoint.
 type call struct {
 	row *table.Row
-	// subject names its content.
-	subject quarantine.Fingerprint
-	// route says which endpoints can take it.
+	// fingerprint identifies its content in the quarantine.
+	fingerprint quarantine.Fingerprint
+	// route describes the endpoints that can take it.
 	route routing.Request
-	// work is a run without id, identity and budget, which each attempt fills in.
-	work wire.Run
-	// idempotent says whether it may be sent again after it may have run.
+	// template is the run without id, identity and budget, which each attempt fills in.
+	template wire.Run
+	// idempotent reports whether it may be sent again after it may have run.
 	idempotent bool
-	// ran is what is known of the attempts so far: whether one may have run.
-	ran      mayHaveRun
+	// history records whether one of the attempts so far ran or may have run.
+	history  runHistory
 	progress generation.Progress
-	// onText takes in the progress after each chunk; it may be nil.
+	// onText is called with the progress after each chunk; nil for a call that is not
+	// streamed.
 	onText func(*generation.Progress)
 }
 
-// runCall makes attempts until one succeeds or the call must be given up. A
-// generation goes on elsewhere after what was generated.
+// runCall makes attempts until one succeeds or no further one is allowed. A generation
+// is resumed on another agent after the text generated so far.
 func (e *Entry) runCall(ctx context.Context, c *call) (*wire.Done, *api.Refusal) {
 	e.budget.CountAttempt()
-	delays := retry.NewBackoff(firstDelay, mostDelay)
+	delays := retry.NewBackoff(minRetryDelay, maxRetryDelay)
 	c.route.Exclude = map[string]bool{}
 	for {
 		agent, refusal := e.pickReady(ctx, c)
 		if refusal != nil {
-			return nil, c.ran.correct(refusal)
+			return nil, c.history.correct(refusal)
 		}
 		done, refusal := e.attempt(ctx, c, agent)
 		if refusal == nil {
 			return done, nil
 		}
-		c.ran.note(refusal, c.progress.Tokens())
-		if ctx.Err() != nil || !retry.Repeatable(refusal, c.idempotent) || !e.mayEndAnother(c) {
-			return nil, c.ran.correct(refusal)
+		c.history.record(refusal, c.progress.Tokens())
+		if ctx.Err() != nil || !retry.Repeatable(refusal, c.idempotent) || !e.mayTryAnother(c) {
+			return nil, c.history.correct(refusal)
 		}
 		if !e.budget.Take() {
 			e.cfg.Counters.Refusal(c.row.Name, api.CodeRetryBudget)
-			return nil, c.ran.correct(refusal)
+			return nil, c.history.correct(refusal)
 		}
 		e.countRetry(c.row.Name, refusal)
 		c.route.Exclude[agent.ID] = true
 		if refusal = e.waitToRetry(ctx, delays.NextBackOff(), refusal); refusal != nil {
-			return nil, c.ran.correct(refusal)
+			return nil, c.history.correct(refusal)
 		}
 	}
 }
 
-// mayHaveRun gathers what the refused attempts of a call prove together.
-type mayHaveRun struct{ ran, unknown bool }
+// runHistory records whether any refused attempt of a call ran, or may have run.
+type runHistory struct{ ran, unknown bool }
 
-// note takes in the refusal of an attempt after which tokens were there.
-func (m *mayHaveRun) note(r *api.Refusal, tokens int) {
+// record adds the refusal of an attempt; tokens is the number generated so far.
+func (m *runHistory) record(r *api.Refusal, tokens int) {
 	switch {
 	case r.NotRun == api.NotRunFalse || tokens > 0:
 		m.ran = true
@@ -100,8 +101,8 @@
 	}
 }
 
-// correct makes a refusal of the last attempt say what holds for all of them.
-func (m *mayHaveRun) correct(r *api.Refusal) *api.Refusal {
+// correct returns the last attempt's refusal with a NotRun that holds for all attempts.
+func (m *runHistory) correct(r *api.Refusal) *api.Refusal {
 	notRun := r.NotRun
 	switch {
 	case m.ran:
@@ -117,8 +118,8 @@
 	return &corrected
 }
 
-// waitToRetry waits, unless the deadline would pass meanwhile: then the call is
-// refused at once.
+// waitToRetry waits for delay and returns nil. If the deadline would pass in that time,
+// it returns the refusal at once.
 func (e *Entry) waitToRetry(ctx context.Context, delay time.Duration, refusal *api.Refusal) *api.Refusal {
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= delay {
 		return refusal
@@ -133,14 +134,14 @@
 
 // attempt sends the call to an agent once.
 func (e *Entry) attempt(ctx context.Context, c *call, agent *membership.Agent) (*wire.Done, *api.Refusal) {
-	run := c.work
+	run := c.template
 	run.RunID = uuid.NewString()
 	run.Row = c.row.Name
 	run.Budget = budgetOf(ctx)
 	run.NonIdempotent = !c.idempotent
-	run.Generate = resumed(c.work.Generate, &c.progress)
+	run.Generate = resume(c.template.Generate, &c.progress)
 	if c.onText == nil {
-		run.ChunkInterval = wholeAnswerInterval
+		run.ChunkInterval = unstreamedChunkInterval
 	}
 	return e.send(ctx, c, agent, &run)
 }
@@ -160,28 +161,29 @@
 	if err != nil {
 		done, refusal = nil, e.asRefusal(err, StepRun)
 	}
-	e.noteEnd(c, agent.ID, refusal, time.Since(began))
+	e.reportOutcome(c, agent.ID, refusal, time.Since(began))
 	return done, refusal
 }
 
-// resumed is a generation that goes on after what was generated.
-func resumed(g *wire.Generate, p *generation.Progress) *wire.Generate {
+// resume returns a generation that continues g after the text generated so far; nil if g
+// is nil.
+func resume(g *wire.Generate, p *generation.Progress) *wire.Generate {
 	if g == nil {
 		return nil
 	}
-	after := *g
-	after.Prefix = p.Text
-	after.PrefixSpans = p.Clone().Spans
-	return &after
+	resumed := *g
+	resumed.Prefix = p.Text
+	resumed.PrefixSpans = p.Clone().Spans
+	return &resumed
 }
 
-// pickReady routes a call. While all endpoints that could take it change their
-// weights, as with the swap policy "at_once", it waits for the first that is
-// done, for at most maxSwapWait.
+// pickReady picks an agent for a call. While all endpoints that could take it change
+// their weights, as with the swap policy "at_once", it waits until one is ready, for at
+// most maxSwapWait.
 func (e *Entry) pickReady(ctx context.Context, c *call) (*membership.Agent, *api.Refusal) {
 	ctx, cancel := context.WithTimeout(ctx, maxSwapWait)
 	defer cancel()
-	delays := retry.NewBackoff(firstDelay, mostSwapDelay)
+	delays := retry.NewBackoff(minRetryDelay, maxSwapDelay)
 	for waits := 0; ; waits++ {
 		agent, err := e.interactive.Pick(&c.route, e.view.Snapshot(), newRand())
 		if err == nil {
@@ -200,14 +202,14 @@
 	}
 }
 
-// swapping says whether an endpoint was dropped only because its weights are
-// not whole yet.
+// swapping reports whether an endpoint was dropped only because its weights are not
+// completely loaded yet.
 func swapping(err error) bool {
 	var none *routing.NoEndpointError
 	return errors.As(err, &none) && none.DroppedBy(routing.FilterReady) > 0
 }
 
-// noEndpoint is the refusal of a request that no endpoint can take.
+// noEndpoint returns the refusal of a request that no endpoint can take.
 func (e *Entry) noEndpoint(err error) *api.Refusal {
 	var none *routing.NoEndpointError
 	if errors.As(err, &none) && none.DroppedBy(routing.FilterVersion) > 0 {
@@ -216,12 +218,13 @@
 	return e.refusal(api.CodeNoEndpoint, err.Error(), StepRoute, noEndpointRetryAfter)
 }
 
-// newRand returns a cheap source for one choice, seeded by the runtime.
+// newRand returns a cheap random source for one choice, seeded by the runtime.
 func newRand() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
-// admit applies the row's limits.
+// admit admits a call under the row's limits. The returned function is called with the
+// number of generated tokens when the call is done.
 func (e *Entry) admit(row *table.Row) (func(tokens int), *api.Refusal) {
 	ticket, exceeded := e.limits.Admit(row, time.Now())
 	if exceeded != nil {
--- a/service/entry/scoring.go
+++ b/service/entry/scoring.go
@@ -14,19 +14,19 @@
 	"mulberryscale.example/wire"
 )
 
-// scorePath is where a scoring service takes samples.
+// scorePath is the HTTP path to which samples are posted for scoring.
 const scorePath = "/score"
 
-// headerRequest names the scored sample to the scoring service.
+// headerRequest is the header that identifies the sample to the scoring service.
 const headerRequest = "X-Request"
 
-// Times of scoring.
+// Delays and time limits of scoring.
 const (
-	firstScoreDelay = 50 * time.Millisecond
-	mostScoreDelay  = 2 * time.Second
-	// outcomePatience is how long an agent is asked for the outcome of a
-	// scoring call that may not be repeated.
-	outcomePatience = time.Minute
+	minScoreDelay = 50 * time.Millisecond
+	maxScoreDelay = 2 * time.Second
+	// outcomeTimeout is how long an agent is asked for the outcome of a scoring call
+	// that must not be repeated.
+	outcomeTimeout = time.Minute
 )
 
 // scoreRequest is the body of a scoring call.
@@ -36,20 +36,21 @@
 	Text  string `json:"text"`
 }
 
-// scoreResponse is its answer.
+// scoreResponse is the body of the response to a scoring call.
 type scoreResponse struct {
 	Score *float64 `json:"score"`
 }
 
-// scorer scores samples through the plain service that their row names.
+// scorer scores samples with the plain service that their row names. It implements
+// rollout.Scorer.
 type scorer struct{ e *Entry }
 
-// Score implements rollout.Scorer. It tries until ctx ends, unless the refusal
-// is for good. A scoring service whose row is not repeatable is called under a
-// claim, at most once for each text of a sample: a sample that was generated
-// anew after its engine and agent were lost is another request.
+// Score implements rollout.Scorer. It retries until ctx is done or a refusal is
+// permanent. A scoring service whose row is not repeatable is called under a claim, at
+// most once for each text of a sample: a sample that was generated again after its
+// engine and agent were lost is another request.
 func (s *scorer) Score(ctx context.Context, row *table.Row, sample *api.Sample) (float64, error) {
-	delays := retry.NewBackoff(firstScoreDelay, mostScoreDelay)
+	delays := retry.NewBackoff(minScoreDelay, maxScoreDelay)
 	began := time.Now()
 	for {
 		score, refusal := s.scoreOnce(ctx, row, sample)
@@ -66,7 +67,8 @@
 	}
 }
 
-// mayScoreAgain says whether another call can bring a score after so long.
+// mayScoreAgain reports whether a retry can succeed after a refusal; waited is the time
+// since the first attempt.
 func (s *scorer) mayScoreAgain(row *table.Row, r *api.Refusal, waited time.Duration) bool {
 	switch r.Code {
 	case api.CodeBadRequest, api.CodeUnknownRow, api.CodeTooLarge, api.CodeUnauthorized, api.CodeInternal:
@@ -74,8 +76,9 @@
 	case api.CodeClaimStoreDown:
 		return true
 	case api.CodeOutcomeUnknown:
-		// The agent may come back and tell; when it has lost the outcome, no repeat helps.
-		return r.RetryAfter > 0 && waited < outcomePatience
+		// The agent may become reachable and return the outcome; if it has lost the
+		// outcome, which RetryAfter 0 shows, no retry helps.
+		return r.RetryAfter > 0 && waited < outcomeTimeout
 	}
 	service, refusal := s.e.row(row.Scorer, table.KindPlain)
 	return r.NotRun == api.NotRunTrue || (refusal == nil && service.Repeatable)
@@ -94,7 +97,7 @@
 	work := &call{
 		row: service, idempotent: service.Repeatable,
 		route: routing.Request{Service: service.Name, Zone: s.e.cfg.Zone},
-		work: wire.Run{Class: wire.ClassTraining, ExpectedTokens: 1, Call: &wire.Call{
+		template: wire.Run{Class: wire.ClassTraining, ExpectedTokens: 1, Call: &wire.Call{
 			Method: http.MethodPost, Path: scorePath, Body: body,
 			Header: map[string][]string{"Content-Type": {"application/json"}, headerRequest: {name}},
 		}},
--- a/service/entry/services.go
+++ b/service/entry/services.go
@@ -13,14 +13,14 @@
 	"mulberryscale.example/wire"
 )
 
-// hopHeaders are not passed on: they belong to one connection or to this API.
+// hopHeaders are not forwarded: they belong to one connection or to this API.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Host", "Accept-Encoding",
 	api.HeaderNonIdempotent, api.HeaderDeadline,
 }
 
-// handleService routes a call to a plain service of a row.
+// handleService serves a call to a row's plain service.
 func (e *Entry) handleService(c iris.Context) {
 	row, refusal := e.row(c.Params().Get("row"), table.KindPlain)
 	if refusal != nil {
@@ -37,7 +37,7 @@
 		return
 	}
 	defer end(0)
-	call := work.work.Call
+	call := work.template.Call
 	digest := digest.Of(call.Method, call.Path, string(call.Body))
 	done, refusal := e.runIdentified(ctx, work, id, digest)
 	if refusal != nil {
@@ -61,19 +61,19 @@
 	work := &call{
 		row: row, idempotent: !id.nonIdempotent,
 		route: routing.Request{Service: row.Name, Zone: e.cfg.Zone},
-		work: wire.Run{Class: wire.ClassInteractive, ExpectedTokens: 1, Call: &wire.Call{
-			Method: method, Path: servicePath(c, row.Name), Header: passedOn(c.Request().Header), Body: body,
+		template: wire.Run{Class: wire.ClassInteractive, ExpectedTokens: 1, Call: &wire.Call{
+			Method: method, Path: servicePath(c, row.Name), Header: endToEndHeader(c.Request().Header), Body: body,
 		}},
 	}
 	return work, id, nil
 }
 
-// isSafe says whether HTTP defines a method as safe to repeat.
+// isSafe reports whether HTTP defines a method as safe to repeat.
 func isSafe(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-// servicePath is the service's own path, query included.
+// servicePath returns the path and query of a request as the service sees them.
 func servicePath(c iris.Context, row string) string {
 	u := c.Request().URL
 	path := strings.TrimPrefix(u.EscapedPath(), api.PathServices+row)
@@ -86,7 +86,8 @@
 	return path
 }
 
-func passedOn(h http.Header) map[string][]string {
+// endToEndHeader returns a copy of h without hopHeaders.
+func endToEndHeader(h http.Header) map[string][]string {
 	out := h.Clone()
 	for _, name := range hopHeaders {
 		out.Del(name)
@@ -100,7 +101,7 @@
 		return
 	}
 	w := c.ResponseWriter()
-	for name, values := range passedOn(a.Header) {
+	for name, values := range endToEndHeader(a.Header) {
 		w.Header()[name] = values
 	}
 	w.WriteHeader(a.Status)
--- a/service/entry/stall_test.go
+++ b/service/entry/stall_test.go
@@ -20,10 +20,10 @@
 training,trainer,guide,1,1,,,,4000,1h,1,carry,,at_once,
 `
 
-// stallTime is how long the trainer does not read; the step's deadline is an hour.
+// stallTime is how long the trainer or caller does not read. The step's deadline is an hour.
 const stallTime = 2 * time.Minute
 
-// startStalled starts an entry and an engine in a bubble.
+// startStalled starts an entry and an engine for a reader that stalls.
 func startStalled(t *testing.T, fabric *deployment.Memory) *deployment.Deployment {
 	t.Helper()
 	d, err := deployment.Start(t.Context(), deployment.Options{
@@ -43,7 +43,8 @@
 	return d
 }
 
-// TestStalledTrainerLosesItsSession starts a step and does not read its answer.
+// TestStalledTrainerLosesItsSession starts a step and does not read the response: the
+// entry must close the session long before the step's deadline.
 func TestStalledTrainerLosesItsSession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := deployment.NewMemory()
@@ -53,13 +54,13 @@
 		defer resp.Body.Close()
 		time.Sleep(stallTime)
 		if n := d.Entries[0].Counters.Refusals("training", api.CodeCancelled); n != 1 {
-			t.Errorf("%d sessions ended by %s of not reading, want 1", n, stallTime)
+			t.Errorf("%d sessions cancelled after %s without a read, want 1", n, stallTime)
 		}
 	})
 }
 
-// TestStalledCallerLosesItsStream starts a streamed completion and does not
-// read it: the entry gives it up, so that it holds up no drain.
+// TestStalledCallerLosesItsStream starts a streamed completion and does not read it: the
+// entry must cancel it, so that it does not delay a drain.
 func TestStalledCallerLosesItsStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := deployment.NewMemory()
@@ -80,12 +81,12 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if err := d.Entries[0].Entry.Drain(ctx); err != nil {
-			t.Errorf("after %s of not reading: %v", stallTime, err)
+			t.Errorf("drain after %s without a read: %v", stallTime, err)
 		}
 	})
 }
 
-// startStep asks for more samples than the pipe between client and entry holds.
+// startStep starts a step with more samples than the pipe between client and entry holds.
 func startStep(t *testing.T, url string, client *http.Client) *http.Response {
 	t.Helper()
 	req := api.StepRequest{Session: 1, Version: 1}
--- a/service/entry/steps.go
+++ b/service/entry/steps.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	// maxStepSamples bounds the samples of one step request.
+	// maxStepSamples is the largest number of samples of one step request.
 	maxStepSamples = 1 << 16
-	// maxIDLength bounds the ids of samples and groups and the names of steps, in bytes.
+	// maxIDLength is the size limit of sample ids, group ids and step names, in bytes.
 	maxIDLength = 256
-	// heartbeatInterval is how often a step's answer shows that its entry lives.
+	// heartbeatInterval is the interval of heartbeats in a step's event stream.
 	heartbeatInterval = time.Second
-	// eventWriteTimeout is how long a trainer or caller may take to read so far
-	// that an event can be written; then its connection counts as broken.
+	// eventWriteTimeout is the time limit for writing an event. If a trainer or caller
+	// has not read enough by then, its connection counts as broken.
 	eventWriteTimeout = 30 * time.Second
-	// handOverTime bounds the closing of steps at the end of a drain.
-	handOverTime = 2 * time.Second
+	// closeStepsTimeout is the time limit for closing steps at the end of a drain.
+	closeStepsTimeout = 2 * time.Second
 )
 
 // handleStep serves POST /v1/trainers/{row}/steps/{step}.
@@ -107,34 +107,34 @@
 	return nil
 }
 
-// answerStep runs the step and streams its samples.
+// answerStep runs the step and streams its events.
 func (e *Entry) answerStep(ctx context.Context, c iris.Context, row *table.Row, req *api.StepRequest) {
-	sink := newStepSink(c.ResponseWriter())
-	stop := sink.startHeartbeats()
+	stream := newStepStream(c.ResponseWriter())
+	stop := stream.startHeartbeats()
 	defer stop()
 	defer e.observeSince(observe.NameStepTime, row.Name, time.Now())
 	minVersion := generation.OldestAllowed(req.Version, row.StalenessBound)
-	end, err := e.runner.Run(ctx, row, req, minVersion, sink)
+	end, err := e.runner.Run(ctx, row, req, minVersion, stream)
 	if err != nil {
 		refusal := e.stepRefusal(err)
 		e.countRefusal(row.Name, refusal)
-		e.tellEnd(row, req, sink.event(api.EventRefusal, refusal))
+		e.logUnsentEnd(row, req, stream.event(api.EventRefusal, refusal))
 		return
 	}
 	e.cfg.Counters.Add(observe.NameSamples, row.Name, int64(end.Delivered))
-	e.tellEnd(row, req, sink.event(api.EventEnd, end))
+	e.logUnsentEnd(row, req, stream.event(api.EventEnd, end))
 }
 
-// tellEnd logs that the end of a step did not reach its trainer, which then
-// asks for the step again.
-func (e *Entry) tellEnd(row *table.Row, req *api.StepRequest, err error) {
+// logUnsentEnd logs an error in sending the last event of a step. The trainer then
+// requests the step again.
+func (e *Entry) logUnsentEnd(row *table.Row, req *api.StepRequest, err error) {
 	if err != nil {
 		e.cfg.Log.WithError(err).WithFields(logrus.Fields{"row": row.Name, "session": req.Session}).Info("step's end not sent")
 	}
 }
 
-// stepRefusal closes a step that did not come to its end: some of its samples
-// may have run, and the trainer asks for them again.
+// stepRefusal returns the refusal of a step that was not completed: some of its samples
+// may have run, and the trainer requests them again.
 func (e *Entry) stepRefusal(err error) *api.Refusal {
 	r := e.refusal(api.CodeCancelled, "the step's connection is gone: "+err.Error(), StepStep, drainingRetryAfter)
 	switch {
@@ -168,36 +168,36 @@
 	c.StatusCode(http.StatusNoContent)
 }
 
-// stepSink writes a step's events. It is safe for concurrent use.
-type stepSink struct {
-	// turn holds the one token of the writer; a write lasts as long as the
-	// trainer takes to read, at most eventWriteTimeout.
-	turn chan struct{}
-	w    http.ResponseWriter
-	// conn is the connection below w, which hides it.
+// stepStream writes a step's events. It is safe for concurrent use.
+type stepStream struct {
+	// writing is a semaphore that allows one write at a time. A write takes as long as
+	// the trainer takes to read, at most eventWriteTimeout.
+	writing chan struct{}
+	w       http.ResponseWriter
+	// conn controls the connection, which w hides.
 	conn *http.ResponseController
 }
 
-// responseWriter is what iris answers a request with.
+// responseWriter is the part of iris's response writer that is used here.
 type responseWriter interface {
 	http.ResponseWriter
 	Naive() http.ResponseWriter
 }
 
-func newStepSink(w responseWriter) *stepSink {
+func newStepStream(w responseWriter) *stepStream {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
 	w.WriteHeader(http.StatusOK)
-	return &stepSink{w: w, conn: http.NewResponseController(w.Naive()), turn: make(chan struct{}, 1)}
+	return &stepStream{w: w, conn: http.NewResponseController(w.Naive()), writing: make(chan struct{}, 1)}
 }
 
 // Sample implements rollout.ResultHandler.
-func (s *stepSink) Sample(sample *api.Sample) error { return s.event(api.EventSample, sample) }
+func (s *stepStream) Sample(sample *api.Sample) error { return s.event(api.EventSample, sample) }
 
 // Placement implements rollout.ResultHandler.
-func (s *stepSink) Placement(p api.Placement) error { return s.event(api.EventPlacement, p) }
+func (s *stepStream) Placement(p api.Placement) error { return s.event(api.EventPlacement, p) }
 
-func (s *stepSink) event(name string, v any) error {
+func (s *stepStream) event(name string, v any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -205,11 +205,11 @@
 	return s.write(func() error { return writeEvent(s.w, name, body) })
 }
 
-// write calls f, which writes to w, in turn and with a deadline. A write that
-// fails ends the request's context, as net/http has it, and thus the session.
-func (s *stepSink) write(f func() error) error {
-	s.turn <- struct{}{}
-	defer func() { <-s.turn }()
+// write calls f, which writes to w, after earlier writes and with a deadline. If the
+// write fails, net/http cancels the request's context and thus the session.
+func (s *stepStream) write(f func() error) error {
+	s.writing <- struct{}{}
+	defer func() { <-s.writing }()
 	return writeInTime(s.conn, f)
 }
 
@@ -217,14 +217,14 @@
 // reader takes longer than eventWriteTimeout.
 func writeInTime(conn *http.ResponseController, f func() error) error {
 	err := conn.SetWriteDeadline(time.Now().Add(eventWriteTimeout))
-	if err != nil && !errors.Is(err, http.ErrNotSupported) { // a writer that is no connection has no deadline
+	if err != nil && !errors.Is(err, http.ErrNotSupported) { // not every writer supports deadlines
 		return err
 	}
 	return f()
 }
 
-// startHeartbeats sends comments until the returned function is called.
-func (s *stepSink) startHeartbeats() (stop func()) {
+// startHeartbeats sends heartbeats, as comments, until the returned function is called.
+func (s *stepStream) startHeartbeats() (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Go(func() {
@@ -245,10 +245,10 @@
 	}
 }
 
-func (s *stepSink) heartbeat() {
+func (s *stepStream) heartbeat() {
 	m := &sse.Message{}
 	m.AppendComment("heartbeat")
-	// A failed write ends the request's context.
+	// A failed write cancels the request's context.
 	_ = s.write(func() error {
 		if _, err := m.WriteTo(s.w); err != nil {
 			return err
@@ -257,11 +257,11 @@
 	})
 }
 
-// sessionKey names a step of a trainer's row.
+// sessionKey identifies a step of a trainer's row.
 type sessionKey struct{ row, step string }
 
-// sessions holds the newest session of each step that runs at this entry, so
-// that an older connection of the same step is given up.
+// sessions holds the newest session of each step that runs at this entry. A newer
+// session cancels an older one of the same step.
 type sessions struct {
 	mu      sync.Mutex
 	running map[sessionKey]*session
@@ -274,8 +274,8 @@
 
 func newSessions() *sessions { return &sessions{running: map[sessionKey]*session{}} }
 
-// begin makes number the step's session and cancels an older one; ok is false
-// when a newer one runs. end is called when the session ends.
+// begin registers session number of a step and cancels an older one; ok is false if a
+// newer one is running. The caller calls end when the session ends.
 func (s *sessions) begin(key sessionKey, number uint64, cancel context.CancelFunc) (end func(), ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -286,13 +286,13 @@
 	if old != nil {
 		old.cancel()
 	}
-	mine := &session{number: number, cancel: cancel}
-	s.running[key] = mine
-	return func() { s.end(key, mine) }, true
+	current := &session{number: number, cancel: cancel}
+	s.running[key] = current
+	return func() { s.end(key, current) }, true
 }
 
-// handOver cancels all sessions, whose trainers then go to another entry.
-func (s *sessions) handOver() {
+// cancelAll cancels all sessions. Their trainers then connect to another entry.
+func (s *sessions) cancelAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, running := range s.running {
@@ -300,10 +300,10 @@
 	}
 }
 
-func (s *sessions) end(key sessionKey, mine *session) {
+func (s *sessions) end(key sessionKey, ended *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.running[key] == mine {
+	if s.running[key] == ended {
 		delete(s.running, key)
 	}
 }
--- a/service/entry/swapwait_test.go
+++ b/service/entry/swapwait_test.go
@@ -20,7 +20,7 @@
 visitors,service,guide,4,,,,,400,30s,,,,at_once,
 `
 
-// startSwapping starts an entry and two engines whose loads take so long.
+// startSwapping starts an entry and two engines whose weight loads take the given time.
 func startSwapping(t *testing.T, fabric *deployment.Memory, load time.Duration) *deployment.Deployment {
 	t.Helper()
 	opts := deployment.Options{
@@ -43,7 +43,7 @@
 	return d
 }
 
-// lookup makes one short call and returns its status, headers and body.
+// lookup makes one short call and returns the response and its body.
 func lookup(t *testing.T, d *deployment.Deployment, client *http.Client) (*http.Response, string) {
 	body, err := json.Marshal(api.CompletionRequest{Model: "visitors", Prompt: "what is open in Patan", MaxTokens: 4})
 	if err != nil {
@@ -63,9 +63,8 @@
 	return resp, string(answer)
 }
 
-// TestLookupsOutlastASwapOfAllEngines makes lookups while every engine of the
-// row loads new weights at the same time: they wait for the load instead of
-// being refused.
+// TestLookupsOutlastASwapOfAllEngines makes lookups while all engines of the row load new
+// weights at the same time: the lookups must wait for the load instead of being refused.
 func TestLookupsOutlastASwapOfAllEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := deployment.NewMemory()
@@ -87,20 +86,19 @@
 	})
 }
 
-// TestLookupsDoNotWaitForeverForASwap has loads that take longer than a lookup
-// waits: it is refused as not run, long before its deadline, with a time to
-// come back.
+// TestLookupsDoNotWaitForeverForASwap uses loads that take longer than a lookup waits: it
+// must be refused as not run, long before its deadline and with a Retry-After.
 func TestLookupsDoNotWaitForeverForASwap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := deployment.NewMemory()
 		defer fabric.Close()
 		const load = 10 * time.Minute
 		d := startSwapping(t, fabric, load)
-		defer time.Sleep(load) // until the loads have ended
+		defer time.Sleep(load) // until the loads are complete
 		if err := d.Weights.Publish("guide", 2, nil); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Minute) // until both engines load
+		time.Sleep(time.Minute) // until both engines are loading
 		began := time.Now()
 		resp, answer := lookup(t, d, fabric.Client())
 		if resp == nil {
--- a/service/entry/tablesync.go
+++ b/service/entry/tablesync.go
@@ -13,42 +13,43 @@
 	"mulberryscale.example/wire"
 )
 
-// bootstrapRetry is how often an entry without a table looks for one.
+// bootstrapRetry is the delay between two attempts of an entry without a table to get one.
 const bootstrapRetry = 500 * time.Millisecond
 
-// tableSync keeps the entry's table up to date and answers for it.
+// tableSync keeps the entry's table up to date and records the table versions of the
+// other processes.
 type tableSync struct {
 	e      *Entry
 	poller *tablesync.Poller
 	spread *tablesync.Spread
 
 	mu sync.Mutex
-	// heard is what other processes' headers said, by id.
-	heard map[string]heardHeader
+	// lastHeaders holds the last header received from each process, by process id.
+	lastHeaders map[string]receivedHeader
 }
 
-type heardHeader struct {
+type receivedHeader struct {
 	header wire.Header
 	at     time.Time
 }
 
 func newTableSync(e *Entry) *tableSync {
-	t := &tableSync{e: e, heard: map[string]heardHeader{}}
+	t := &tableSync{e: e, lastHeaders: map[string]receivedHeader{}}
 	t.poller = tablesync.NewPoller(tablesync.PollerConfig{
 		Reader: tablestore.New(e.cfg.Table), Holder: e.cfg.Holder, Log: e.cfg.Log,
 		Entries: func() int { return len(e.view.Entries()) + 1 },
 	})
 	t.spread = tablesync.NewSpread(tablesync.SpreadConfig{
 		Self: e.header, Dialer: e.cfg.Dialer, Holder: e.cfg.Holder, Log: e.cfg.Log,
-		Entries: t.entries, Watched: t.watched,
+		Entries: t.neighbours, Watched: t.watchedAgents,
 	})
 	return t
 }
 
-// entries are the neighbours among the other entries, whose connections are
-// kept. An entry that is nobody's neighbour learns of a version from the headers
-// of its own exchanges.
-func (t *tableSync) entries() []tablesync.Peer {
+// neighbours returns this entry's neighbours among the other entries, to which it keeps
+// connections. An entry that is nobody's neighbour gets the table version from the
+// headers of its own exchanges.
+func (t *tableSync) neighbours() []tablesync.Peer {
 	var peers []tablesync.Peer
 	for _, in := range membership.Neighbours(t.e.cfg.ID, t.e.view.Entries(), gossipPeers) {
 		peers = append(peers, tablesync.Peer{ID: in.ID, Addr: in.Addr})
@@ -56,7 +57,7 @@
 	return peers
 }
 
-func (t *tableSync) watched() []tablesync.Peer {
+func (t *tableSync) watchedAgents() []tablesync.Peer {
 	var peers []tablesync.Peer
 	for _, a := range t.e.view.Snapshot().Agents {
 		peers = append(peers, tablesync.Peer{ID: a.ID, Addr: a.Addr})
@@ -64,7 +65,7 @@
 	return peers
 }
 
-// observe takes in the header of a message from another process.
+// observe records the header of a message from another process.
 func (t *tableSync) observe(h wire.Header) {
 	t.spread.Observe(h)
 	if h.From == "" {
@@ -72,10 +73,10 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.heard[h.From] = heardHeader{header: h, at: time.Now()}
+	t.lastHeaders[h.From] = receivedHeader{header: h, at: time.Now()}
 }
 
-// run finds a first version and keeps it up to date until ctx ends.
+// run gets a first version of the table and keeps it up to date, until ctx is cancelled.
 func (t *tableSync) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { t.bootstrap(ctx) })
@@ -84,10 +85,10 @@
 	wg.Wait()
 }
 
-// bootstrap asks peers and the table service until there is a first version.
+// bootstrap asks peers and the table service until the entry has a first version.
 func (t *tableSync) bootstrap(ctx context.Context) {
 	for t.e.cfg.Holder.Version() == 0 {
-		peers := append(t.entries(), t.watched()...)
+		peers := append(t.neighbours(), t.watchedAgents()...)
 		if err := tablesync.Bootstrap(ctx, t.spread, t.poller, peers); err != nil {
 			t.e.cfg.Log.WithError(err).Warn("no version of the table yet")
 		}
@@ -99,8 +100,8 @@
 	}
 }
 
-// Status says which table version is in force here and, as far as is known,
-// at the processes that this entry hears from, itself first.
+// Status returns the status of this entry, followed by that of the agents that it
+// watches and of the other entries, as known from their last message.
 func (e *Entry) Status() []api.ProcessStatus {
 	now := time.Now()
 	statuses := []api.ProcessStatus{{
@@ -122,7 +123,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := api.ProcessStatus{ID: id, Role: string(role), Zone: zone, AgeSeconds: api.UnknownAge, SeenSeconds: api.UnknownAge}
-	if h, ok := t.heard[id]; ok {
+	if h, ok := t.lastHeaders[id]; ok {
 		s.TableVersion = h.header.TableVersion
 		s.Incarnation = h.header.Incarnation
 		s.SeenSeconds = now.Sub(h.at).Seconds()
