--- a/batch/peer.go
+++ b/batch/peer.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"mulberryscale.example/observe"
-	"mulberryscale.example/store/detour"
+	"mulberryscale.example/store/relay"
 )
 
 // PeerClient sends requests to other agents.
@@ -31,7 +31,7 @@
 	case req.Give != nil:
 		return &PeerReply{Taken: w.accept(req.From, req.Give)}
 	case req.Store != nil && w.Direct != nil:
-		return &PeerReply{Store: detour.Serve(w.ctx, w.Direct, req.Store)}
+		return &PeerReply{Store: relay.Serve(w.ctx, w.Direct, req.Store)}
 	}
 	return &PeerReply{}
 }
@@ -41,7 +41,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := &Status{
-		Up: registered && w.engine.up && !w.stopping, Free: w.freeSlots(), EventInterval: w.engine.pace,
+		Up: registered && w.engine.up && !w.stopping, Free: w.freeSlots(), EventInterval: w.engine.eventInterval,
 		Jobs: make(map[string]JobStatus, len(jobs)),
 	}
 	for _, id := range jobs {
--- a/batch/worker.go
+++ b/batch/worker.go
@@ -28,7 +28,7 @@
 	Direct store.Store
 	// Demand is updated by the worker from the jobs it reads.
 	Demand *Demand
-	// JobsPace is how the jobs are followed.
+	// JobsPace limits how often the feed of TableJobs is called.
 	JobsPace store.Pace
 	// StoreWriteRate is the number of write calls a second that the store takes from all
 	// processes together; 0 means unknown.
@@ -56,7 +56,7 @@
 	ctx     context.Context
 	started chan struct{}
 
-	dealer assignmentCache
+	assignmentCache assignmentCache
 
 	mu       sync.Mutex
 	jobs     map[string]*workJob
@@ -131,10 +131,10 @@
 }
 
 // Lost implements store.Watcher.
-func (w *Worker) Lost(err error) { store.LogLoss(w.Log, TableJobs, err) }
+func (w *Worker) Lost(err error) { store.LogLost(w.Log, TableJobs, err) }
 
 // Regained implements store.Watcher.
-func (w *Worker) Regained(after time.Duration) { store.LogReturn(w.Log, TableJobs, after) }
+func (w *Worker) Regained(after time.Duration) { store.LogRegained(w.Log, TableJobs, after) }
 
 // Apply implements store.Watcher.
 func (w *Worker) Apply(s store.Snapshot) {
--- a/service/entry/claimed.go
+++ b/service/entry/claimed.go
@@ -124,7 +124,7 @@
 	if previous != nil {
 		return e.claims.TakeOver(ctx, row, key, *previous, c)
 	}
-	return e.claims.Make(ctx, row, key, c)
+	return e.claims.Create(ctx, row, key, c)
 }
 
 // claimRefusal returns the refusal of a call that could not be claimed and hence was not
@@ -196,7 +196,7 @@
 	if a != nil && a.Addr == claim.Addr {
 		return a
 	}
-	return &membership.Agent{ID: claim.Agent, Addr: claim.Addr, Sends: &membership.Sends{}}
+	return &membership.Agent{ID: claim.Agent, Addr: claim.Addr, InFlight: &membership.InFlight{}}
 }
 
 // resolve returns the answer of a claim's run, without ever starting the run. A refusal
--- a/service/entry/quarantine.go
+++ b/service/entry/quarantine.go
@@ -43,7 +43,7 @@
 func (e *Entry) quarantineEvents() (list []wire.ContentNews) {
 	for _, n := range e.quarantine.RecentEvents() {
 		list = append(list, wire.ContentNews{
-			Content: string(n.Fingerprint), Kind: int(n.Kind), Agent: n.Endpoint.ID, Born: n.Endpoint.Born,
+			Content: string(n.Fingerprint), Kind: int(n.Kind), Agent: n.Endpoint.ID, Born: n.Endpoint.StartedAt,
 			Took: n.Took, Trial: n.Trial, Age: n.Age,
 		})
 	}
@@ -56,7 +56,7 @@
 	for _, n := range list {
 		events = append(events, quarantine.GossipEvent{
 			Fingerprint: quarantine.Fingerprint(n.Content), Kind: quarantine.GossipKind(n.Kind),
-			Endpoint: fleet.Incarnation{ID: n.Agent, Born: n.Born}, Took: n.Took, Trial: n.Trial, Age: n.Age,
+			Endpoint: fleet.Incarnation{ID: n.Agent, StartedAt: n.Born}, Took: n.Took, Trial: n.Trial, Age: n.Age,
 		})
 	}
 	e.quarantine.MergeEvents(events)
--- a/service/node/node.go
+++ b/service/node/node.go
@@ -22,7 +22,7 @@
 	"mulberryscale.example/platform/operator"
 	"mulberryscale.example/quarantine"
 	"mulberryscale.example/store"
-	"mulberryscale.example/store/detour"
+	"mulberryscale.example/store/relay"
 )
 
 // base holds the state and dependencies that both programs share.
@@ -64,10 +64,10 @@
 	}
 	b.store.Traffic = b.countTraffic
 	b.log = logger.WithFields(logrus.Fields{observe.FieldProcess: settings.Node, "role": role, "incarnation": b.incarnation})
-	b.rows = &detour.Store{
-		Own: b.store, Changed: b.logRelayed,
-		Used:   func() { b.counters.Add(observe.NameStoreDetours, observe.RowNone, 1) },
-		Others: &relayAgents{node: settings.Node, ownEngine: settings.Engine, port: settings.PeerPort, view: b.view, peers: b.peers},
+	b.rows = &relay.Store{
+		Direct: b.store, OnSwitch: b.logRelayed,
+		OnRelayed: func() { b.counters.Add(observe.NameStoreDetours, observe.RowNone, 1) },
+		Peers:     &relayAgents{node: settings.Node, ownEngine: settings.Engine, port: settings.PeerPort, view: b.view, peers: b.peers},
 	}
 	b.ledger = &batch.Ledger{Store: b.rows, RowBytes: settings.RowBytes, ObjectBytes: settings.ObjectBytes}
 	return b, nil
--- a/service/node/pace.go
+++ b/service/node/pace.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	// ageDivisor divides a time limit to get the pause between two reads: a third is for
+	// pauseDivisor divides a time limit to get the pause between two reads: a third is for
 	// the pause, a third for a slow response of the store, and a third for acting on it.
-	ageDivisor = 3
-	// defaultMaxAge is used if the settings set no time limit.
-	defaultMaxAge = time.Second
-	// agentJobsAge bounds the delay after which an agent reads that a job was added or
+	pauseDivisor = 3
+	// defaultMaxPause is used if the settings set no time limit.
+	defaultMaxPause = time.Second
+	// agentJobsPause bounds the delay with which an agent learns that a job was added or
 	// has ended, while jobs arrive faster than its budget allows to read at once: a
 	// twentieth of the 7.5 s of a step, and a tenth of the three seconds in which the
 	// end of a job must reach agents.
-	agentJobsAge = 300 * time.Millisecond
-	// entryJobsAge is how stale an entry's list of jobs may be: it assigns engines by the
-	// mean of a model's last eight jobs, which arrive seconds apart.
-	entryJobsAge = 2 * time.Second
+	agentJobsPause = 300 * time.Millisecond
+	// entryJobsPause is how stale an entry's list of jobs may be: the entry assigns engines
+	// by the mean of a model's last eight jobs, which arrive seconds apart.
+	entryJobsPause = 2 * time.Second
 )
 
-// feedMaxAge returns the longest pause between two reads of a feed whose changes must
+// maxPause returns the longest pause between two reads of a feed whose changes must
 // take effect within the given time limit.
-func feedMaxAge(bound time.Duration) time.Duration {
+func maxPause(bound time.Duration) time.Duration {
 	if bound <= 0 {
-		return defaultMaxAge
+		return defaultMaxPause
 	}
-	return bound / ageDivisor
+	return bound / pauseDivisor
 }
 
 // instancesPace returns the pace for the list of instances: within the platform's time
 // limit, an instance that leaves must get no new requests.
 func instancesPace(s *nodefile.Settings) store.Pace {
-	return store.Pace{BytesPerSecond: instancesBudget, MaxAge: feedMaxAge(s.DrainTime)}
+	return store.Pace{BytesPerSecond: instancesBudget, MaxPause: maxPause(s.DrainTime)}
 }
 
 // operatorPace returns the pace for configurations, which hold the API keys, and for
@@ -54,21 +54,21 @@
 	if s.RevokeTime > 0 {
 		bound = min(bound, s.RevokeTime)
 	}
-	return store.Pace{BytesPerSecond: operatorBudget, MaxAge: feedMaxAge(bound)}
+	return store.Pace{BytesPerSecond: operatorBudget, MaxPause: maxPause(bound)}
 }
 
-// jobsSavings is how much unused budget is saved for a burst: that of one period of the
+// jobsBurst is how much unused budget is saved for a burst: that of one period of the
 // trainers, 4 s, less a second. The jobs of three trainers, 2 kB each, are then read as
 // they arrive. Without it, of steps that begin together, each would delay the next one
 // by 0.2 to 0.3 s.
-const jobsSavings = 3 * time.Second
+const jobsBurst = 3 * time.Second
 
 // agentJobsPace returns the pace at which an agent follows the jobs.
 func agentJobsPace() store.Pace {
-	return store.Pace{BytesPerSecond: jobsBudget, MaxAge: agentJobsAge, Savings: jobsSavings}
+	return store.Pace{BytesPerSecond: jobsBudget, MaxPause: agentJobsPause, Burst: jobsBurst}
 }
 
 // entryJobsPace returns the pace at which an entry follows the jobs.
 func entryJobsPace() store.Pace {
-	return store.Pace{BytesPerSecond: jobsBudget, MinAge: entryJobsAge, MaxAge: entryJobsAge}
+	return store.Pace{BytesPerSecond: jobsBudget, MinPause: entryJobsPause, MaxPause: entryJobsPause}
 }
--- a/service/node/peers.go
+++ b/service/node/peers.go
@@ -18,7 +18,7 @@
 	"mulberryscale.example/fleet"
 	"mulberryscale.example/keys"
 	"mulberryscale.example/store"
-	"mulberryscale.example/store/detour"
+	"mulberryscale.example/store/relay"
 	"mulberryscale.example/transport"
 	"mulberryscale.example/transport/quictransport"
 )
@@ -88,7 +88,7 @@
 )
 
 // relayAgents selects the agents through which this process reaches the store while its
-// direct connection fails. It implements detour.Others.
+// direct connection fails. It implements relay.Peers.
 type relayAgents struct {
 	node      string
 	ownEngine string // address of the engine beside this process, if there is one
@@ -100,15 +100,15 @@
 	rotation atomic.Uint32
 }
 
-// Draw implements detour.Others.
-func (o *relayAgents) Draw() []store.Store {
+// Candidates implements relay.Peers.
+func (o *relayAgents) Candidates() []store.Store {
 	hosts := o.hosts()
 	var relays []store.Store
 	for i := range min(relaysPerCall, len(hosts)) {
 		next := (int(o.rotation.Load())*relaysPerCall + i) % len(hosts)
 		addr := net.JoinHostPort(hosts[next], strconv.Itoa(o.port))
 		last := i == min(relaysPerCall, len(hosts))-1
-		relays = append(relays, detour.Remote{Call: func(ctx context.Context, c *detour.Call) (*detour.Reply, error) {
+		relays = append(relays, relay.Remote{Call: func(ctx context.Context, c *relay.Call) (*relay.Reply, error) {
 			reply, err := o.call(ctx, addr, c)
 			if last && (err != nil || reply == nil || !reply.Done()) {
 				o.rotation.Add(1)
@@ -140,7 +140,7 @@
 }
 
 // call sends a call to the store through one agent.
-func (o *relayAgents) call(ctx context.Context, addr string, c *detour.Call) (*detour.Reply, error) {
+func (o *relayAgents) call(ctx context.Context, addr string, c *relay.Call) (*relay.Reply, error) {
 	reply, err := o.peers.Call(ctx, addr, &batch.PeerRequest{From: o.ownEngine, Store: c})
 	if errors.Is(err, errUnsent) {
 		return nil, fmt.Errorf("%w: %v", store.ErrRefused, err)
--- a/service/node/peers_test.go
+++ b/service/node/peers_test.go
@@ -61,7 +61,7 @@
 		if rotation := int(o.rotation.Load()); rotation != round {
 			t.Fatalf("rotation %d in round %d", rotation, round)
 		}
-		relays := o.Draw()
+		relays := o.Candidates()
 		if len(relays) != relaysPerCall {
 			t.Fatalf("%d agents selected", len(relays))
 		}
@@ -71,7 +71,7 @@
 			}
 		}
 	}
-	if n := len((&relayAgents{view: fleet.NewView(), peers: &peers{}}).Draw()); n != 0 {
+	if n := len((&relayAgents{view: fleet.NewView(), peers: &peers{}}).Candidates()); n != 0 {
 		t.Errorf("%d agents selected from an empty list", n)
 	}
 }
--- a/service/node/scaling.go
+++ b/service/node/scaling.go
@@ -14,15 +14,15 @@
 
 // reportLoad writes this process's load on autoscaled services to the store, until ctx
 // is cancelled. extra, if not nil, returns the load that the meter does not count.
-func (b *base) reportLoad(ctx context.Context, wg *sync.WaitGroup, meter *scaling.Meter, extra func() map[scaling.Place]int) {
+func (b *base) reportLoad(ctx context.Context, wg *sync.WaitGroup, meter *scaling.Meter, extra func() map[scaling.Target]int) {
 	writer := &scaling.Writer{
-		Rows: b.rows, Meter: meter, Extra: extra, Scaled: b.scaled, Now: b.store.Now, Zone: b.settings.Zone, Name: b.settings.Node, Log: b.log,
+		Rows: b.rows, Meter: meter, Extra: extra, Autoscaled: b.autoscaled, Now: b.store.Now, Zone: b.settings.Zone, Name: b.settings.Node, Log: b.log,
 	}
 	wg.Go(func() { writer.Run(ctx) })
 }
 
-// scaled reports whether a service is autoscaled.
-func (b *base) scaled(service string) bool {
+// autoscaled reports whether a service is autoscaled.
+func (b *base) autoscaled(service string) bool {
 	config := b.view.Snapshot().Config
 	if config == nil {
 		return false
@@ -34,17 +34,17 @@
 // meterSends returns a function that counts a request as load on its endpoint's service
 // and availability zone until end is called.
 func meterSends(meter *scaling.Meter) func(to fleet.Instance) (end func()) {
-	return func(to fleet.Instance) func() { return meter.Begin(scaling.Place{Service: to.Service, Zone: to.Zone}) }
+	return func(to fleet.Instance) func() { return meter.Begin(scaling.Target{Service: to.Service, Zone: to.Zone}) }
 }
 
 // ownLoad returns the load of this agent's running and waiting items on the engine
 // beside it.
-func (a *Agent) ownLoad() map[scaling.Place]int {
+func (a *Agent) ownLoad() map[scaling.Target]int {
 	n := a.worker.Load()
 	if n == 0 {
 		return nil
 	}
-	return map[scaling.Place]int{{Service: a.settings.Service, Zone: a.settings.Zone}: n}
+	return map[scaling.Target]int{{Service: a.settings.Service, Zone: a.settings.Zone}: n}
 }
 
 // orderEndpoints makes the agent a candidate for ordering endpoints, for each autoscaled
@@ -56,7 +56,7 @@
 	}
 	a.reportLoad(ctx, wg, scaling.NewMeter(), a.ownLoad)
 	wg.Go(func() {
-		running := map[scaling.Place]context.CancelFunc{}
+		running := map[scaling.Target]context.CancelFunc{}
 		for ctx.Err() == nil {
 			changed := a.view.Changed()
 			a.updatePerformers(ctx, running)
@@ -68,49 +68,49 @@
 	})
 }
 
-// updatePerformers starts a performer for each place (service and availability zone)
+// updatePerformers starts a performer for each target (service and availability zone)
 // that is autoscaled, and stops those of services that no longer are.
-func (a *Agent) updatePerformers(ctx context.Context, running map[scaling.Place]context.CancelFunc) {
+func (a *Agent) updatePerformers(ctx context.Context, running map[scaling.Target]context.CancelFunc) {
 	snap := a.view.Snapshot()
-	scaled := map[scaling.Place]bool{}
+	scaled := map[scaling.Target]bool{}
 	if snap.Config != nil {
 		for _, s := range snap.Config.Services {
 			if s.Autoscale == nil {
 				continue
 			}
 			for _, i := range snap.OfService(s.Name) {
-				scaled[scaling.Place{Service: i.Service, Zone: i.Zone}] = true
+				scaled[scaling.Target{Service: i.Service, Zone: i.Zone}] = true
 			}
 		}
 	}
-	for _, p := range slices.Collect(maps.Keys(running)) {
-		if !scaled[p] && !a.scaled(p.Service) {
-			running[p]()
-			delete(running, p)
+	for _, t := range slices.Collect(maps.Keys(running)) {
+		if !scaled[t] && !a.autoscaled(t.Service) {
+			running[t]()
+			delete(running, t)
 		}
 	}
-	for p := range scaled {
-		if running[p] != nil {
+	for t := range scaled {
+		if running[t] != nil {
 			continue
 		}
 		own, stop := context.WithCancel(ctx)
-		running[p] = stop
-		go a.performOrders(own, p)
+		running[t] = stop
+		go a.performOrders(own, t)
 	}
 }
 
-// performOrders orders endpoints for one place whenever this agent holds that duty,
+// performOrders orders endpoints for one target whenever this agent holds that duty,
 // until ctx is cancelled.
-func (a *Agent) performOrders(ctx context.Context, p scaling.Place) {
+func (a *Agent) performOrders(ctx context.Context, t scaling.Target) {
 	performer := &duty.Performer{
-		Seat:  a.dutySeat(scaling.Subject(p)),
-		Order: &duty.Order{Self: a.settings.IP, Others: a.agentHosts, Keep: true, Lookers: duty.FewLookers},
+		Terms: a.termStore(scaling.Subject(t)),
+		Order: &duty.CandidateOrder{Self: a.settings.IP, Others: a.agentHosts, PreferHolder: true, Candidates: duty.FewCandidates},
 		Work: &scaling.Orders{
-			Place: p, Rows: a.store, View: a.view, Zones: a.settings.Zones, Now: a.store.Now, Sink: a.duties, Log: a.log,
+			Target: t, Rows: a.store, View: a.view, Zones: a.settings.Zones, Now: a.store.Now, Scaler: a.duties, Log: a.log,
 		},
 		Log: a.log, Counters: a.counters,
 	}
 	if err := performer.Run(ctx); !errors.Is(err, context.Canceled) {
-		a.log.WithError(err).WithField("service", p.Service).Error("endpoints no longer ordered")
+		a.log.WithError(err).WithField("service", t.Service).Error("endpoints no longer ordered")
 	}
 }
--- a/service/node/usage.go
+++ b/service/node/usage.go
@@ -21,7 +21,7 @@
 	}
 	windows := usage.Windows{Length: e.settings.UsageWindow}
 	counter := usage.NewCounter(windows)
-	e.forwarder.OnRunStarted = counter.Began
+	e.forwarder.OnRunStarted = counter.Add
 	recorder := &usage.Recorder{
 		Rows: e.rows, Counter: counter, Windows: windows, Zone: e.settings.Zone, Entry: e.settings.Node + "-" + e.incarnation,
 		ReportDelay: usage.ReportDelay(e.settings.UsageDue), Log: e.log,
@@ -38,12 +38,12 @@
 	}
 	reporter := &usage.Reporter{
 		Rows: a.store, Windows: usage.Windows{Length: a.settings.UsageWindow}, Zones: a.settings.Zones,
-		Delay: usage.ReportDelay(a.settings.UsageDue), Sink: a.duties, Log: a.log,
+		Delay: usage.ReportDelay(a.settings.UsageDue), Sender: a.duties, Log: a.log,
 	}
 	performer := &duty.Performer{
-		Seat: a.dutySeat(subjectUsage),
-		Order: &duty.Order{
-			Self: a.settings.IP, Others: a.agentHosts, Keep: duty.KeepHolder(a.settings.UsageWindow, a.settings.Lease),
+		Terms: a.termStore(subjectUsage),
+		Order: &duty.CandidateOrder{
+			Self: a.settings.IP, Others: a.agentHosts, PreferHolder: duty.ShouldPreferHolder(a.settings.UsageWindow, a.settings.Lease),
 		},
 		Work: reporter, Log: a.log, Counters: a.counters,
 	}
@@ -54,9 +54,9 @@
 	})
 }
 
-// dutySeat returns this machine's access to the lease of a duty's subject.
-func (a *Agent) dutySeat(subject string) *duty.Seat {
-	return &duty.Seat{
+// termStore returns this machine's access to the terms of a duty's subject.
+func (a *Agent) termStore(subject string) *duty.TermStore {
+	return &duty.TermStore{
 		Rows: a.store, Clock: a.store, Subject: subject, Machine: a.settings.IP, Name: a.settings.Node, Lease: a.settings.Lease,
 	}
 }
--- a/service/node/watch.go
+++ b/service/node/watch.go
@@ -24,13 +24,13 @@
 }
 
 func (c *configWatcher) Replace(s store.Snapshot) { c.Apply(s) }
-func (c *configWatcher) Lost(err error)           { store.LogLoss(c.log, operator.TableOperator, err) }
+func (c *configWatcher) Lost(err error)           { store.LogLost(c.log, operator.TableOperator, err) }
 func (c *configWatcher) Regained(after time.Duration) {
-	store.LogReturn(c.log, operator.TableOperator, after)
+	store.LogRegained(c.log, operator.TableOperator, after)
 }
 
 func (c *configWatcher) Apply(s store.Snapshot) {
-	defer c.view.HearConfig(s.Asked) // after the rows have been applied
+	defer c.view.ConfirmConfig(s.Asked) // after the rows have been applied
 	for _, row := range s.Rows {
 		if row.Deleted {
 			continue // a deleted row leaves its last value in force
@@ -77,17 +77,17 @@
 	kept       map[string]time.Time
 	// incarnations orders the incarnations of an instance. unusable holds the reason why
 	// a row describes no usable instance, by id, so that each change is logged once.
-	incarnations *fleet.Births
+	incarnations *fleet.LatestIncarnations
 	unusable     map[string]string
 }
 
 func newInstanceWatcher(view *fleet.View, log logrus.FieldLogger) *instanceWatcher {
 	return &instanceWatcher{
-		view: view, log: log, kept: map[string]time.Time{}, incarnations: fleet.NewBirths(), unusable: map[string]string{},
+		view: view, log: log, kept: map[string]time.Time{}, incarnations: fleet.NewLatestIncarnations(), unusable: map[string]string{},
 	}
 }
 
-func (w *instanceWatcher) Lost(err error) { store.LogLoss(w.log, operator.TableInstances, err) }
+func (w *instanceWatcher) Lost(err error) { store.LogLost(w.log, operator.TableInstances, err) }
 
 // minOutage is the shortest outage of the feed after which missing instances are kept
 // for returnGrace. An entry expires after three missed heartbeats, and the first may
@@ -96,7 +96,7 @@
 const minOutage = time.Second
 
 func (w *instanceWatcher) Regained(after time.Duration) {
-	store.LogReturn(w.log, operator.TableInstances, after)
+	store.LogRegained(w.log, operator.TableInstances, after)
 	if after > minOutage {
 		w.graceUntil = time.Now().Add(returnGrace)
 	}
@@ -174,16 +174,16 @@
 		w.noteUnusable(row.Name, err.Error())
 		return rowContent{}, true
 	}
-	i.Entry = row.Version
-	switch w.incarnations.Order(i.Incarnation(), time.Now()) {
-	case fleet.BirthOlder:
-		w.log.WithFields(logrus.Fields{"instance": i.ID, "born": i.Born}).Debug("entry of an older incarnation ignored")
+	i.RowVersion = row.Version
+	switch w.incarnations.Observe(i.Incarnation(), time.Now()) {
+	case fleet.IncarnationOlder:
+		w.log.WithFields(logrus.Fields{"instance": i.ID, "born": i.StartedAt}).Debug("entry of an older incarnation ignored")
 		return rowContent{}, false
-	case fleet.BirthUntold:
+	case fleet.IncarnationUnknown:
 		w.noteUnusable(i.ID, "the entry has no start time, but earlier ones of the instance had")
 		return rowContent{}, true
-	case fleet.BirthNewer:
-		w.log.WithFields(logrus.Fields{"instance": i.ID, "born": i.Born}).Info("instance restarted")
+	case fleet.IncarnationNewer:
+		w.log.WithFields(logrus.Fields{"instance": i.ID, "born": i.StartedAt}).Info("instance restarted")
 	}
 	w.noteUsable(i.ID)
 	return rowContent{instance: &i}, true
@@ -215,7 +215,7 @@
 func changedInstances(s *fleet.Snapshot, listed []fleet.Instance) []fleet.Instance {
 	return slices.DeleteFunc(listed, func(i fleet.Instance) bool {
 		known, ok := s.Instances[i.ID]
-		if !ok || !known.Says(i) {
+		if !ok || !known.SameContent(i) {
 			return false
 		}
 		// If two instances claim an address, the version of the entry decides.
@@ -257,7 +257,7 @@
 	for _, i := range changed {
 		w.log.WithFields(logrus.Fields{
 			"instance": i.ID, "service": i.Service, "addr": i.Addr, "draining": i.Draining, "versions": i.Versions,
-			"born": i.Born,
+			"born": i.StartedAt,
 		}).Info("instance updated")
 	}
 	for _, id := range expired {
