--- a/cmd/mulberry-node/main.go
+++ b/cmd/mulberry-node/main.go
@@ -66,7 +66,7 @@
 		Name: name, Usage: usage,
 		Flags: []cli.Flag{
 			&cli.StringFlag{
-				Name: "settings", Usage: "path of the platform's settings file", Sources: cli.EnvVars(nodefile.Variable), Required: true,
+				Name: "settings", Usage: "path of the platform's settings file", Sources: cli.EnvVars(nodefile.PathVariable), Required: true,
 			},
 			&cli.IntFlag{
 				Name: "metrics-port", Usage: "port for counters and histograms, 0 for none", Sources: cli.EnvVars("MULBERRY_METRICS_PORT"),
--- a/cmd/mulberryctl/platform.go
+++ b/cmd/mulberryctl/platform.go
@@ -82,7 +82,7 @@
 			}
 			continue
 		}
-		model, version, ok, err := operator.DecodeNamed(row.Name, row.Value)
+		model, version, ok, err := operator.DecodeNamedVersion(row.Name, row.Value)
 		if err != nil {
 			return nil, nil, err
 		}
--- a/cmd/mulberryctl/platform_test.go
+++ b/cmd/mulberryctl/platform_test.go
@@ -35,8 +35,8 @@
 		Name: "look", Host: "a.example", Prefix: "/look/", Kind: fleet.KindSafe, Timeout: 2500 * time.Millisecond,
 		Backends: []fleet.Backend{{Service: "desk", Weight: 1}},
 	}}}))
-	put(operator.NamedRow("guide", 3))
-	put(operator.NamedRow("meter", 3))
+	put(operator.NamedVersionRow("guide", 3))
+	put(operator.NamedVersionRow("meter", 3))
 	put(operator.InstanceRow(fleet.Instance{
 		ID: "i-1", Service: "engines", Addr: "10.1.0.9:80", Zone: "patan", Slots: 8, Versions: map[string]uint64{"guide": 2, "meter": 3},
 	}, 1))
--- a/e2e/crashing_request_test.go
+++ b/e2e/crashing_request_test.go
@@ -145,7 +145,7 @@
 
 // crashUnder ends the engine under a request, as a fault of its own would, and
 // starts it again a little later under a new id.
-func (e *soakEngine) crashUnder(a enginehttp.Arrival) {
+func (e *soakEngine) crashUnder(a enginehttp.ReceivedRequest) {
 	if !e.faulty.TryLock() {
 		return // it is ending already
 	}
--- a/e2e/soak_client_test.go
+++ b/e2e/soak_client_test.go
@@ -44,7 +44,7 @@
 func (c *soakClient) do(ctx context.Context, a ingress.Attempt) (*http.Response, error) {
 	a.Host, a.Deadline = soakHost, soakDeadline
 	if a.Key == "" {
-		a.Key, a.Claims = keptKey(c.organisation), otherThan(c.organisation)
+		a.Key, a.ClaimedOrganisation = keptKey(c.organisation), otherThan(c.organisation)
 	}
 	req, err := a.Request(ctx)
 	if err != nil {
--- a/e2e/soak_engine_test.go
+++ b/e2e/soak_engine_test.go
@@ -172,16 +172,16 @@
 	case e.life == 0 || o.Instance != e.id:
 		return enginehttp.OrderMisdirected
 	case e.versions[o.Model] == o.Version:
-		return enginehttp.OrderHolds
+		return enginehttp.OrderAlreadyApplied
 	case e.versions[o.Model] == 0 || e.record.named(o.Model) < o.Version:
-		return enginehttp.OrderImpossible
+		return enginehttp.OrderInvalid
 	case e.busy || o.Sequence != e.sequence:
-		return enginehttp.OrderConflicts
+		return enginehttp.OrderConflict
 	}
 	e.busy, e.loading[o.Model] = true, true
 	e.sequence++
 	go e.load(e.life, o.Model, o.Version)
-	return enginehttp.OrderTaken
+	return enginehttp.OrderAccepted
 }
 
 func (e *soakEngine) load(life int, model string, version uint64) {
@@ -194,7 +194,7 @@
 }
 
 // admit takes a request in, or declines it.
-func (e *soakEngine) admit(a enginehttp.Arrival, w *enginehttp.AnswerWriter) (id string, life int, ok bool) {
+func (e *soakEngine) admit(a enginehttp.ReceivedRequest, w *enginehttp.AnswerWriter) (id string, life int, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
@@ -227,7 +227,7 @@
 }
 
 // Run implements enginehttp.StandIn.
-func (e *soakEngine) Run(ctx context.Context, a enginehttp.Arrival, w *enginehttp.AnswerWriter) {
+func (e *soakEngine) Run(ctx context.Context, a enginehttp.ReceivedRequest, w *enginehttp.AnswerWriter) {
 	id, life, ok := e.admit(a, w)
 	if !ok {
 		return
@@ -236,7 +236,7 @@
 	e.record.began(e.service, a)
 	if strings.HasPrefix(a.Target, prefixCrash) {
 		e.crashUnder(a)
-		w.Break()
+		w.Abort()
 	}
 	w.Accept(stampOf(id, a.ID))
 	kind := kindOf(a.ID)
@@ -255,17 +255,17 @@
 }
 
 // answer answers as a whole, or breaks off once it has run the request.
-func (e *soakEngine) answer(ctx context.Context, a enginehttp.Arrival, w *enginehttp.AnswerWriter) {
+func (e *soakEngine) answer(ctx context.Context, a enginehttp.ReceivedRequest, w *enginehttp.AnswerWriter) {
 	if !sleep(ctx, workOf(a.ID)) || losesAnswer(a.ID) {
-		w.Break()
+		w.Abort()
 	}
-	if err := w.Whole(answerOf(a.ID, a.Body)); err != nil {
+	if err := w.WriteBody(answerOf(a.ID, a.Body)); err != nil {
 		e.record.count("answers that nobody took")
 	}
 }
 
 // score answers a reward call as its kind says.
-func (e *soakEngine) score(ctx context.Context, a enginehttp.Arrival, w *enginehttp.AnswerWriter) {
+func (e *soakEngine) score(ctx context.Context, a enginehttp.ReceivedRequest, w *enginehttp.AnswerWriter) {
 	kind := rewardKindOf(a.ID)
 	work := workOf(a.ID)
 	if kind == rewardSlow {
@@ -273,31 +273,31 @@
 	}
 	switch {
 	case !sleep(ctx, work), kind == rewardLostOnce && e.record.failOnce(a.ID):
-		w.Break()
+		w.Abort()
 	case kind == rewardFailing, kind == rewardFailsOnce && e.record.failOnce(a.ID):
 		e.record.rewardFails(a.ID)
 		w.Fail(false)
 		return
 	}
-	if err := w.Whole(answerOf(a.ID, a.Body)); err != nil {
+	if err := w.WriteBody(answerOf(a.ID, a.Body)); err != nil {
 		e.record.count("scores that nobody took")
 	}
 }
 
 // stream makes the events of a text after the last that is known.
-func (e *soakEngine) stream(ctx context.Context, life int, a enginehttp.Arrival, w *enginehttp.AnswerWriter) {
+func (e *soakEngine) stream(ctx context.Context, life int, a enginehttp.ReceivedRequest, w *enginehttp.AnswerWriter) {
 	for n := a.After + 1; n <= eventsOf(a.ID); n++ {
 		if !sleep(ctx, soakEventTime) {
-			w.Break()
+			w.Abort()
 		}
 		version, ok := e.version(life, a.Model)
 		if !ok {
-			w.Break()
+			w.Abort()
 		}
 		e.record.madeEvent(a.ID, n, version)
 		if err := w.Event(n, version, eventOf(a.ID, n)); err != nil {
 			e.record.count("events that nobody took")
-			w.Break()
+			w.Abort()
 		}
 	}
 }
--- a/e2e/soak_lookups_test.go
+++ b/e2e/soak_lookups_test.go
@@ -68,7 +68,7 @@
 // checkHead checks the status and the headers of an answer, and says whether
 // it is a success.
 func (c *soakClient) checkHead(id, entry string, resp *http.Response) bool {
-	stamp, answered := enginehttp.StampOf(resp.Header), ingress.RequestOf(resp.Header)
+	stamp, answered := enginehttp.Signature(resp.Header), ingress.RequestID(resp.Header)
 	switch {
 	case resp.StatusCode == http.StatusOK && (!isStamp(stamp, id) || answered != id):
 		c.w.record.problem("request %s at %s: 200 with stamp %q and id %q", id, entry, stamp, answered)
@@ -105,7 +105,7 @@
 	}
 	n, err := readText(resp.Body, id)
 	switch {
-	case errors.Is(err, errWrongEvent) || errors.Is(err, ingress.ErrNoEvent) || errors.Is(err, ingress.ErrCutEvent):
+	case errors.Is(err, errWrongEvent) || errors.Is(err, ingress.ErrMalformedEvent) || errors.Is(err, ingress.ErrTruncatedEvent):
 		c.w.record.problem("request %s at %s: %v", id, entry, err)
 	case err != nil:
 		c.lost(id, err)
--- a/e2e/soak_organisations_test.go
+++ b/e2e/soak_organisations_test.go
@@ -45,7 +45,7 @@
 		c.next++
 		id := fmt.Sprintf("%s-%d", c.name, c.next)
 		status, _ := c.call(ctx, ingress.Attempt{
-			Entry: c.entry(), ID: id, Method: http.MethodGet, Target: prefixLook + id, Key: "secret-nobody", Claims: soakOrganisations[0],
+			Entry: c.entry(), ID: id, Method: http.MethodGet, Target: prefixLook + id, Key: "secret-nobody", ClaimedOrganisation: soakOrganisations[0],
 		})
 		switch status {
 		case 0, http.StatusUnauthorized, http.StatusServiceUnavailable:
--- a/e2e/soak_reader_test.go
+++ b/e2e/soak_reader_test.go
@@ -22,7 +22,7 @@
 	asked := time.Now()
 	status, body := c.call(ctx, ingress.Attempt{
 		Entry: entry, ID: j.id, Method: http.MethodGet, Target: ingress.ResultsTarget(j.id, from), Wait: soakWait,
-		Key: keptKey(j.organisation), Claims: otherThan(j.organisation),
+		Key: keptKey(j.organisation), ClaimedOrganisation: otherThan(j.organisation),
 	})
 	switch status {
 	case http.StatusOK:
--- a/e2e/soak_record_test.go
+++ b/e2e/soak_record_test.go
@@ -126,7 +126,7 @@
 }
 
 // began checks a run that begins at an engine of a service.
-func (r *record) began(service string, a enginehttp.Arrival) {
+func (r *record) began(service string, a enginehttp.ReceivedRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs[a.ID]++
--- a/e2e/soak_trainer_test.go
+++ b/e2e/soak_trainer_test.go
@@ -35,7 +35,7 @@
 		version := uint64(step + 1)
 		if step > 0 {
 			t.w.record.name(t.model, version)
-			row, err := operator.NamedRow(t.model, version)
+			row, err := operator.NamedVersionRow(t.model, version)
 			t.w.write(ctx, row, err)
 		}
 		t.step(ctx, step, max(1, version-1))
@@ -164,7 +164,7 @@
 	began := time.Now()
 	for time.Since(began) < soakSubmitTime {
 		status, _ := t.call(context.Background(), ingress.Attempt{
-			Entry: t.entry(), ID: j.id, Method: http.MethodDelete, Target: ingress.EndTarget(j.id),
+			Entry: t.entry(), ID: j.id, Method: http.MethodDelete, Target: ingress.DeleteTarget(j.id),
 		})
 		switch status {
 		case http.StatusOK:
--- a/service/node/watch.go
+++ b/service/node/watch.go
@@ -39,7 +39,7 @@
 			c.config(row)
 			continue
 		}
-		model, version, ok, err := operator.DecodeNamed(row.Name, row.Value)
+		model, version, ok, err := operator.DecodeNamedVersion(row.Name, row.Value)
 		switch {
 		case err != nil:
 			c.log.WithError(err).WithField("row", row.Name).Error("row not readable")
