--- a/duty/fuzz_test.go
+++ b/duty/fuzz_test.go
@@ -11,9 +11,9 @@
 	"mulberryscale.example/internal/standin/rowstore"
 )
 
-// event is something that happens to a machine, the store or the platform.
+// event is a failure of a machine, the store or the platform.
 type event struct {
-	after   time.Duration // the event before it
+	after   time.Duration // after the event before
 	kind    string
 	machine int
 	length  time.Duration
@@ -21,8 +21,8 @@
 	calls   []outcome
 }
 
-// drawEvents draws what happens in a test: kills, freezes and cuts, more often of
-// whoever holds the duty, and calls that fail in each way.
+// drawEvents draws the failures of a test: machines that are killed, frozen or partitioned, more
+// often the holder of the duty than others, and calls that fail in each possible way.
 func drawEvents(t *rapid.T, machines int) []event {
 	kinds := []string{"kill", "freeze", "cut", "store", "calls", "freeze holder", "kill holder", "cut holder", "freeze claimer", "calm"}
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) event {
@@ -34,42 +34,43 @@
 			store: rapid.SliceOfN(rapid.SampledFrom([]rowstore.Outcome{
 				rowstore.Refused, rowstore.Lost, rowstore.Dropped, rowstore.Late, rowstore.Done,
 			}), 1, 4).Draw(t, "store"),
-			calls: rapid.SliceOfN(rapid.SampledFrom([]outcome{unheard, tooMany, neverSeen, answered}), 1, 4).Draw(t, "calls"),
+			calls: rapid.SliceOfN(rapid.SampledFrom([]outcome{answerLost, refused, requestLost, answered}), 1, 4).Draw(t, "calls"),
 		}
 	}), 5, 30).Draw(t, "events")
 }
 
-// play lets events happen and returns what the platform found broken.
-func play(t *testing.T, machines int, keep bool, m mutation, events []event) (violations []string, late int) {
+// runEvents applies events. It returns the violations of the rules that the platform detected, and
+// the number of pieces that were not done in time after the last failure.
+func runEvents(t *testing.T, machines int, preferHolder bool, m mutation, events []event) (violations []string, late int) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(machines, keep, m)
+		w := newWorld(machines, preferHolder, m)
 		for _, x := range w.machines {
 			x.start()
 		}
 		for _, e := range events {
 			time.Sleep(e.after)
-			w.happen(e)
+			w.apply(e)
 		}
-		time.Sleep(12 * time.Second) // all freezes and cuts are over, each window is due
-		calm := time.Now()
+		time.Sleep(12 * time.Second) // all freezes and partitions are over, each window is due
+		quietSince := time.Now()
 		time.Sleep(3 * testWindow)
 		for _, x := range w.machines {
 			x.kill()
 		}
 		synctest.Wait()
 		violations = w.platform.violations
-		for piece := pieceAt(calm) - 1; dueOf(piece).Before(calm.Add(testWindow)); piece++ {
+		for piece := pieceAt(quietSince) - 1; dueOf(piece).Before(quietSince.Add(testWindow)); piece++ {
 			if _, ok := w.platform.accepted[piece]; !ok {
 				late++
 			}
 		}
-		time.Sleep(rowstore.LateBy) // late writes are the store's goroutines
+		time.Sleep(rowstore.LateBy) // the goroutines of the store's late writes have finished
 	})
 	return violations, late
 }
 
-// happen lets an event happen.
-func (w *world) happen(e event) {
+// apply applies an event.
+func (w *world) apply(e event) {
 	x := w.machines[e.machine]
 	switch e.kind {
 	case "freeze holder", "kill holder", "cut holder":
@@ -84,10 +85,10 @@
 	case "freeze", "freeze holder":
 		x.freeze(e.length)
 	case "cut", "cut holder":
-		x.cutOff(e.length)
+		x.partition(e.length)
 	case "freeze claimer":
 		w.mu.Lock()
-		w.trapped = e.length
+		w.freezeAfterWrite = e.length
 		w.mu.Unlock()
 	case "store":
 		w.store.Next(e.store...)
@@ -98,7 +99,7 @@
 	}
 }
 
-// holder is the machine of the term in the store.
+// holder returns the machine of the term in the store, or nil.
 func (w *world) holder() *machine {
 	for _, row := range w.store.Rows(Table) {
 		term, err := DecodeTerm(row.Value)
@@ -116,35 +117,35 @@
 
 const testMachines = 4
 
-// TestDutyUnderFailure draws failures of machines, store and platform: the
-// platform never sees two decisions on a piece, a token of two machines, a token
-// that falls, or machines that take turns within the lease; and once all is calm
-// each piece is done in time.
+// TestDutyUnderFailure draws failures of machines, store and platform. The platform must never see
+// two decisions for a piece, one token used by two machines, a token that decreases, or machines
+// that alternate within the lease. Once there are no more failures, each piece must be done in
+// time.
 func TestDutyUnderFailure(t *testing.T) {
-	for _, keep := range []bool{true, false} {
-		t.Run(fmt.Sprintf("keep=%v", keep), func(t *testing.T) {
+	for _, preferHolder := range []bool{true, false} {
+		t.Run(fmt.Sprintf("keep=%v", preferHolder), func(t *testing.T) {
 			rapid.Check(t, func(r *rapid.T) {
-				violations, late := play(t, testMachines, keep, whole, drawEvents(r, testMachines))
+				violations, late := runEvents(t, testMachines, preferHolder, noMutation, drawEvents(r, testMachines))
 				if len(violations) > 0 || late > 0 {
-					r.Fatalf("broken: %v; pieces late once all is calm: %d", violations, late)
+					r.Fatalf("violations: %v; pieces late after the last failure: %d", violations, late)
 				}
 			})
 		})
 	}
 }
 
-// TestEachMechanismIsNeeded takes out the fencing token, the judging of terms and
-// the recorded decision one by one: the platform finds something broken.
+// TestEachMechanismIsNeeded disables the fencing token, the check of terms and the recorded
+// decision one by one. Each time the platform must detect a violation.
 func TestEachMechanismIsNeeded(t *testing.T) {
 	for name, m := range map[string]mutation{"fencing token": withoutFence, "term": withoutTerm, "recorded decision": withoutDecision} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range 200 {
 				events := rapid.Custom(func(r *rapid.T) []event { return drawEvents(r, testMachines) }).Example(seed)
-				if violations, _ := play(t, testMachines, false, m, events); len(violations) > 0 {
+				if violations, _ := runEvents(t, testMachines, false, m, events); len(violations) > 0 {
 					return
 				}
 			}
-			t.Error("nothing is broken without it")
+			t.Error("no violation without it")
 		})
 	}
 }
--- a/duty/order.go
+++ b/duty/order.go
@@ -7,78 +7,79 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ShouldPreferHolder says whether the last holder should go first at work that falls due at
-// an interval. A holder that is drawn anew for each piece is better where it can be:
-// whoever did the last piece may have been struck for it. With each third holder
-// struck, pieces were 12 ms late at most instead of 262, at 15 calls to the store
-// each instead of 17 (TestHoldersThatAreStruck). But another holder may begin only
-// when the last one's sends are a lease ago.
+// ShouldPreferHolder returns whether the last holder should be the first candidate for work that
+// is due once per interval. Choosing the candidates anew for each piece is better if possible,
+// since the last holder may have failed after its piece. With every third holder failing, pieces
+// were at most 12 ms late instead of 262 ms, with 15 calls to the store per piece instead of 17
+// (TestFailingHolders). But another holder may begin only when the last holder's sends are a
+// lease ago, so the interval must be long enough for that.
 func ShouldPreferHolder(interval, lease time.Duration) bool {
-	return interval < TermDuration+lease+guardTime+turnStep
+	return interval < TermDuration+lease+clockMargin+candidateStep
 }
 
-// CandidateOrder says who goes first at a piece of work. It protects nothing: two that go
-// at once cost a call each, since the store lets one claim. It keeps all others
-// from asking the store at each piece.
+// CandidateOrder staggers the processes that try to claim a piece of work. It is only an
+// optimisation: if two try at once, each costs a call, and the store lets one of them claim. It
+// keeps all other processes from reading the store for each piece.
 type CandidateOrder struct {
-	// Self is this process, Others are all that may hold the duty, as far as it knows.
+	// Self is this process. Others returns all processes that may hold the duty, as far as this
+	// one knows.
 	Self   string
 	Others func() []string
-	// PreferHolder lets the last holder go first. Otherwise a holder is drawn anew for each
-	// piece.
+	// PreferHolder makes the last holder the first candidate. Otherwise the candidates are
+	// chosen anew for each piece.
 	PreferHolder bool
-	// Candidates is how many processes look after a piece; 0 is ManyCandidates.
+	// Candidates is the number of processes that try to claim a piece; 0 means ManyCandidates.
 	Candidates int
 }
 
 const (
-	// turnStep is between the turns of two processes: twice the slowest answer of
-	// the store on an ordinary day, so that the second finds what the first has done.
-	turnStep = 250 * time.Millisecond
-	// ManyCandidates is for work that must be done in time: if a third of the machines
-	// has no path to the store, one in twenty thousand pieces finds no looker in its
-	// turn; the next piece's lookers do it then.
+	// candidateStep is the delay between two candidates: twice the slowest answer of the store
+	// in normal operation, so that the second one finds the claim of the first one.
+	candidateStep = 250 * time.Millisecond
+	// ManyCandidates is for work that must be done in time. If a third of the machines cannot
+	// reach the store, one in twenty thousand pieces has no candidate that can; the candidates of
+	// the next piece do it then.
 	ManyCandidates = 10
 	// FewCandidates is for work that may wait for the next piece.
 	FewCandidates = 3
 )
 
-func (o *CandidateOrder) lookers() int {
+func (o *CandidateOrder) candidates() int {
 	if o.Candidates > 0 {
 		return o.Candidates
 	}
 	return ManyCandidates
 }
 
-// Delay is how long after a piece is due this process looks after it; false is
-// not at all. held says that this process did the last piece.
-func (o *CandidateOrder) Delay(piece uint64, held bool) (time.Duration, bool) {
-	if o.PreferHolder && held {
+// Delay returns how long after a piece is due this process tries to claim it, or false if it is
+// no candidate. wasHolder is true if this process did the last piece.
+func (o *CandidateOrder) Delay(piece uint64, wasHolder bool) (time.Duration, bool) {
+	if o.PreferHolder && wasHolder {
 		return 0, true
 	}
 	rank := o.rank(piece)
-	if rank >= o.lookers() {
+	if rank >= o.candidates() {
 		return 0, false
 	}
 	if o.PreferHolder {
 		rank++
 	}
-	return time.Duration(rank) * turnStep, true
+	return time.Duration(rank) * candidateStep, true
 }
 
-// rank is this process's place in an order that is drawn anew for each piece.
+// rank returns the rank of this process for a piece by rendezvous hashing; 0 is the first.
 func (o *CandidateOrder) rank(piece uint64) int {
-	own := weight(piece, o.Self)
+	own := hashOf(piece, o.Self)
 	rank := 0
 	for _, other := range slices.Compact(slices.Sorted(slices.Values(o.Others()))) {
-		if other != o.Self && weight(piece, other) < own {
+		if other != o.Self && hashOf(piece, other) < own {
 			rank++
 		}
 	}
 	return rank
 }
 
-func weight(piece uint64, name string) uint64 {
+func hashOf(piece uint64, name string) uint64 {
 	var seed xxhash.Digest
 	seed.ResetWithSeed(piece)
 	_, _ = seed.WriteString(name) // never fails
--- a/duty/order_test.go
+++ b/duty/order_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// TestEveryPieceHasItsLookers asks all processes of a fleet for their turns at
-// many pieces: the same few look after each piece, each at a time of its own, and
-// over many pieces all come first alike. That does not change with the fleet.
-func TestEveryPieceHasItsLookers(t *testing.T) {
+// TestEveryPieceHasItsCandidates asks all processes of a fleet for their delays for many pieces:
+// each piece must have the same small number of candidates with different delays, and over many
+// pieces each process must be the first one about equally often, whatever the size of the fleet.
+func TestEveryPieceHasItsCandidates(t *testing.T) {
 	for _, n := range []int{30, 100, 300} {
 		names := make([]string, n)
 		for i := range names {
@@ -21,8 +21,8 @@
 			at := map[int64]bool{}
 			for _, name := range names {
 				o := &CandidateOrder{Self: name, Others: func() []string { return names }}
-				delay, mine := o.Delay(piece, false)
-				if !mine {
+				delay, candidate := o.Delay(piece, false)
+				if !candidate {
 					continue
 				}
 				at[delay.Milliseconds()] = true
@@ -31,7 +31,7 @@
 				}
 			}
 			if len(at) != ManyCandidates {
-				t.Fatalf("%d processes: %d turns at a piece", n, len(at))
+				t.Fatalf("%d processes: %d different delays for a piece", n, len(at))
 			}
 		}
 		for name, count := range firsts {
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestShortIntervalsKeepTheirHolder: a window of 5 s leaves time between two
-// holders with a lease of 3 s, one of 2 s does not.
+// TestShortIntervalsKeepTheirHolder checks that with a lease of 3 s the holder may change between
+// windows of 5 s, but not between windows of 2 s.
 func TestShortIntervalsKeepTheirHolder(t *testing.T) {
 	for interval, want := range map[time.Duration]bool{5 * time.Second: false, 2 * time.Second: true} {
 		if got := ShouldPreferHolder(interval, 3*time.Second); got != want {
@@ -55,17 +55,17 @@
 func TestTheLastHolderGoesFirst(t *testing.T) {
 	others := func() []string { return []string{"a", "b", "c"} }
 	o := &CandidateOrder{Self: "a", Others: others, PreferHolder: true}
-	if delay, mine := o.Delay(1, true); delay != 0 || !mine {
-		t.Errorf("got %s, %v", delay, mine)
+	if delay, candidate := o.Delay(1, true); delay != 0 || !candidate {
+		t.Errorf("got %s, %v", delay, candidate)
 	}
 	for piece := range uint64(20) {
-		if delay, mine := o.Delay(piece, false); delay < turnStep || !mine {
-			t.Errorf("others wait for the last holder: got %s, %v", delay, mine)
+		if delay, candidate := o.Delay(piece, false); delay < candidateStep || !candidate {
+			t.Errorf("others must wait for the last holder: got %s, %v", delay, candidate)
 		}
 	}
-	// One that does not know the list yet looks after each piece itself.
+	// A process that does not know the others yet is the first candidate for each piece.
 	alone := &CandidateOrder{Self: "a", Others: func() []string { return nil }}
-	if delay, mine := alone.Delay(7, false); delay != 0 || !mine {
-		t.Errorf("got %s, %v", delay, mine)
+	if delay, candidate := alone.Delay(7, false); delay != 0 || !candidate {
+		t.Errorf("got %s, %v", delay, candidate)
 	}
 }
--- a/duty/performer.go
+++ b/duty/performer.go
@@ -13,13 +13,13 @@
 	"mulberryscale.example/observe"
 )
 
-// State is what a performer does; Trigger is why that changes.
+// State is a state of a Performer; Trigger is the cause of a transition.
 type (
 	State   string
 	Trigger string
 )
 
-// States and triggers of term.yaml, which says what each means.
+// States and triggers of the state chart term.yaml, which explains them.
 const (
 	StateWaiting   State = "waiting"
 	StateReading   State = "reading"
@@ -49,35 +49,35 @@
 		triggerUnsettled, triggerExpired, triggerRecorded,
 	})
 
-// Work is what a duty consists of: pieces with growing numbers.
+// Work is the work of a duty: pieces with increasing numbers.
 type Work interface {
-	// Next is the first piece after one that is done, and when it is due; found is
-	// false if none is done yet.
+	// Next returns the first piece to do after the last one that is done, and when it is due.
+	// found is false if none is done yet.
 	Next(done uint64, found bool) (piece uint64, due time.Time)
-	// NextDue is the first piece that falls due after a moment, and when.
+	// NextDue returns the first piece that is due after the given time, and when it is due.
 	NextDue(after time.Time) (piece uint64, due time.Time)
-	// Decide says what is to be sent for a piece, given the work of the last one that
-	// was decided, nil if none was. nil means that there is nothing to do for it.
+	// Decide returns the work to send for a piece, or nil if there is nothing to do for it.
+	// last is the decided work of the last piece, nil if there was none.
 	Decide(ctx context.Context, piece uint64, last []byte) ([]byte, error)
-	// Send sends what was decided, once, unless acting says that it may not be sent
-	// any more. nil means that it was accepted.
-	Send(ctx context.Context, f Fence, acting func() bool, work []byte) error
-	// OnDone hears that a piece was recorded as done by this process.
+	// Send sends the decided work once, unless maySend returns false at the moment of sending.
+	// It returns nil if the work was accepted.
+	Send(ctx context.Context, f Fence, maySend func() bool, work []byte) error
+	// OnDone is called after this process has recorded a piece as done.
 	OnDone(ctx context.Context, piece uint64)
 }
 
-// Pauses of a performer.
+// Pauses of a Performer.
 const (
-	// missPause is the pause after a call to the store that failed.
-	missPause = 300 * time.Millisecond
-	// sendPause is the pause before the work is sent again.
-	sendPause = 100 * time.Millisecond
-	// takenSlack is added to the time until the former holder can no longer act, so
-	// that few of those that wait for it ask too early.
-	takenSlack = 50 * time.Millisecond
+	// storeRetryPause is the pause after a failed call to the store.
+	storeRetryPause = 300 * time.Millisecond
+	// resendPause is the pause before the work is resent.
+	resendPause = 100 * time.Millisecond
+	// takenMargin is added to the time until another holder can no longer send, so that few of
+	// the waiting processes read the term too early.
+	takenMargin = 50 * time.Millisecond
 )
 
-// Performer does the work of one duty when it is this process's turn.
+// Performer does the work of one duty whenever this process gets to claim a piece.
 type Performer struct {
 	Terms    *TermStore
 	Order    *CandidateOrder
@@ -86,16 +86,18 @@
 	Counters *observe.Counters
 
 	machine *chart.Machine[State, Trigger]
-	read    StoredTerm
+	stored  StoredTerm
 	held    *HeldTerm
 	piece   uint64
-	// holder says that this process did the last piece that it knows of.
-	holder bool
-	// again is when to look once more whoever's turn it is; zero is not.
-	again time.Time
+	// wasHolder is true if this process did the last piece that it knows of.
+	wasHolder bool
+	// retryAt is when to read the term again even if this process is no candidate; zero if not
+	// set.
+	retryAt time.Time
 }
 
-// Run works until ctx ends.
+// Run does the work until ctx is cancelled. It returns the cause of that, or an error of the state
+// chart.
 func (p *Performer) Run(ctx context.Context) error {
 	machine, err := termChart.NewMachine(nil)
 	if err != nil {
@@ -114,59 +116,61 @@
 	return context.Cause(ctx)
 }
 
-// step does what the state asks for and says what came of it.
+// step runs the action of the current state and returns the resulting trigger.
 func (p *Performer) step(ctx context.Context) Trigger {
 	switch p.machine.State() {
 	case StateWaiting:
 		return p.wait(ctx)
 	case StateReading:
-		return p.look(ctx)
+		return p.readTerm(ctx)
 	case StateClaiming:
 		return p.claim(ctx)
 	case StateActing:
-		return p.act(ctx)
+		return p.send(ctx)
 	default:
 		return p.record(ctx)
 	}
 }
 
-// wait sleeps until this process should look after a piece.
+// wait sleeps until this process should read the term.
 func (p *Performer) wait(ctx context.Context) Trigger {
 	now := time.Now()
-	at := p.nextTurn(now)
-	if !p.again.IsZero() && p.again.Before(at) {
-		at = p.again
+	at := p.nextRead(now)
+	if !p.retryAt.IsZero() && p.retryAt.Before(at) {
+		at = p.retryAt
 	}
-	p.again = time.Time{}
-	_ = pause.Sleep(ctx, at.Sub(now)) // the end of ctx is looked at next
+	p.retryAt = time.Time{}
+	_ = pause.Sleep(ctx, at.Sub(now)) // Run checks ctx next
 	return triggerDue
 }
 
-// nextTurn is when this process's next turn comes.
-func (p *Performer) nextTurn(now time.Time) time.Time {
-	after := now.Add(-time.Duration(p.Order.lookers()) * turnStep) // of these pieces a turn may still come
+// nextRead returns when this process is next a candidate for a piece.
+func (p *Performer) nextRead(now time.Time) time.Time {
+	// Pieces that were due after this may still have candidates that wait.
+	after := now.Add(-time.Duration(p.Order.candidates()) * candidateStep)
 	for {
 		piece, due := p.Work.NextDue(after)
-		if delay, mine := p.Order.Delay(piece, p.holder); mine && due.Add(delay).After(now) {
+		if delay, ok := p.Order.Delay(piece, p.wasHolder); ok && due.Add(delay).After(now) {
 			return due.Add(delay)
 		}
-		if due.Sub(now) > farAhead {
+		if due.Sub(now) > maxLookahead {
 			return due
 		}
 		after = due
 	}
 }
 
-// farAhead bounds the search for a turn: then it looks again which it has.
-const farAhead = 10 * time.Minute
+// maxLookahead bounds the search for a piece with this process as a candidate. After that time
+// the search starts again.
+const maxLookahead = 10 * time.Minute
 
-// look reads the term and says whether work is open.
-func (p *Performer) look(ctx context.Context) Trigger {
+// readTerm reads the term and returns whether there is work that this process may claim.
+func (p *Performer) readTerm(ctx context.Context) Trigger {
 	r, err := p.Terms.Read(ctx)
 	if err != nil {
-		return p.miss(err, "duty's term not read")
+		return p.fail(err, "duty's term not read")
 	}
-	p.read, p.holder = r, r.Found && r.Machine == p.Terms.Machine
+	p.stored, p.wasHolder = r, r.Found && r.Machine == p.Terms.Machine
 	p.piece = r.Piece
 	if !r.Found || r.Done {
 		piece, due := p.Work.Next(r.Piece, r.Found)
@@ -177,75 +181,76 @@
 	}
 	wait, err := p.Terms.Wait(r)
 	if err != nil {
-		return p.miss(err, "duty's term not judged")
+		return p.fail(err, "duty's term not checked against the store's clock")
 	}
 	if wait > 0 {
-		p.again = time.Now().Add(wait + takenSlack)
+		p.retryAt = time.Now().Add(wait + takenMargin)
 		return triggerTaken
 	}
 	return triggerOpen
 }
 
-// claim decides the work, unless a former holder did, and begins a term.
+// claim begins a term, with the work of a former holder if that is not done, else with work that
+// it decides.
 func (p *Performer) claim(ctx context.Context) Trigger {
-	work := p.read.Work
-	if !p.read.Found || p.read.Done {
-		decided, err := p.Work.Decide(ctx, p.piece, p.read.Work)
+	work := p.stored.Work
+	if !p.stored.Found || p.stored.Done {
+		decided, err := p.Work.Decide(ctx, p.piece, p.stored.Work)
 		if err != nil {
-			return p.miss(err, "duty's work not decided")
+			return p.fail(err, "duty's work not decided")
 		}
 		if decided == nil {
 			return triggerSettled
 		}
 		work = decided
 	}
-	held, err := p.Terms.Claim(ctx, p.read, p.piece, work)
+	held, err := p.Terms.Claim(ctx, p.stored, p.piece, work)
 	if errors.Is(err, ErrTaken) {
-		p.again = time.Now().Add(missPause)
+		p.retryAt = time.Now().Add(storeRetryPause)
 		return triggerMissed
 	}
 	if err != nil {
-		return p.miss(err, "duty not claimed")
+		return p.fail(err, "duty not claimed")
 	}
 	p.held = held
 	p.log().Info("duty claimed")
 	return triggerClaimed
 }
 
-// act sends the work.
-func (p *Performer) act(ctx context.Context) Trigger {
+// send sends the work unless the term is over.
+func (p *Performer) send(ctx context.Context) Trigger {
 	if !p.held.MaySend() {
-		p.log().Warn("duty's term is over with its work unsettled")
-		p.again = time.Now()
+		p.log().Warn("duty's term is over and its work not accepted")
+		p.retryAt = time.Now()
 		return triggerExpired
 	}
 	if err := p.Work.Send(ctx, p.held.Fence, p.held.MaySend, p.held.Work); err != nil {
 		p.log().WithError(err).Warn("duty's work not accepted yet")
 		p.Counters.Retry(p.Terms.Subject, reasonNotAccepted)
-		_ = pause.Sleep(ctx, sendPause) // the end of ctx is looked at next
+		_ = pause.Sleep(ctx, resendPause) // Run checks ctx next
 		return triggerUnsettled
 	}
 	return triggerAccepted
 }
 
-// reasonNotAccepted counts sends of a duty's work that were not accepted.
+// reasonNotAccepted is the retry reason for a duty's work that was not accepted.
 const reasonNotAccepted = "duty_not_accepted"
 
-// record writes that the work is done. If that fails, whoever looks next sends it
-// once more as it was, which changes nothing.
+// record records that the work is done. If that fails, the next process that reads the term sends
+// the same work again, which is idempotent.
 func (p *Performer) record(ctx context.Context) Trigger {
 	if err := p.held.RecordDone(ctx); err != nil {
-		return p.miss(err, "duty's work not recorded as done")
+		return p.fail(err, "duty's work not recorded as done")
 	}
 	p.log().Info("duty's work done")
 	p.Work.OnDone(ctx, p.held.Piece)
 	return triggerRecorded
 }
 
-// miss logs a failure and has the term looked at again soon.
-func (p *Performer) miss(err error, what string) Trigger {
-	p.Log.WithError(err).WithField("duty", p.Terms.Subject).Warn(what)
-	p.again = time.Now().Add(missPause)
+// fail logs a failure and schedules another read of the term.
+func (p *Performer) fail(err error, msg string) Trigger {
+	p.Log.WithError(err).WithField("duty", p.Terms.Subject).Warn(msg)
+	p.retryAt = time.Now().Add(storeRetryPause)
 	return triggerMissed
 }
 
--- a/duty/term.go
+++ b/duty/term.go
@@ -1,8 +1,8 @@
-// Package duty gives work that one process at a time may do to one of many, with
-// no process set aside for it. All that must be agreed on stands in the platform's
-// store: a row for each subject says who holds the duty for which piece of work,
-// under which fencing token and since when, and what was decided. A term is short
-// and is not renewed: it is judged by the store's clock, at the moment of sending.
+// Package duty elects one of many equal processes to do work that only one process at a time
+// may do. All shared state is in the platform's store: a row for each subject has the holder of
+// the duty, the piece of work, the fencing token, the begin of the term, and the decided work.
+// A term is short and is not renewed. Whether it is over is checked against the store's clock
+// at the moment of sending.
 package duty
 
 import (
@@ -15,80 +15,83 @@
 	"mulberryscale.example/transport/codec"
 )
 
-// Table holds a row for each subject of a duty, named by it.
+// Table holds a row for each subject of a duty. The row has the name of the subject.
 const Table = "duties"
 
 // Times of a term.
 const (
-	// TermDuration is how long after its beginning a holder may send: three sends of
-	// which each may take sendTime.
+	// TermDuration is how long after the begin of its term a holder may send. It is meant for
+	// three sends.
 	TermDuration = 1500 * time.Millisecond
-	// guardTime is added to the time between two holders for what may differ
-	// between the store's clock and ours within a call, some milliseconds.
-	guardTime = 200 * time.Millisecond
+	// clockMargin is added to the time between two holders. The store's clock and ours may
+	// diverge by some milliseconds during a call.
+	clockMargin = 200 * time.Millisecond
 )
 
-// Fence is what a call shows of the holder that sends it.
+// Fence is the fencing data of a call: its holder and the fencing token.
 type Fence struct {
-	// Holder is the name of the holder's process.
+	// Holder is the name of the process that holds the duty.
 	Holder string
-	// Token grows with each term.
+	// Token is greater in each term than in the one before.
 	Token uint64
 }
 
-// Term is one holder's time at a piece of work.
+// Term is the right of one holder to do one piece of work, for a limited time.
 type Term struct {
 	Fence Fence `cbor:"1,keyasint"`
-	// Machine tells holders apart: a process that was replaced may bear the name of
-	// the one before it.
+	// Machine identifies the holder. The name of the process doesn't, since a replacement
+	// process may have the same one.
 	Machine string `cbor:"2,keyasint"`
-	// Began is the store's clock at the beginning. Nothing is sent after Began + TermDuration.
+	// Began is the begin of the term by the store's clock. Nothing is sent after
+	// Began + TermDuration.
 	Began time.Duration `cbor:"3,keyasint"`
-	// Piece numbers the work; it never falls.
+	// Piece is the number of the piece of work. It never decreases.
 	Piece uint64 `cbor:"4,keyasint"`
-	// Work is what was decided. It never changes once it was written, since it may
-	// have been sent.
+	// Work is the decided work. It doesn't change after it was written, since it may have been
+	// sent already.
 	Work []byte `cbor:"5,keyasint,omitempty"`
-	// Done says that the work was accepted.
+	// Done is true once the work was accepted.
 	Done bool `cbor:"6,keyasint,omitempty"`
 }
 
-// Clock bounds the store's steady clock: the true time is between the two. It
-// goes on while this process stands still. It is false while nothing is known.
+// Clock returns bounds of the store's monotonic clock: its time is between earliest and latest.
+// The clock also counts time in which this process is suspended. ok is false as long as no
+// bounds are known.
 type Clock interface {
 	Bounds() (earliest, latest time.Duration, ok bool)
 }
 
-// Errors of a seat.
+// Errors of TermStore and HeldTerm.
 var (
-	// ErrTaken says that another process has changed the term meanwhile.
+	// ErrTaken is returned if another process has changed the term since it was read.
 	ErrTaken = errors.New("duty: another process was first")
-	// errNoClock says that the store's clock is not known yet.
+	// errNoClock is returned as long as the store's clock has no known bounds.
 	errNoClock = errors.New("duty: the store's clock is not known yet")
 )
 
-// TermStore is a subject's row as one process sees it.
+// TermStore reads and writes the term of one subject for one process.
 type TermStore struct {
 	Rows    store.Rows
 	Clock   Clock
 	Subject string
-	// Machine and Name are of this process.
+	// Machine and Name identify the machine and this process.
 	Machine, Name string
-	// Lease is the time within which holders may not take turns.
+	// Lease is the time within which two holders must not alternate (one, the other, and the
+	// first one again).
 	Lease time.Duration
 }
 
-// StoredTerm is a term as it was read.
+// StoredTerm is a term as it was read from the store.
 type StoredTerm struct {
 	Term
-	// Found is false if there has been no term yet.
+	// Found is false if the subject has had no term yet.
 	Found   bool
 	version uint64
 }
 
 func (s *TermStore) key() store.Key { return store.Key{Table: Table, Name: s.Subject} }
 
-// Read reads the term.
+// Read returns the current term in the store.
 func (s *TermStore) Read(ctx context.Context) (StoredTerm, error) {
 	rows, err := s.Rows.List(ctx, store.Range{Table: Table, From: s.Subject, To: s.Subject + "\x00"})
 	if err != nil {
@@ -113,9 +116,9 @@
 	return t, nil
 }
 
-// Wait is how long it takes until this machine may follow on a term; 0 is at
-// once. Another machine's last send must be Lease ago: its call could else be
-// overtaken by ours, which bears a higher token, and two holders could take turns.
+// Wait returns how long this machine must wait until it may claim the term after r; 0 is at
+// once. The last send of another machine must be at least Lease ago. Otherwise our call, with a
+// higher token, could overtake that send, and two holders could alternate within a lease.
 func (s *TermStore) Wait(r StoredTerm) (time.Duration, error) {
 	earliest, _, ok := s.Clock.Bounds()
 	if !ok {
@@ -124,39 +127,39 @@
 	if !r.Found || r.Machine == s.Machine {
 		return 0, nil
 	}
-	return max(0, r.Began+TermDuration+s.Lease+guardTime-earliest), nil
+	return max(0, r.Began+TermDuration+s.Lease+clockMargin-earliest), nil
 }
 
-// HeldTerm is a term of this process.
+// HeldTerm is a term that this process holds.
 type HeldTerm struct {
 	Term
-	seat    *TermStore
+	terms   *TermStore
 	version uint64
 }
 
-// Claim begins a term for a piece of work on condition that r is still the term
-// in the store. An error other than ErrTaken leaves open whether the row was
-// written; nothing may be sent on it.
+// Claim begins a term for a piece of work, provided that r is still the term in the store. After
+// an error other than ErrTaken, the row may or may not have been written. After any error,
+// nothing may be sent.
 func (s *TermStore) Claim(ctx context.Context, r StoredTerm, piece uint64, work []byte) (*HeldTerm, error) {
 	began, _, ok := s.Clock.Bounds()
 	if !ok {
 		return nil, errNoClock
 	}
-	h := &HeldTerm{seat: s, Term: Term{
+	h := &HeldTerm{terms: s, Term: Term{
 		Fence: Fence{Holder: s.Name, Token: r.Fence.Token + 1}, Machine: s.Machine, Began: began, Piece: piece, Work: work,
 	}}
 	return h, h.write(ctx, r.version)
 }
 
-// write puts the term in the place of one of a version.
+// write replaces the row if it still has the given version.
 func (h *HeldTerm) write(ctx context.Context, version uint64) error {
 	value, err := codec.Marshal(h.Term)
 	if err != nil {
 		return fmt.Errorf("encode a term: %w", err)
 	}
-	done, err := h.seat.Rows.Commit(ctx, store.Tx{
-		If:  []store.Condition{{Key: h.seat.key(), Version: version}},
-		Put: []store.Row{{Key: h.seat.key(), Value: value}},
+	done, err := h.terms.Rows.Commit(ctx, store.Tx{
+		If:  []store.Condition{{Key: h.terms.key(), Version: version}},
+		Put: []store.Row{{Key: h.terms.key(), Value: value}},
 	})
 	if errors.Is(err, store.ErrConflict) {
 		return ErrTaken
@@ -165,14 +168,14 @@
 	return err
 }
 
-// MaySend reports whether something may be sent now: the store's clock cannot be
-// past the end of the term.
+// MaySend reports whether the work may be sent now, because the term cannot be over yet by the
+// store's clock.
 func (h *HeldTerm) MaySend() bool {
-	_, latest, ok := h.seat.Clock.Bounds()
+	_, latest, ok := h.terms.Clock.Bounds()
 	return ok && latest < h.Began+TermDuration
 }
 
-// RecordDone writes that the work is done.
+// RecordDone records in the store that the work is done.
 func (h *HeldTerm) RecordDone(ctx context.Context) error {
 	h.Done = true
 	return h.write(ctx, h.version)
--- a/duty/term_test.go
+++ b/duty/term_test.go
@@ -9,7 +9,7 @@
 	"mulberryscale.example/store"
 )
 
-// fakeClock has the bounds that a test sets.
+// fakeClock returns the bounds that a test sets.
 type fakeClock struct {
 	earliest, latest time.Duration
 	unknown          bool
@@ -19,7 +19,7 @@
 	return c.earliest, c.latest, !c.unknown
 }
 
-func newSeat(rows store.Rows, name string) (*TermStore, *fakeClock) {
+func newTermStore(rows store.Rows, name string) (*TermStore, *fakeClock) {
 	clock := &fakeClock{earliest: 10 * time.Second, latest: 10 * time.Second}
 	return &TermStore{Rows: rows, Clock: clock, Subject: "usage", Machine: name, Name: "process on " + name, Lease: testLease}, clock
 }
@@ -37,11 +37,11 @@
 	return h
 }
 
-// TestOneOfTwoClaims: of two that have read the same term one gets the next.
+// TestOneOfTwoClaims checks that only one of two processes that read the same term gets the next.
 func TestOneOfTwoClaims(t *testing.T) {
 	rows := rowstore.New()
-	a, _ := newSeat(rows, "a")
-	b, _ := newSeat(rows, "b")
+	a, _ := newTermStore(rows, "a")
+	b, _ := newTermStore(rows, "b")
 	read, err := a.Read(t.Context())
 	if err != nil || read.Found {
 		t.Fatalf("got %+v, %v", read, err)
@@ -57,12 +57,12 @@
 	}
 }
 
-// TestTermsAreJudgedByBothBoundsOfTheClock: the holder takes the store's clock to
-// be as late as it can be, whoever follows as early as it can be.
-func TestTermsAreJudgedByBothBoundsOfTheClock(t *testing.T) {
+// TestTermsAreCheckedByBothBoundsOfTheClock checks that the holder uses the latest possible time of
+// the store's clock, and the process that wants the next term the earliest one.
+func TestTermsAreCheckedByBothBoundsOfTheClock(t *testing.T) {
 	rows := rowstore.New()
-	a, clockA := newSeat(rows, "a")
-	b, clockB := newSeat(rows, "b")
+	a, clockA := newTermStore(rows, "a")
+	b, clockB := newTermStore(rows, "b")
 	clockA.earliest, clockA.latest = 10*time.Second, 11*time.Second
 	h := claim(t, a, 7, "counts")
 	if h.Began != 10*time.Second || !h.MaySend() {
@@ -70,27 +70,27 @@
 	}
 	clockA.latest = 10*time.Second + TermDuration
 	if h.MaySend() {
-		t.Error("acts though its term may be over")
+		t.Error("may send though its term may be over")
 	}
 	clockA.unknown = true
 	if h.MaySend() {
-		t.Error("acts without a clock")
+		t.Error("may send without a clock")
 	}
 	read, err := b.Read(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	clockB.earliest, clockB.latest = 10*time.Second+TermDuration+testLease, time.Hour
-	if wait, err := b.Wait(read); err != nil || wait != guardTime {
+	if wait, err := b.Wait(read); err != nil || wait != clockMargin {
 		t.Errorf("got %s, %v", wait, err)
 	}
-	clockB.earliest += guardTime
+	clockB.earliest += clockMargin
 	if wait, err := b.Wait(read); err != nil || wait != 0 {
 		t.Errorf("got %s, %v", wait, err)
 	}
 	clockB.unknown = true
 	if _, err := b.Wait(read); err == nil {
-		t.Error("follows without a clock")
+		t.Error("may claim the next term without a clock")
 	}
 	clockA.unknown, clockA.earliest = false, 0
 	if wait, err := a.Wait(read); err != nil || wait != 0 {
@@ -98,11 +98,11 @@
 	}
 }
 
-// TestClaimWithoutAnAnswerIsNotHeld has the store write the row and lose its
-// answer: the process may follow on it, with a token of its own.
+// TestClaimWithoutAnAnswerIsNotHeld has the store write the row and lose the answer. The process
+// must get an error, and may claim again with a new token.
 func TestClaimWithoutAnAnswerIsNotHeld(t *testing.T) {
 	rows := rowstore.New()
-	a, _ := newSeat(rows, "a")
+	a, _ := newTermStore(rows, "a")
 	rows.Next(rowstore.Lost)
 	if _, err := a.Claim(t.Context(), StoredTerm{}, 7, nil); !errors.Is(err, store.ErrUnknown) {
 		t.Fatalf("got %v", err)
@@ -114,8 +114,8 @@
 
 func TestRecordedOnlyByItsHolder(t *testing.T) {
 	rows := rowstore.New()
-	a, _ := newSeat(rows, "a")
-	b, _ := newSeat(rows, "b")
+	a, _ := newTermStore(rows, "a")
+	b, _ := newTermStore(rows, "b")
 	h := claim(t, a, 7, "counts")
 	next := claim(t, b, 7, "counts")
 	if err := h.RecordDone(t.Context()); !errors.Is(err, ErrTaken) {
@@ -131,7 +131,7 @@
 
 func TestTermThatIsNotReadable(t *testing.T) {
 	rows := rowstore.New()
-	a, _ := newSeat(rows, "a")
+	a, _ := newTermStore(rows, "a")
 	rows.Put(store.Row{Key: a.key(), Value: []byte("{")})
 	if _, err := a.Read(t.Context()); err == nil {
 		t.Error("want an error")
--- a/duty/world_test.go
+++ b/duty/world_test.go
@@ -20,21 +20,21 @@
 	testDelay  = 4500 * time.Millisecond
 )
 
-// platform is a stand-in of the platform's duty calls which judges them as the
-// platform's rules do. All windows are one subject.
-type platform struct {
+// fakePlatform is a fake of the platform that receives the calls of a duty and checks them
+// against the platform's rules. All windows belong to one subject.
+type fakePlatform struct {
 	mu         sync.Mutex
 	violations []string
 	counts     map[uint64]string // by piece
 	tokens     map[uint64]string // machine by token
 	highest    uint64
-	acts       []act
+	calls      []platformCall
 	accepted   map[uint64]time.Time
-	// outcomes are of the next calls; those after them are accepted and answered.
+	// outcomes are those of the next calls. Later calls are accepted and answered.
 	outcomes []outcome
 }
 
-type act struct {
+type platformCall struct {
 	machine string
 	at      time.Time
 }
@@ -42,46 +42,46 @@
 type outcome int
 
 const (
-	answered  outcome = iota
-	unheard           // accepted, the answer is lost
-	tooMany           // answered with a refusal
-	neverSeen         // lost on the way
+	answered    outcome = iota
+	answerLost          // accepted, but the answer is lost
+	refused             // answered with a refusal
+	requestLost         // the call is lost before it arrives
 )
 
-func newPlatform() *platform {
-	return &platform{counts: map[uint64]string{}, tokens: map[uint64]string{}, accepted: map[uint64]time.Time{}}
+func newFakePlatform() *fakePlatform {
+	return &fakePlatform{counts: map[uint64]string{}, tokens: map[uint64]string{}, accepted: map[uint64]time.Time{}}
 }
 
-func (p *platform) broken(format string, args ...any) {
+func (p *fakePlatform) violation(format string, args ...any) {
 	p.violations = append(p.violations, fmt.Sprintf(format, args...))
 }
 
-// call is one call as it arrives.
-func (p *platform) call(machine string, token, piece uint64, counts string) outcome {
+// call handles a call.
+func (p *fakePlatform) call(machine string, token, piece uint64, counts string) outcome {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	result := answered
 	if len(p.outcomes) > 0 {
 		result, p.outcomes = p.outcomes[0], p.outcomes[1:]
 	}
-	if result == neverSeen {
+	if result == requestLost {
 		return result
 	}
 	now := time.Now()
-	if had, ok := p.tokens[token]; ok && had != machine {
-		p.broken("token %d by %s and %s", token, had, machine)
+	if former, ok := p.tokens[token]; ok && former != machine {
+		p.violation("token %d by %s and %s", token, former, machine)
 	}
 	p.tokens[token] = machine
 	if token < p.highest {
-		p.broken("token %d after %d, by %s", token, p.highest, machine)
+		p.violation("token %d after %d, by %s", token, p.highest, machine)
 	}
 	p.highest = max(p.highest, token)
-	p.takeTurn(act{machine, now})
-	if result == tooMany {
+	p.checkAlternation(platformCall{machine, now})
+	if result == refused {
 		return result
 	}
-	if had, ok := p.counts[piece]; ok && had != counts {
-		p.broken("piece %d with %q and %q", piece, had, counts)
+	if former, ok := p.counts[piece]; ok && former != counts {
+		p.violation("piece %d with %q and %q", piece, former, counts)
 	}
 	p.counts[piece] = counts
 	if _, ok := p.accepted[piece]; !ok {
@@ -90,77 +90,77 @@
 	return result
 }
 
-// takeTurn finds holders that act in the order A, B, A within the lease.
-func (p *platform) takeTurn(a act) {
-	p.acts = append(p.acts, a)
+// checkAlternation detects holders that call in the order A, B, A within the lease.
+func (p *fakePlatform) checkAlternation(c platformCall) {
+	p.calls = append(p.calls, c)
 	other := false
-	for i := len(p.acts) - 2; i >= 0 && a.at.Sub(p.acts[i].at) < testLease; i-- {
-		if p.acts[i].machine != a.machine {
+	for i := len(p.calls) - 2; i >= 0 && c.at.Sub(p.calls[i].at) < testLease; i-- {
+		if p.calls[i].machine != c.machine {
 			other = true
 			continue
 		}
 		if other {
-			p.broken("%s acts before and after another within %s", a.machine, a.at.Sub(p.acts[i].at))
+			p.violation("%s called before and after another machine within %s", c.machine, c.at.Sub(p.calls[i].at))
 		}
 		return
 	}
 }
 
-// machine is one that may hold the duty. It can stand still, lose its path to the
-// store and the platform, and be killed.
+// machine is a machine that may hold the duty. It can be frozen, partitioned from the store and the
+// platform, and killed.
 type machine struct {
 	name  string
 	world *world
 
-	mu     sync.Mutex
-	frozen time.Time // until when
-	cut    time.Time // until when
-	stop   context.CancelFunc
-	done   chan struct{}
+	mu               sync.Mutex
+	frozenUntil      time.Time
+	partitionedUntil time.Time
+	stop             context.CancelFunc
+	done             chan struct{}
 }
 
-// world is a store, a platform and machines.
+// world is a simulation of a store, a platform and machines.
 type world struct {
-	store    *rowstore.Store
-	platform *platform
-	machines []*machine
-	keep     bool
-	mutation mutation
-	decided  uint64
-	calls    int // to the store
-	mu       sync.Mutex
-	// trapped is how long the next machine that writes to the store stands still as
-	// the answer is on its way to it.
-	trapped time.Duration
+	store        *rowstore.Store
+	platform     *fakePlatform
+	machines     []*machine
+	preferHolder bool
+	mutation     mutation
+	decisions    uint64
+	storeCalls   int
+	mu           sync.Mutex
+	// freezeAfterWrite is how long the next machine that writes to the store is frozen before
+	// it receives the answer; 0 for not at all.
+	freezeAfterWrite time.Duration
 }
 
-func (w *world) count() {
+func (w *world) countCall() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.calls++
+	w.storeCalls++
 }
 
-// trap is how long the machine that has just written stands still.
-func (w *world) trap() time.Duration {
+// takeFreeze returns and resets freezeAfterWrite.
+func (w *world) takeFreeze() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	d := w.trapped
-	w.trapped = 0
+	d := w.freezeAfterWrite
+	w.freezeAfterWrite = 0
 	return d
 }
 
-// mutation takes out one mechanism.
+// mutation is a mechanism that is disabled.
 type mutation int
 
 const (
-	whole mutation = iota
+	noMutation mutation = iota
 	withoutFence
 	withoutTerm
 	withoutDecision
 )
 
-func newWorld(n int, keep bool, m mutation) *world {
-	w := &world{store: rowstore.New(), platform: newPlatform(), keep: keep, mutation: m}
+func newWorld(n int, preferHolder bool, m mutation) *world {
+	w := &world{store: rowstore.New(), platform: newFakePlatform(), preferHolder: preferHolder, mutation: m}
 	for i := range n {
 		w.machines = append(w.machines, &machine{name: fmt.Sprint("m", i), world: w})
 	}
@@ -184,16 +184,16 @@
 	m.mu.Unlock()
 	p := &Performer{
 		Terms: &TermStore{Rows: machineRows{m}, Clock: machineClock{m}, Subject: "usage", Machine: m.name, Name: m.name, Lease: testLease},
-		Order: &CandidateOrder{Self: m.name, Others: m.world.names, PreferHolder: m.world.keep},
+		Order: &CandidateOrder{Self: m.name, Others: m.world.names, PreferHolder: m.world.preferHolder},
 		Work:  machineWork{m}, Log: observe.Discard(), Counters: observe.NewCounters(),
 	}
 	go func() {
 		defer close(done)
-		_ = p.Run(ctx) // ends with its context only, which the tests of the chart see to
+		_ = p.Run(ctx) // returns only when ctx is cancelled, as the tests of the state chart check
 	}()
 }
 
-// kill ends the machine's process at once.
+// kill stops the machine's process at once and waits until it has stopped.
 func (m *machine) kill() {
 	m.mu.Lock()
 	stop, done := m.stop, m.done
@@ -205,22 +205,22 @@
 func (m *machine) freeze(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if until := time.Now().Add(d); until.After(m.frozen) {
-		m.frozen = until
+	if until := time.Now().Add(d); until.After(m.frozenUntil) {
+		m.frozenUntil = until
 	}
 }
 
-func (m *machine) cutOff(d time.Duration) {
+func (m *machine) partition(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.cut = time.Now().Add(d)
+	m.partitionedUntil = time.Now().Add(d)
 }
 
-// thaw waits while the machine stands still.
-func (m *machine) thaw(ctx context.Context) {
+// awaitThaw waits while the machine is frozen.
+func (m *machine) awaitThaw(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.mu.Lock()
-		left := time.Until(m.frozen)
+		left := time.Until(m.frozenUntil)
 		m.mu.Unlock()
 		if left <= 0 {
 			return
@@ -229,40 +229,40 @@
 	}
 }
 
-func (m *machine) isCut() bool {
+func (m *machine) isPartitioned() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Now().Before(m.cut)
+	return time.Now().Before(m.partitionedUntil)
 }
 
-// machineRows are the store as the machine reaches it. It may stand still before
-// a call and before it hears of the answer.
+// machineRows is the machine's client of the store. The machine may be frozen before a call and
+// before it receives the answer.
 type machineRows struct{ *machine }
 
 func (r machineRows) Commit(ctx context.Context, tx store.Tx) (store.Snapshot, error) {
-	r.world.count()
-	r.thaw(ctx)
-	if r.isCut() {
+	r.world.countCall()
+	r.awaitThaw(ctx)
+	if r.isPartitioned() {
 		return store.Snapshot{}, store.ErrUnknown
 	}
 	s, err := r.world.store.Commit(ctx, tx)
 	if err == nil {
-		r.freeze(r.world.trap())
+		r.freeze(r.world.takeFreeze())
 	}
 	_ = pause.Sleep(ctx, 8*time.Millisecond)
-	r.thaw(ctx)
+	r.awaitThaw(ctx)
 	return s, err
 }
 
 func (r machineRows) List(ctx context.Context, g store.Range) (store.Snapshot, error) {
-	r.world.count()
-	r.thaw(ctx)
-	if r.isCut() {
+	r.world.countCall()
+	r.awaitThaw(ctx)
+	if r.isPartitioned() {
 		return store.Snapshot{}, store.ErrRefused
 	}
 	s, err := r.world.store.List(ctx, g)
 	_ = pause.Sleep(ctx, 4*time.Millisecond)
-	r.thaw(ctx)
+	r.awaitThaw(ctx)
 	return s, err
 }
 
@@ -270,7 +270,7 @@
 	return store.Snapshot{}, store.ErrInvalid
 }
 
-// clockError is how far each bound is from the store's clock.
+// clockError is the distance of each bound from the store's clock.
 const clockError = 90 * time.Millisecond
 
 type machineClock struct{ *machine }
@@ -283,7 +283,7 @@
 	return now - clockError, now + clockError, true
 }
 
-// machineWork has windows as pieces. Each decision is another one.
+// machineWork is work whose pieces are windows. No two decisions are equal.
 type machineWork struct{ *machine }
 
 func dueOf(piece uint64) time.Time {
@@ -305,24 +305,24 @@
 	return piece, dueOf(piece)
 }
 
-// Decide gives the piece and a number that no other decision has.
+// Decide returns the piece and the number of the decision.
 func (w machineWork) Decide(_ context.Context, piece uint64, _ []byte) ([]byte, error) {
 	w.world.mu.Lock()
 	defer w.world.mu.Unlock()
-	w.world.decided++
-	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, piece), w.world.decided), nil
+	w.world.decisions++
+	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, piece), w.world.decisions), nil
 }
 
 func (w machineWork) OnDone(context.Context, uint64) {}
 
-func (w machineWork) Send(ctx context.Context, f Fence, acting func() bool, work []byte) error {
-	w.thaw(ctx)
-	if !acting() {
+func (w machineWork) Send(ctx context.Context, f Fence, maySend func() bool, work []byte) error {
+	w.awaitThaw(ctx)
+	if !maySend() {
 		return errors.New("the term is over")
 	}
-	if w.isCut() {
+	if w.isPartitioned() {
 		_ = pause.Sleep(ctx, 700*time.Millisecond)
-		return errors.New("no path")
+		return errors.New("partitioned")
 	}
 	piece := binary.BigEndian.Uint64(work)
 	if w.world.mutation == withoutDecision {
@@ -336,12 +336,12 @@
 	switch result {
 	case answered:
 		_ = pause.Sleep(ctx, 4*time.Millisecond)
-		w.thaw(ctx)
+		w.awaitThaw(ctx)
 		return nil
-	case tooMany:
+	case refused:
 		return errors.New("too many calls")
 	}
 	_ = pause.Sleep(ctx, 700*time.Millisecond)
-	w.thaw(ctx)
+	w.awaitThaw(ctx)
 	return errors.New("no answer")
 }
