--- a/store/follow.go
+++ b/store/follow.go
@@ -11,51 +11,51 @@
 	"mulberryscale.example/internal/pause"
 )
 
-// Times of a follower.
+// Timing of Follow.
 const (
-	// FeedWait is how long the store may hold a feed call that has nothing to
-	// tell. It bounds the age of what is believed: a feed that has gone silent
-	// is asked again after it.
+	// FeedWait is how long the store may hold a feed call while there is no change. It
+	// bounds the staleness of a watcher: a call without a response is repeated after it.
 	FeedWait = time.Second
-	// retryPause is the pause after a failed call. The store refuses at no
-	// cost to itself, and a change must be in force within two seconds of it.
+	// retryPause is the delay before a retry. A refusal costs the store nothing, and a
+	// change must be in force two seconds after it was made.
 	retryPause = 150 * time.Millisecond
-	// maxRetryPause bounds the pause, which doubles with each failure.
+	// maxRetryPause bounds the delay, which doubles with each failure.
 	maxRetryPause = 600 * time.Millisecond
 )
 
-// Watcher takes what a follower reads. Its methods are called by one goroutine.
+// Watcher receives the rows that Follow reads. One goroutine calls its methods.
 type Watcher interface {
-	// Replace takes all rows of the table.
+	// Replace receives all rows of the table.
 	Replace(s Snapshot)
-	// Apply takes changed rows in order of their versions; there may be none.
+	// Apply receives changed rows in order of their versions; there may be none.
 	Apply(s Snapshot)
-	// Lost says that a read failed or was long without an answer, once for each
-	// loss; Regained that one succeeded again, and how long that took. It comes
-	// before the rows of that read.
+	// Lost reports that a read failed or got no response in time. It is called once for
+	// each outage. Regained reports that a read succeeded again, and how long the outage
+	// lasted; it is called before the rows of that read are passed on.
 	Lost(err error)
 	Regained(after time.Duration)
 }
 
-// Source is what is followed.
+// Source selects the rows to follow and the rate of the calls.
 type Source struct {
 	Table, Part string
-	// Pace spaces the calls; its zero value makes no pause.
+	// Pace limits the rate of the calls; its zero value sets no limit.
 	Pace Pace
-	// Wait is how long the store may hold a call that has nothing to tell; 0 is
-	// FeedWait. A table that seldom changes costs the fewer calls the longer it is.
+	// Wait is how long the store may hold a call while there is no change; 0 is FeedWait.
+	// For a table that seldom changes, a longer wait means fewer calls.
 	Wait time.Duration
 }
 
-// errSlow says that a call was answered long after it should have been.
-var errSlow = errors.New("store: the feed's answer came late")
+// errFeedOverdue means that a feed call got its response long after the wait had passed.
+var errFeedOverdue = errors.New("store: feed response overdue")
 
-// lateSlack is above what any answered feed call takes beside its wait, also while
-// the store is slowed down sixty times.
-const lateSlack = 500 * time.Millisecond
+// feedGrace is more than any successful feed call takes beyond its wait, even while the
+// store is sixty times as slow as usual.
+const feedGrace = 500 * time.Millisecond
 
-// Follow keeps a watcher abreast of the rows of one table and part until ctx
-// ends: all of them first, then the feed, then all of them again after a gap.
+// Follow keeps a watcher up to date with the rows of one table and part until ctx is
+// cancelled. It lists all rows first and then reads the feed; when the feed's history
+// is gone, it lists all rows again.
 func Follow(ctx context.Context, rows Rows, source Source, w Watcher) {
 	source.Wait = cmp.Or(source.Wait, FeedWait)
 	f := &follower{rows: rows, source: source, watcher: w, pacer: newPacer(source.Pace)}
@@ -75,33 +75,33 @@
 	lostAt   time.Time
 }
 
-// step makes one call and pauses.
+// step makes one call, handles its result and pauses.
 func (f *follower) step(ctx context.Context) {
-	asked := time.Now()
+	calledAt := time.Now()
 	s, err := f.read(ctx)
 	switch {
 	case err == nil:
-		f.hear(s, asked)
-		_ = pause.Sleep(ctx, f.pacer.pause(s)) // the end of ctx is looked at next
+		f.handleResponse(s, calledAt)
+		_ = pause.Sleep(ctx, f.pacer.pause(s)) // the loop checks ctx next
 	case ctx.Err() != nil:
 	case errors.Is(err, ErrHistoryGone):
 		f.listed = false
 	default:
-		f.lose(err, asked)
-		_ = pause.Sleep(ctx, min(retryPause<<min(f.failures-1, 4), maxRetryPause)) // the end of ctx is looked at next
+		f.recordFailure(err, calledAt)
+		_ = pause.Sleep(ctx, min(retryPause<<min(f.failures-1, 4), maxRetryPause)) // the loop checks ctx next
 	}
 }
 
-// hear hands an answer to the watcher.
-func (f *follower) hear(s Snapshot, asked time.Time) {
-	if time.Since(asked) > f.source.Wait+lateSlack && f.failures == 0 {
-		f.lose(errSlow, asked)
+// handleResponse passes a response to the watcher.
+func (f *follower) handleResponse(s Snapshot, calledAt time.Time) {
+	if time.Since(calledAt) > f.source.Wait+feedGrace && f.failures == 0 {
+		f.recordFailure(errFeedOverdue, calledAt)
 	}
 	if f.failures > 0 {
 		f.watcher.Regained(time.Since(f.lostAt))
 	}
 	f.failures = 0
-	s.Asked = asked
+	s.Asked = calledAt
 	f.version = max(f.version, s.Version)
 	if f.listed {
 		f.watcher.Apply(s)
@@ -111,12 +111,12 @@
 	f.watcher.Replace(s)
 }
 
-// lose notes a failed call. The loss began when it failed, or, if it was silent
-// for longer, when it should have been answered.
-func (f *follower) lose(err error, asked time.Time) {
+// recordFailure counts a failed call and reports the first of an outage. The outage started
+// when the call failed or, if that was later than the call's wait, when the wait passed.
+func (f *follower) recordFailure(err error, calledAt time.Time) {
 	if f.failures == 0 {
 		f.lostAt = time.Now()
-		if due := asked.Add(f.source.Wait); due.Before(f.lostAt) {
+		if due := calledAt.Add(f.source.Wait); due.Before(f.lostAt) {
 			f.lostAt = due
 		}
 		f.watcher.Lost(err)
@@ -131,12 +131,12 @@
 	return f.rows.Feed(ctx, f.source.Table, f.version, f.source.Wait)
 }
 
-// LogLost is the log line of a lost feed, shared by all watchers.
+// LogLost logs the start of a feed's outage, in the same form for all watchers.
 func LogLost(log logrus.FieldLogger, table string, err error) {
 	log.WithFields(logrus.Fields{"dependency": "store", "table": table}).WithError(err).Warn("feed lost")
 }
 
-// LogRegained is the log line of a feed that is heard again.
+// LogRegained logs the end of a feed's outage.
 func LogRegained(log logrus.FieldLogger, table string, after time.Duration) {
 	log.WithFields(logrus.Fields{"dependency": "store", "table": table, "after_ms": after.Milliseconds()}).Info("feed regained")
 }
--- a/store/follow_test.go
+++ b/store/follow_test.go
@@ -11,7 +11,7 @@
 	"mulberryscale.example/store"
 )
 
-// watcher notes what it is told.
+// watcher records the outages that are reported to it.
 type watcher struct {
 	lost     int
 	regained []time.Duration
@@ -22,27 +22,28 @@
 func (w *watcher) Lost(error)                   { w.lost++ }
 func (w *watcher) Regained(after time.Duration) { w.regained = append(w.regained, after) }
 
-// TestFollowTellsEachLossAndReturnOnce cuts the path to the store twice.
+// TestFollowTellsEachLossAndReturnOnce interrupts the connection to the store twice and
+// expects one Lost and one Regained for each outage.
 func TestFollowTellsEachLossAndReturnOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		way, w := rowstore.New().Client(), &watcher{}
-		go store.Follow(ctx, way, store.Source{Table: "table"}, w)
+		client, w := rowstore.New().Client(), &watcher{}
+		go store.Follow(ctx, client, store.Source{Table: "table"}, w)
 		for range 2 {
 			time.Sleep(5 * time.Second)
-			way.Cut(fmt.Errorf("%w: away", store.ErrUnknown))
+			client.Cut(fmt.Errorf("%w: away", store.ErrUnknown))
 			time.Sleep(3 * time.Second)
-			way.Cut(nil)
+			client.Cut(nil)
 		}
 		time.Sleep(5 * time.Second)
 		cancel()
 		synctest.Wait()
 		if w.lost != 2 || len(w.regained) != 2 {
-			t.Fatalf("%d losses, returns after %v", w.lost, w.regained)
+			t.Fatalf("Lost called %d times, Regained after %v, want two of each", w.lost, w.regained)
 		}
 		for _, after := range w.regained {
 			if after < 2*time.Second || after > 5*time.Second {
-				t.Errorf("returned after %s, of 3 s away", after)
+				t.Errorf("Regained after %s, want about 3 s", after)
 			}
 		}
 	})
--- a/store/pace.go
+++ b/store/pace.go
@@ -2,62 +2,63 @@
 
 import "time"
 
-// Pace spaces the calls of a feed. A feed answers at the first change, so on a
-// table with many writers it never waits: with N processes that write and N that
-// read, N*N answers are made. A pause after an answer gathers changes instead.
-// The pause follows from what the last answer cost and what the reader may spend
-// on the table, so a quiet table is heard at once and a busy one within MaxAge.
+// Pace limits the rate of the calls of a feed. A feed responds at the first change, so
+// on a table with many writers it never waits: N writers and N readers cause N*N
+// responses. A pause after each response batches the changes. Its length follows from
+// the size of the last response and from the reader's byte budget for the table, so
+// that changes of a quiet table arrive at once and those of a busy one within MaxPause.
 //
-// With 120 rows that change each 1.2 s and 248 readers the feed of one table was
-// asked 18 times a second by each reader; with a pace of 6,000 bytes a second
-// and a MaxAge of 1.3 s it is asked 0.75 times.
+// With 120 rows that change each 1.2 s and 248 readers, each reader called the feed of
+// one table 18 times a second. With 6,000 bytes a second and a MaxPause of 1.3 s it
+// calls 0.75 times a second.
 type Pace struct {
-	// BytesPerSecond is what answers may cost while that keeps the reader
-	// abreast within MaxAge; 0 is no bound, so that no pause is made.
+	// BytesPerSecond is the budget for responses. MaxPause takes precedence over it. 0 is
+	// no limit: only MinPause applies.
 	BytesPerSecond int
-	// MaxPause bounds the pause, and so the age of what is believed.
+	// MaxPause bounds the pause, and so the staleness of the reader.
 	MaxPause time.Duration
-	// MinPause is the least pause, for readers that need no fresh news.
+	// MinPause is the shortest pause, for readers that tolerate stale data.
 	MinPause time.Duration
-	// Burst is how long the budget of quiet times is kept for a burst. Without it
-	// the second of two jobs that are accepted within milliseconds of each other is
-	// heard of only after the pause that the first one cost.
+	// Burst is the period of unused budget that may be saved for a burst of changes.
+	// Without it, the second of two jobs that are accepted within milliseconds of each
+	// other arrives only after the pause that the first one caused.
 	Burst time.Duration
 }
 
 const (
-	// callBytes is what a call costs beside its rows: headers of both ways.
+	// callBytes is the size of a call without its rows: the headers of request and
+	// response.
 	callBytes = 350
-	// rowBytes is what a row costs beside its key and value: field names, the
-	// version, and the encoding's four bytes for three, counted for short rows.
+	// rowBytes is the size of a row without its key and value: field names, the
+	// version, and the encoding of three bytes as four, as counted for short rows.
 	rowBytes = 100
 )
 
-// pacer is a Pace at work. It is not safe for concurrent use.
+// pacer computes the pauses of a Pace. It is not safe for concurrent use.
 type pacer struct {
 	Pace
-	// saved is the time for which the budget was not used, less the time that
-	// answers since have used up; it is below zero while a pause is owed.
-	saved time.Duration
-	at    time.Time // when saved was reckoned
+	// credit is the unused budget, as the time in which it accrues. It is negative while
+	// a pause is due.
+	credit    time.Duration
+	updatedAt time.Time // when credit was last updated
 }
 
-func newPacer(p Pace) *pacer { return &pacer{Pace: p, saved: p.Burst, at: time.Now()} }
+func newPacer(p Pace) *pacer { return &pacer{Pace: p, credit: p.Burst, updatedAt: time.Now()} }
 
-// pause is how long to wait after an answer that came now.
+// pause returns how long to wait after a response that has just arrived.
 func (p *pacer) pause(s Snapshot) time.Duration {
 	if p.BytesPerSecond <= 0 {
 		return p.MinPause
 	}
 	now := time.Now()
-	p.saved = min(p.Burst, p.saved+now.Sub(p.at))
-	p.at = now
-	p.saved -= time.Duration(float64(s.cost()) / float64(p.BytesPerSecond) * float64(time.Second))
-	p.saved = max(p.saved, -p.MaxPause)
-	return max(p.MinPause, -p.saved)
+	p.credit = min(p.Burst, p.credit+now.Sub(p.updatedAt))
+	p.updatedAt = now
+	p.credit -= time.Duration(float64(s.cost()) / float64(p.BytesPerSecond) * float64(time.Second))
+	p.credit = max(p.credit, -p.MaxPause)
+	return max(p.MinPause, -p.credit)
 }
 
-// cost estimates an answer's bytes.
+// cost estimates the size of a response in bytes.
 func (s Snapshot) cost() int {
 	n := callBytes
 	for _, row := range s.Rows {
--- a/store/pace_test.go
+++ b/store/pace_test.go
@@ -12,9 +12,9 @@
 	"mulberryscale.example/store"
 )
 
-// The load answered: a table in which many writers change their rows all the
-// time, such as the heartbeats of 120 instances each 1.2 s, followed by every
-// process; and one in which a row changes now and then.
+// These tests cover two kinds of tables: one in which many writers change their rows
+// all the time and which every process follows, such as the heartbeats of 120 instances
+// each 1.2 s; and one in which a row changes now and then.
 
 // countingRows counts feed calls.
 type countingRows struct {
@@ -27,27 +27,28 @@
 	return c.Rows.Feed(ctx, table, after, wait)
 }
 
-// applied notes when rows were heard of.
-type applied struct {
+// recorder counts the rows that it receives and records when the last ones arrived.
+type recorder struct {
 	watcher
 	rows atomic.Int64
 	last atomic.Int64 // Unix nanoseconds
 }
 
-func (a *applied) Apply(s store.Snapshot) {
+func (a *recorder) Apply(s store.Snapshot) {
 	if len(s.Rows) > 0 {
 		a.rows.Add(int64(len(s.Rows)))
 		a.last.Store(time.Now().UnixNano())
 	}
 }
 
-// TestCallsOfAFeedDoNotGrowWithItsWriters lets 30, 100 and 300 writers beat.
+// TestCallsOfAFeedDoNotGrowWithItsWriters runs 30, 100 and 300 writers that write
+// heartbeats, and compares the rates of the feed's calls.
 func TestCallsOfAFeedDoNotGrowWithItsWriters(t *testing.T) {
-	calls := func(writers int) (perSecond float64, heard int64) {
+	calls := func(writers int) (perSecond float64, applied int64) {
 		synctest.Test(t, func(t *testing.T) {
 			const seconds = 20
 			s := rowstore.New()
-			rows, w := &countingRows{Rows: s}, &applied{}
+			rows, w := &countingRows{Rows: s}, &recorder{}
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			go store.Follow(ctx, rows, store.Source{Table: "beats", Pace: store.Pace{BytesPerSecond: 6000, MaxPause: 1300 * time.Millisecond}}, w)
@@ -61,95 +62,96 @@
 				}()
 			}
 			time.Sleep(seconds * time.Second)
-			perSecond, heard = float64(rows.feeds.Load())/seconds, w.rows.Load()
+			perSecond, applied = float64(rows.feeds.Load())/seconds, w.rows.Load()
 			cancel()
 			time.Sleep(2 * time.Second)
 		})
-		return perSecond, heard
+		return perSecond, applied
 	}
 	few, _ := calls(30)
 	for _, n := range []int{100, 300} {
-		many, heard := calls(n)
+		many, applied := calls(n)
 		if many > 1.3*few {
 			t.Errorf("%d writers: %.1f calls a second, 30 writers: %.1f", n, many, few)
 		}
-		if want := int64(n * 14); heard < want {
-			t.Errorf("%d writers: heard %d changes, want %d at least", n, heard, want)
+		if want := int64(n * 14); applied < want {
+			t.Errorf("%d writers: %d changes received, want at least %d", n, applied, want)
 		}
 	}
 }
 
-// TestQuietTableIsHeardAtOnce changes a row after some silence.
+// TestQuietTableIsHeardAtOnce changes a row of a table that has been idle: the change
+// must arrive without a pause.
 func TestQuietTableIsHeardAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := rowstore.New(), &applied{}
+		s, w := rowstore.New(), &recorder{}
 		go store.Follow(t.Context(), s, store.Source{Table: "t", Pace: store.Pace{BytesPerSecond: 2500, MaxPause: time.Second}}, w)
 		time.Sleep(5500 * time.Millisecond)
-		wrote := time.Now()
+		writtenAt := time.Now()
 		s.Put(store.Row{Key: store.Key{Table: "t", Name: "a"}, Value: []byte("v")})
 		time.Sleep(500 * time.Millisecond)
-		if heard := time.Unix(0, w.last.Load()); heard.Sub(wrote) > 150*time.Millisecond {
-			t.Errorf("heard after %s", heard.Sub(wrote))
+		if appliedAt := time.Unix(0, w.last.Load()); appliedAt.Sub(writtenAt) > 150*time.Millisecond {
+			t.Errorf("change received after %s", appliedAt.Sub(writtenAt))
 		}
 	})
 }
 
-// TestLossIsToldBeforeTheRowsThatFollowIt cuts the path: a watcher must know of
-// the loss when it gets what the first answer after it says.
+// TestLossIsToldBeforeTheRowsThatFollowIt interrupts the connection to the store: a
+// watcher must be told of the outage before it receives the first rows after it.
 func TestLossIsToldBeforeTheRowsThatFollowIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
-		way, w := s.Client(), &ordered{}
-		go store.Follow(t.Context(), way, store.Source{Table: "t"}, w)
+		client, w := s.Client(), &callRecorder{}
+		go store.Follow(t.Context(), client, store.Source{Table: "t"}, w)
 		time.Sleep(2 * time.Second)
-		way.Cut(store.ErrRefused)
+		client.Cut(store.ErrRefused)
 		s.Put(store.Row{Key: store.Key{Table: "t", Name: "a"}, Value: []byte("v")})
 		time.Sleep(4 * time.Second)
-		way.Cut(nil)
+		client.Cut(nil)
 		time.Sleep(2 * time.Second)
 		if got := fmt.Sprint(w.calls.Load()); got != "[lost regained rows]" {
-			t.Errorf("told %s", got)
+			t.Errorf("calls of the watcher: %s", got)
 		}
 	})
 }
 
-// ordered notes the order of what it is told, but for empty answers.
-type ordered struct{ calls atomic.Value }
+// callRecorder records the order of its calls, without those that pass no rows.
+type callRecorder struct{ calls atomic.Value }
 
-func (o *ordered) note(call string) {
+func (o *callRecorder) note(call string) {
 	calls, _ := o.calls.Load().([]string)
 	o.calls.Store(append(calls, call))
 }
 
-func (o *ordered) Replace(store.Snapshot) {}
-func (o *ordered) Lost(error)             { o.note("lost") }
-func (o *ordered) Regained(time.Duration) { o.note("regained") }
-func (o *ordered) Apply(s store.Snapshot) {
+func (o *callRecorder) Replace(store.Snapshot) {}
+func (o *callRecorder) Lost(error)             { o.note("lost") }
+func (o *callRecorder) Regained(time.Duration) { o.note("regained") }
+func (o *callRecorder) Apply(s store.Snapshot) {
 	if len(s.Rows) > 0 {
 		o.note("rows")
 	}
 }
 
-// TestJobsThatComeTogetherAreHeardTogether has the load of three trainers: each 4 s
-// three rows of 2 kB come within 60 ms, and three small ones some seconds later.
-// With savings each is heard of as it comes, and as many bytes are spent.
-func TestJobsThatComeTogetherAreHeardTogether(t *testing.T) {
-	delays := func(savings time.Duration) (longest time.Duration, feeds int64) {
+// TestBurstOfJobsArrivesWithoutDelay has the load of three trainers: each 4 s, three
+// rows of 2 kB are written within 60 ms, and three small ones some seconds later. With
+// a Burst each row arrives as it is written, and as many bytes are read.
+func TestBurstOfJobsArrivesWithoutDelay(t *testing.T) {
+	delays := func(burst time.Duration) (longest time.Duration, feeds int64) {
 		synctest.Test(t, func(t *testing.T) {
 			s := rowstore.New()
-			rows, w := &countingRows{Rows: s}, &applied{}
-			pace := store.Pace{BytesPerSecond: 2500, MaxPause: 300 * time.Millisecond, Burst: savings}
+			rows, w := &countingRows{Rows: s}, &recorder{}
+			pace := store.Pace{BytesPerSecond: 2500, MaxPause: 300 * time.Millisecond, Burst: burst}
 			go store.Follow(t.Context(), rows, store.Source{Table: "jobs", Pace: pace}, w)
 			time.Sleep(time.Second)
 			write := func(name string, bytes int) {
-				wrote, heard := time.Now(), w.rows.Load()
+				writtenAt, before := time.Now(), w.rows.Load()
 				s.Put(store.Row{Key: store.Key{Table: "jobs", Name: name}, Value: make([]byte, bytes)})
 				time.Sleep(30 * time.Millisecond)
-				for w.rows.Load() == heard {
+				for w.rows.Load() == before {
 					time.Sleep(time.Millisecond)
 				}
 				if bytes > 100 {
-					longest = max(longest, time.Since(wrote))
+					longest = max(longest, time.Since(writtenAt))
 				}
 			}
 			for step := range 8 {
@@ -169,9 +171,9 @@
 	without, feedsWithout := delays(0)
 	with, feedsWith := delays(3 * time.Second)
 	if without < 200*time.Millisecond || with > 40*time.Millisecond {
-		t.Errorf("heard after %s at most without savings, %s with", without, with)
+		t.Errorf("longest delay %s without Burst, %s with it", without, with)
 	}
 	if feedsWith > 2*feedsWithout {
-		t.Errorf("%d calls with savings, %d without", feedsWith, feedsWithout)
+		t.Errorf("%d calls with Burst, %d without", feedsWith, feedsWithout)
 	}
 }
--- a/store/pacer_test.go
+++ b/store/pacer_test.go
@@ -13,20 +13,21 @@
 		t.Errorf("after one row: %s", got)
 	}
 	if got := newPacer(p).pause(big); got != time.Second {
-		t.Errorf("after 500 rows: %s, want the largest age", got)
+		t.Errorf("after 500 rows: %s, want MaxPause", got)
 	}
 	if got := newPacer(Pace{}).pause(big); got != 0 {
 		t.Errorf("without a budget: %s", got)
 	}
 	if got := newPacer(Pace{MinPause: 2 * time.Second, MaxPause: 2 * time.Second, BytesPerSecond: 1}).pause(small); got != 2*time.Second {
-		t.Errorf("with a least age: %s", got)
+		t.Errorf("with MinPause: %s", got)
 	}
 }
 
-// TestSavingsAreBounded: what was saved is spent once, and then pauses are made.
-func TestSavingsAreBounded(t *testing.T) {
+// TestBurstIsBounded: after a long idle period only Burst's worth of budget is available,
+// and then pauses start.
+func TestBurstIsBounded(t *testing.T) {
 	p := newPacer(Pace{BytesPerSecond: 1000, MaxPause: time.Second, Burst: 2 * time.Second})
-	p.at = p.at.Add(-time.Hour)
+	p.updatedAt = p.updatedAt.Add(-time.Hour)
 	rows := Snapshot{Rows: []Row{{Value: make([]byte, 450)}}} // about a second's budget
 	pauses := 0
 	for range 6 {
@@ -35,6 +36,6 @@
 		}
 	}
 	if pauses < 4 || pauses > 5 {
-		t.Errorf("%d pauses after six answers, two of which were saved for", pauses)
+		t.Errorf("%d pauses after six responses, want 4 or 5: the credit covers two", pauses)
 	}
 }
--- a/store/store.go
+++ b/store/store.go
@@ -1,7 +1,7 @@
-// Package store is the seam to the service in which everything that must last
-// is kept: versioned rows with conditional transactions, a feed of changes and
-// immutable objects. It holds no client; package platform/metastore has the one
-// for the users' platform and internal/standin/metastore the one for tests.
+// Package store defines the interface to the service that holds all durable
+// state: versioned rows with conditional transactions, a change feed and
+// immutable objects. It contains no client: package platform/metastore has the one
+// for the users' platform, and internal/standin/metastore has the one for tests.
 package store
 
 import (
@@ -10,104 +10,107 @@
 	"time"
 )
 
-// Outcomes of a call that was not carried out as asked.
+// Errors of calls to the store.
 var (
-	// ErrConflict says that a condition did not hold and nothing was written.
+	// ErrConflict means that a condition did not hold and nothing was written.
 	ErrConflict = errors.New("store: condition failed")
-	// ErrRefused says that the store turned the call away and nothing was done.
+	// ErrRefused means that the store rejected the call without executing it.
 	ErrRefused = errors.New("store: refused, nothing done")
-	// ErrUnknown says that a write got no answer: it may have been done, or may
-	// still be done later if its conditions hold then.
+	// ErrUnknown means that a write got no response: it may have been applied, or may
+	// still be applied later if its conditions hold then.
 	ErrUnknown = errors.New("store: no answer, outcome unknown")
-	// ErrHistoryGone says that the feed no longer reaches back to the version asked for.
+	// ErrHistoryGone means that the feed no longer goes back to the requested version.
 	ErrHistoryGone = errors.New("store: history gone")
-	// ErrNotFound says that there is no such object.
+	// ErrNotFound means that the object does not exist.
 	ErrNotFound = errors.New("store: not found")
-	// ErrInvalid says that the store rejects the call as it stands; repeating it is useless.
+	// ErrInvalid means that the call itself is invalid; a retry cannot succeed.
 	ErrInvalid = errors.New("store: invalid call")
 )
 
-// Key names a row. Each of the three texts has at most 200 bytes.
+// Key identifies a row. Each of its three fields has at most 200 bytes.
 type Key struct {
 	Table string
-	// Part is the unit of ordering and of the write rate within a table; it may be empty.
+	// Part is the partition: the unit of ordering and of the write rate limit within a
+	// table. It may be empty.
 	Part string
 	Name string
 }
 
-// Row is one row. Version grows over all rows of the store, and all rows of one
-// transaction share it.
+// Row is one versioned row. Versions increase across all rows of the store, and all
+// rows that one transaction writes have the same version.
 type Row struct {
 	Key
 	Value   []byte
 	Version uint64
-	// Deleted marks a row in a feed that was removed.
+	// Deleted marks a row of a feed as deleted.
 	Deleted bool
 }
 
-// Snapshot is the answer to a read: rows as of one moment.
+// Snapshot is the response to a read: rows as of one point in time.
 type Snapshot struct {
 	Rows []Row
-	// Version is the newest version at that moment.
+	// Version is the newest version of the store at that time.
 	Version uint64
-	// Now is the store's steady clock at that moment.
+	// Now is the store's monotonic clock at that time.
 	Now time.Duration
-	// More says that the range holds more rows than were returned.
+	// More is set if the range holds more rows than were returned.
 	More bool
-	// Asked is when the call began, by this process's clocks. Follow sets it.
+	// Asked is when the call started, by this process's clock. Follow sets it.
 	Asked time.Time
 }
 
-// Condition wants a row to have a version; 0 wants it to be absent.
+// Condition requires a row to have a version; version 0 requires it to be absent.
 type Condition struct {
 	Key
 	Version uint64
 }
 
-// Tx is an atomic write: all of it or nothing. All keys share one part.
+// Tx is an atomic transaction. All of its keys are of one part.
 type Tx struct {
 	If     []Condition
 	Put    []Row // Version and Deleted are not used
 	Delete []Key
 }
 
-// Range selects rows of a part by name; empty bounds are open, To is excluded.
+// Range selects rows of a part by name, from From up to but not including To. An empty
+// bound is open.
 type Range struct {
 	Table, Part string
 	From, To    string
 }
 
-// Rows are the versioned rows.
+// Rows reads and writes versioned rows.
 type Rows interface {
-	// Commit applies tx and returns its version. An error is, or wraps, one of
+	// Commit applies tx and returns its version. Its error is or wraps one of
 	// ErrConflict, ErrRefused, ErrUnknown and ErrInvalid.
 	Commit(ctx context.Context, tx Tx) (Snapshot, error)
-	// List reads rows in ascending order of their names.
+	// List reads a page of rows, in ascending order of their names.
 	List(ctx context.Context, r Range) (Snapshot, error)
-	// Feed waits up to wait for rows of a table that changed after a version,
-	// and returns them in order of their versions. Continue from Snapshot.Version.
+	// Feed is a long poll: it waits up to wait for rows of a table that changed after a
+	// version and returns them in order of their versions. The next call continues from
+	// Snapshot.Version.
 	Feed(ctx context.Context, table string, after uint64, wait time.Duration) (Snapshot, error)
 }
 
-// Objects are immutable objects.
+// Objects reads and writes immutable objects.
 type Objects interface {
-	// PutObject stores an object unless one of that name exists (ErrConflict).
+	// PutObject stores an object. It returns ErrConflict if the name is taken.
 	PutObject(ctx context.Context, name string, body []byte) error
-	// GetObject reads a whole object, or ErrNotFound.
+	// GetObject reads a whole object. It returns ErrNotFound if there is none.
 	GetObject(ctx context.Context, name string) ([]byte, error)
-	// DeleteObject removes an object; removing an absent one is no error.
+	// DeleteObject removes an object. It is no error if the object does not exist.
 	DeleteObject(ctx context.Context, name string) error
 }
 
-// Store is all of it.
+// Store combines rows and objects.
 type Store interface {
 	Rows
 	Objects
 }
 
-// ListAll reads a whole range, page by page. The rows of its pages may be of
-// different moments: Version is that of the first page, so that a feed that
-// continues from it misses nothing.
+// ListAll reads a whole range, page by page. Its pages may be of different points in
+// time: Version is that of the first page, so that a feed which continues from it
+// misses no change.
 func ListAll(ctx context.Context, rows Rows, r Range) (Snapshot, error) {
 	all, err := rows.List(ctx, r)
 	if err != nil {
