--- a/store/relay/path.go
+++ b/store/relay/path.go
@@ -6,77 +6,79 @@
 )
 
 const (
-	// silentAfter is how long the own path may give no answer before a call goes
-	// through another process as well: a hundred times an answer's usual time, and
-	// half of the slowest seen while the store itself was slowed down sixty times.
-	silentAfter = 400 * time.Millisecond
-	// otherAnswer bounds a call that another process makes, beside the time for
-	// which a feed may be held. It is short, since a process that is cut off from the
-	// store is often cut off from the others too: its calls then fail no later than by
-	// its own path alone, so that it is back as soon as the cut heals.
-	otherAnswer = 600 * time.Millisecond
-	// probeAfter is how long calls go through another process at once before one
-	// tries the own path again first.
-	probeAfter = time.Second
-	// restAfter is how long no other process is asked after several could not
-	// reach the store either: it is the store that is away, and as many calls again
-	// would not bring it back. It doubles up to maxRest while that goes on.
-	restAfter = time.Second
-	maxRest   = 4 * time.Second
+	// hedgeDelay is how long the first path may not respond before the call is hedged
+	// on the other path. It is a hundred times the usual response time, and half of the
+	// slowest response that was seen while the store was sixty times as slow as usual.
+	hedgeDelay = 400 * time.Millisecond
+	// relayTimeout bounds a call through a peer, in addition to the time for which a feed
+	// may be held. It is short because a network partition often separates a process from
+	// the store and from its peers: its calls then fail no later than on the direct path
+	// alone, so that it recovers as soon as the partition heals.
+	relayTimeout = 600 * time.Millisecond
+	// probeInterval is how long calls are relayed first before a call tries the direct
+	// path first again.
+	probeInterval = time.Second
+	// minRelayBackoff is how long calls are not relayed after several peers could not
+	// reach the store either: the store itself is down then, and as many calls again
+	// would not help. It doubles up to maxRelayBackoff while relayed calls keep failing.
+	minRelayBackoff = time.Second
+	maxRelayBackoff = 4 * time.Second
 )
 
-// path is what is believed of the ways to the store. It is safe for concurrent use.
+// path tracks which paths to the store work. It is safe for concurrent use.
 type path struct {
 	mu sync.Mutex
-	// around is until when the own path counts as lost, resting until when no
-	// other process is asked.
-	around, resting time.Time
-	// rest is how long the last rest was.
-	rest time.Duration
-	// detouring says that the last answer came through another process.
-	detouring bool
+	// directLostUntil is until when the direct path counts as lost, backoffUntil is until
+	// when calls are not relayed.
+	directLostUntil, backoffUntil time.Time
+	// backoff is the length of the last backoff.
+	backoff time.Duration
+	// relaying is set if the last response came through a peer.
+	relaying bool
 }
 
-// lost reports whether the own path counts as lost, so that others are asked first.
-func (p *path) lost(now time.Time) bool {
+// directLost reports whether the direct path counts as lost, so that calls are relayed
+// first.
+func (p *path) directLost(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Before(p.around)
+	return now.Before(p.directLostUntil)
 }
 
-// mayAsk reports whether another process may be asked.
-func (p *path) mayAsk(now time.Time) bool {
+// mayRelay reports whether calls may be relayed: false during a backoff.
+func (p *path) mayRelay(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !now.Before(p.resting)
+	return !now.Before(p.backoffUntil)
 }
 
-// ownAnswered notes that the own path works, and reports whether that is news.
-func (p *path) ownAnswered() bool {
+// directSucceeded records a response on the direct path. It reports whether that is a
+// switch from relayed calls.
+func (p *path) directSucceeded() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	was := p.detouring
-	p.around, p.resting, p.rest, p.detouring = time.Time{}, time.Time{}, 0, false
+	was := p.relaying
+	p.directLostUntil, p.backoffUntil, p.backoff, p.relaying = time.Time{}, time.Time{}, 0, false
 	return was
 }
 
-// otherAnswered notes that a call got through by another process after the own
-// path had failed, and reports whether that is news.
-func (p *path) otherAnswered(now time.Time) bool {
+// relaySucceeded records a response through a peer after the direct path had failed. It
+// reports whether that is a switch to relayed calls.
+func (p *path) relaySucceeded(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	was := p.detouring
-	p.rest, p.detouring = 0, true
-	if !now.Before(p.around) {
-		p.around = now.Add(probeAfter)
+	was := p.relaying
+	p.backoff, p.relaying = 0, true
+	if !now.Before(p.directLostUntil) {
+		p.directLostUntil = now.Add(probeInterval)
 	}
 	return !was
 }
 
-// othersFailed notes that no other process got through.
-func (p *path) othersFailed(now time.Time) {
+// relayFailed records that no peer reached the store, and starts or extends the backoff.
+func (p *path) relayFailed(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.rest = min(max(restAfter, 2*p.rest), maxRest)
-	p.around, p.resting = time.Time{}, now.Add(p.rest)
+	p.backoff = min(max(minRelayBackoff, 2*p.backoff), maxRelayBackoff)
+	p.directLostUntil, p.backoffUntil = time.Time{}, now.Add(p.backoff)
 }
--- a/store/relay/relay.go
+++ b/store/relay/relay.go
@@ -1,16 +1,16 @@
-// Package relay lets a process that has lost its path to the store go on
-// through other processes that still have one.
+// Package relay provides a store client that fails over to other processes: while a
+// process cannot reach the store itself, peers that can make its calls.
 //
-// The pattern: the store turns a third of the processes away for seconds, or is
-// silent to them, and serves all others. An entry among them could accept no job,
-// end none and show no result; a client that met two such entries in a row lost a
-// whole training step. On a day on which 47 of 248 processes were turned away for
-// 9 s, two of 78 steps were lost so. What a process can't bring to the store itself
-// is as good in another's hands: every write of ours has conditions that hold
-// once, or writes the same rows again, so it may be made twice.
+// It is for partial outages in which the store refuses a third of the processes for
+// seconds, or does not respond to them, and serves all others. An affected entry could
+// neither accept nor complete a job nor return results, and a client that got two
+// affected entries in a row lost a whole training step: when 47 of 248 processes were
+// refused for 9 s, 2 of 78 steps were lost this way. A peer may make any call, also a
+// second time, because all writes are idempotent: their conditions hold only once, or
+// they write the same rows again.
 //
-// A store that is away for all is told apart by the others' answers: then nobody
-// is asked for a while.
+// An outage of the store for all processes shows in failures of the peers too. Calls
+// are then not relayed for a backoff period.
 package relay
 
 import (
@@ -22,79 +22,80 @@
 	"mulberryscale.example/store"
 )
 
-// Peers are the processes that may be asked.
+// Peers selects the processes through which calls may be relayed.
 type Peers interface {
-	// Candidates returns the store as some other processes reach it, in the order in
-	// which to ask them; there may be none.
+	// Candidates returns stores that make calls through peers, in the order in which
+	// to try them; there may be none.
 	Candidates() []store.Store
 }
 
-// Store is a store.Store that relays calls when its own path fails. It is safe for concurrent use.
+// Store is a store.Store that relays calls through peers while its direct path fails.
+// It is safe for concurrent use.
 type Store struct {
-	// Direct is the process's own path.
+	// Direct reaches the store from this process.
 	Direct store.Store
 	Peers  Peers
-	// OnRelayed, if set, is told of each call that got through by another process, and
-	// Changed when such calls begin and end.
+	// OnRelayed, if set, is called for each call that succeeded through a peer. OnSwitch,
+	// if set, is called when the store switches to relayed calls and back to direct ones.
 	OnRelayed func()
-	OnSwitch  func(detouring bool)
+	OnSwitch  func(relaying bool)
 
 	path path
 }
 
 // Commit implements store.Rows.
 func (s *Store) Commit(ctx context.Context, tx store.Tx) (store.Snapshot, error) {
-	return call(ctx, s, 0, func(ctx context.Context, by store.Store, _ time.Duration) (store.Snapshot, error) {
-		return by.Commit(ctx, tx)
+	return call(ctx, s, 0, func(ctx context.Context, via store.Store, _ time.Duration) (store.Snapshot, error) {
+		return via.Commit(ctx, tx)
 	})
 }
 
 // List implements store.Rows.
 func (s *Store) List(ctx context.Context, r store.Range) (store.Snapshot, error) {
-	return call(ctx, s, 0, func(ctx context.Context, by store.Store, _ time.Duration) (store.Snapshot, error) {
-		return by.List(ctx, r)
+	return call(ctx, s, 0, func(ctx context.Context, via store.Store, _ time.Duration) (store.Snapshot, error) {
+		return via.List(ctx, r)
 	})
 }
 
 // Feed implements store.Rows.
 func (s *Store) Feed(ctx context.Context, table string, after uint64, wait time.Duration) (store.Snapshot, error) {
-	return call(ctx, s, wait, func(ctx context.Context, by store.Store, wait time.Duration) (store.Snapshot, error) {
-		return by.Feed(ctx, table, after, wait)
+	return call(ctx, s, wait, func(ctx context.Context, via store.Store, wait time.Duration) (store.Snapshot, error) {
+		return via.Feed(ctx, table, after, wait)
 	})
 }
 
 // PutObject implements store.Objects.
 func (s *Store) PutObject(ctx context.Context, name string, body []byte) error {
-	_, err := call(ctx, s, 0, func(ctx context.Context, by store.Store, _ time.Duration) (struct{}, error) {
-		return struct{}{}, by.PutObject(ctx, name, body)
+	_, err := call(ctx, s, 0, func(ctx context.Context, via store.Store, _ time.Duration) (struct{}, error) {
+		return struct{}{}, via.PutObject(ctx, name, body)
 	})
 	return err
 }
 
 // GetObject implements store.Objects.
 func (s *Store) GetObject(ctx context.Context, name string) ([]byte, error) {
-	return call(ctx, s, 0, func(ctx context.Context, by store.Store, _ time.Duration) ([]byte, error) {
-		return by.GetObject(ctx, name)
+	return call(ctx, s, 0, func(ctx context.Context, via store.Store, _ time.Duration) ([]byte, error) {
+		return via.GetObject(ctx, name)
 	})
 }
 
 // DeleteObject implements store.Objects.
 func (s *Store) DeleteObject(ctx context.Context, name string) error {
-	_, err := call(ctx, s, 0, func(ctx context.Context, by store.Store, _ time.Duration) (struct{}, error) {
-		return struct{}{}, by.DeleteObject(ctx, name)
+	_, err := call(ctx, s, 0, func(ctx context.Context, via store.Store, _ time.Duration) (struct{}, error) {
+		return struct{}{}, via.DeleteObject(ctx, name)
 	})
 	return err
 }
 
-// result is what came of a call by one way.
+// result is the result of a call on one path.
 type result[T any] struct {
-	value T
-	err   error
-	own   bool
+	value  T
+	err    error
+	direct bool
 }
 
-// answered reports whether the store itself has answered.
-func answered(err error) bool {
+// storeResponded reports whether err is an outcome that the store itself returned.
+func storeResponded(err error) bool {
 	for _, outcome := range []error{store.ErrConflict, store.ErrHistoryGone, store.ErrNotFound, store.ErrInvalid} {
 		if errors.Is(err, outcome) {
 			return true
@@ -103,78 +104,78 @@
 	return err == nil
 }
 
-// ask makes a call by a way to the store, which may hold it for a time.
-type ask[T any] func(ctx context.Context, by store.Store, wait time.Duration) (T, error)
+// operation makes a call through via, a path to the store. The store may hold it for wait.
+type operation[T any] func(ctx context.Context, via store.Store, wait time.Duration) (T, error)
 
-// call makes a call by the way that is believed to work, and by the other one
-// too once that fails or is silent. The store may hold the call for wait; one that
-// another process makes because the own path has been silent is not held again.
-func call[T any](ctx context.Context, s *Store, wait time.Duration, do ask[T]) (T, error) {
+// call makes a call on the direct path, or through peers while that path counts as lost,
+// and on the other path too if the first fails or does not respond (a hedged call). The store may hold the call for wait;
+// the hedge is not held, since wait has passed by then.
+func call[T any](ctx context.Context, s *Store, wait time.Duration, do operation[T]) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan result[T], 2)
-	tried := map[bool]bool{} // by whether it is the own way
-	begin := func(own bool, wait time.Duration) {
-		tried[own] = true
+	tried := map[bool]bool{} // by whether the path is direct
+	start := func(direct bool, wait time.Duration) {
+		tried[direct] = true
 		go func() {
-			r := result[T]{own: own}
-			if own {
+			r := result[T]{direct: direct}
+			if direct {
 				r.value, r.err = do(ctx, s.Direct, wait)
 			} else {
-				r.value, r.err = through(ctx, s, wait, do)
+				r.value, r.err = relayCall(ctx, s, wait, do)
 			}
 			results <- r
 		}()
 	}
-	began := time.Now()
-	ownFirst := !s.path.lost(began)
-	begin(ownFirst, wait)
-	silent := time.NewTimer(wait + silentAfter)
-	defer silent.Stop()
-	var failed []error
+	startedAt := time.Now()
+	directFirst := !s.path.directLost(startedAt)
+	start(directFirst, wait)
+	hedge := time.NewTimer(wait + hedgeDelay)
+	defer hedge.Stop()
+	var errs []error
 	for {
 		select {
-		case <-silent.C:
-			if !tried[!ownFirst] && s.path.mayAsk(time.Now()) {
-				begin(!ownFirst, 0)
+		case <-hedge.C:
+			if !tried[!directFirst] && s.path.mayRelay(time.Now()) {
+				start(!directFirst, 0)
 			}
 			continue
 		case r := <-results:
-			if answered(r.err) {
-				s.note(r.own, ctx.Err() == nil)
+			if storeResponded(r.err) {
+				s.recordSuccess(r.direct, ctx.Err() == nil)
 				return r.value, r.err
 			}
-			failed = append(failed, r.err)
+			errs = append(errs, r.err)
 		}
-		if len(failed) < len(tried) {
+		if len(errs) < len(tried) {
 			continue
 		}
-		if tried[!ownFirst] || ctx.Err() != nil || !s.secondWay(ownFirst, time.Since(began) < wait+silentAfter) {
+		if tried[!directFirst] || ctx.Err() != nil || !s.tryOtherPath(directFirst, time.Since(startedAt) < wait+hedgeDelay) {
 			var none T
-			return none, joined(failed)
+			return none, combineErrors(errs)
 		}
-		begin(!ownFirst, wait)
+		start(!directFirst, wait)
 	}
 }
 
-// secondWay reports whether the other way is to be tried once the first has
-// failed. The own one always is; others are only after a failure that came early,
-// since after a long silence the caller has waited enough.
-func (s *Store) secondWay(ownFirst, early bool) bool {
-	return !ownFirst || (early && s.path.mayAsk(time.Now()))
+// tryOtherPath reports whether to try the other path after the first one has failed.
+// The direct path is always tried. Peers are tried only after an early failure: after a
+// late one the caller has waited long enough.
+func (s *Store) tryOtherPath(directFirst, early bool) bool {
+	return !directFirst || (early && s.path.mayRelay(time.Now()))
 }
 
-// note remembers which way has worked; known says that the caller still
-// wanted the answer.
-func (s *Store) note(own, known bool) {
+// recordSuccess records which path has worked. wanted is false if the caller had already
+// cancelled the call.
+func (s *Store) recordSuccess(direct, wanted bool) {
 	switch {
-	case own:
-		if s.path.ownAnswered() {
-			s.changed(false)
+	case direct:
+		if s.path.directSucceeded() {
+			s.notifySwitch(false)
 		}
-	case known:
-		if s.path.otherAnswered(time.Now()) {
-			s.changed(true)
+	case wanted:
+		if s.path.relaySucceeded(time.Now()) {
+			s.notifySwitch(true)
 		}
 		if s.OnRelayed != nil {
 			s.OnRelayed()
@@ -182,24 +183,24 @@
 	}
 }
 
-func (s *Store) changed(detouring bool) {
+func (s *Store) notifySwitch(relaying bool) {
 	if s.OnSwitch != nil {
-		s.OnSwitch(detouring)
+		s.OnSwitch(relaying)
 	}
 }
 
-// errNoOther says that there is nobody to ask.
-var errNoOther = fmt.Errorf("%w: no other process is known", store.ErrRefused)
+// errNoPeer means that Candidates returned no peer.
+var errNoPeer = fmt.Errorf("%w: no other process is known", store.ErrRefused)
 
-// through makes a call through other processes, one after the other while they
-// say that nothing was done.
-func through[T any](ctx context.Context, s *Store, wait time.Duration, do ask[T]) (T, error) {
+// relayCall makes a call through the candidate peers, one after the other. It goes on to
+// the next peer only while the result is ErrRefused, so that nothing was done.
+func relayCall[T any](ctx context.Context, s *Store, wait time.Duration, do operation[T]) (T, error) {
 	var none T
-	err := error(errNoOther)
-	for _, other := range s.Peers.Candidates() {
+	err := error(errNoPeer)
+	for _, peer := range s.Peers.Candidates() {
 		var value T
-		value, err = bounded(ctx, wait, func(ctx context.Context) (T, error) { return do(ctx, other, wait) })
-		if answered(err) {
+		value, err = withTimeout(ctx, wait, func(ctx context.Context) (T, error) { return do(ctx, peer, wait) })
+		if storeResponded(err) {
 			return value, err
 		}
 		if ctx.Err() != nil || !errors.Is(err, store.ErrRefused) {
@@ -207,28 +208,28 @@
 		}
 	}
 	if ctx.Err() == nil {
-		s.path.othersFailed(time.Now())
+		s.path.relayFailed(time.Now())
 	}
 	return none, err
 }
 
-// bounded makes a call that may be held for wait.
-func bounded[T any](ctx context.Context, wait time.Duration, do func(context.Context) (T, error)) (T, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+otherAnswer)
+// withTimeout makes a call with a deadline of relayTimeout after wait.
+func withTimeout[T any](ctx context.Context, wait time.Duration, do func(context.Context) (T, error)) (T, error) {
+	ctx, cancel := context.WithTimeout(ctx, wait+relayTimeout)
 	defer cancel()
 	return do(ctx)
 }
 
-// joined is the outcome of a call that failed by all ways: nothing was done only
-// if each of them says so.
-func joined(failed []error) error {
-	for _, err := range failed {
+// combineErrors returns the error of a call that failed on all paths. It is ErrRefused
+// only if all paths refused the call.
+func combineErrors(errs []error) error {
+	for _, err := range errs {
 		if !errors.Is(err, store.ErrRefused) {
 			return err
 		}
 	}
-	if len(failed) > 1 {
-		return fmt.Errorf("%w; the other way: %w", failed[0], failed[1])
+	if len(errs) > 1 {
+		return fmt.Errorf("%w; the other way: %w", errs[0], errs[1])
 	}
-	return failed[0]
+	return errs[0]
 }
--- a/store/relay/relay_test.go
+++ b/store/relay/relay_test.go
@@ -15,43 +15,43 @@
 	"mulberryscale.example/transport/codec"
 )
 
-// The load answered: the store turns a third of the processes away, or is silent
-// to them, for seconds, and serves the others; or it is away for all.
+// These tests cover partial outages, in which the store refuses a third of the processes
+// for seconds or does not respond to them, and outages for all processes.
 
-// rig is a process with its own path and three others with theirs.
-type rig struct {
-	store  *rowstore.Store
-	own    *rowstore.Client
-	others []*rowstore.Client
-	asked  atomic.Int64 // calls of the others
-	reach  *relay.Store
+// fixture has a process and three peers, each with a direct path to the store.
+type fixture struct {
+	store     *rowstore.Store
+	direct    *rowstore.Client
+	peers     []*rowstore.Client
+	peerCalls atomic.Int64 // calls through peers
+	relayed   *relay.Store
 }
 
-func newRig() *rig {
-	r := &rig{store: rowstore.New()}
-	r.own = r.store.Client()
+func newFixture() *fixture {
+	r := &fixture{store: rowstore.New()}
+	r.direct = r.store.Client()
 	for range 3 {
-		r.others = append(r.others, r.store.Client())
+		r.peers = append(r.peers, r.store.Client())
 	}
-	r.reach = &relay.Store{Direct: r.own, Peers: r}
+	r.relayed = &relay.Store{Direct: r.direct, Peers: r}
 	return r
 }
 
-// Candidates implements relay.Peers; calls go through the wire's encoding.
-func (r *rig) Candidates() []store.Store {
-	var drawn []store.Store
-	for _, o := range r.others {
-		drawn = append(drawn, relay.Remote{Call: func(ctx context.Context, c *relay.Call) (*relay.Reply, error) {
-			r.asked.Add(1)
+// Candidates implements relay.Peers. Calls and replies are encoded and decoded.
+func (r *fixture) Candidates() []store.Store {
+	var candidates []store.Store
+	for _, peer := range r.peers {
+		candidates = append(candidates, relay.Remote{Call: func(ctx context.Context, c *relay.Call) (*relay.Reply, error) {
+			r.peerCalls.Add(1)
 			sent, got := recode(c), &relay.Reply{}
-			data, err := codec.Marshal(relay.Serve(ctx, o, sent))
+			data, err := codec.Marshal(relay.Serve(ctx, peer, sent))
 			if err != nil {
 				return nil, err
 			}
 			return got, codec.Unmarshal(data, got)
 		}})
 	}
-	return drawn
+	return candidates
 }
 
 func recode(c *relay.Call) *relay.Call {
@@ -76,44 +76,44 @@
 
 var errBusy = fmt.Errorf("%w: busy", store.ErrRefused)
 
-// silence is a path on which calls get no answer until their time is up.
-type silence struct{ store.Store }
+// silentStore is a store whose commits get no response before their deadline.
+type silentStore struct{ store.Store }
 
-func (silence) Commit(ctx context.Context, _ store.Tx) (store.Snapshot, error) {
+func (silentStore) Commit(ctx context.Context, _ store.Tx) (store.Snapshot, error) {
 	<-ctx.Done()
 	return store.Snapshot{}, fmt.Errorf("%w: silent", store.ErrUnknown)
 }
 
 func TestCallsGoOnThroughOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig()
-		r.own.Cut(errBusy)
-		r.others[0].Cut(errBusy) // is turned away too
-		began := time.Now()
-		if _, err := r.reach.Commit(t.Context(), put("a")); err != nil {
+		r := newFixture()
+		r.direct.Cut(errBusy)
+		r.peers[0].Cut(errBusy) // is refused too
+		start := time.Now()
+		if _, err := r.relayed.Commit(t.Context(), put("a")); err != nil {
 			t.Fatalf("commit: %v", err)
 		}
-		s, err := r.reach.List(t.Context(), store.Range{Table: "t", Part: "p"})
+		s, err := r.relayed.List(t.Context(), store.Range{Table: "t", Part: "p"})
 		if err != nil || len(s.Rows) != 1 || s.Rows[0].Key != key || string(s.Rows[0].Value) != "value" || s.Rows[0].Version != s.Version {
 			t.Fatalf("list: %+v, %v", s, err)
 		}
-		feed, err := r.reach.Feed(t.Context(), "t", 0, time.Second)
+		feed, err := r.relayed.Feed(t.Context(), "t", 0, time.Second)
 		if err != nil || len(feed.Rows) != 1 {
 			t.Fatalf("feed: %+v, %v", feed, err)
 		}
-		if took := time.Since(began); took > 0 {
+		if took := time.Since(start); took > 0 {
 			t.Errorf("took %s", took)
 		}
-		if _, err := r.reach.Commit(t.Context(), put("a")); !errors.Is(err, store.ErrConflict) {
-			t.Errorf("a second commit under the same condition: %v", err)
+		if _, err := r.relayed.Commit(t.Context(), put("a")); !errors.Is(err, store.ErrConflict) {
+			t.Errorf("second commit under the same condition: got %v, want a conflict", err)
 		}
-		if _, err := r.reach.GetObject(t.Context(), "none"); !errors.Is(err, store.ErrNotFound) {
-			t.Errorf("an object that is not there: %v", err)
+		if _, err := r.relayed.GetObject(t.Context(), "none"); !errors.Is(err, store.ErrNotFound) {
+			t.Errorf("object that does not exist: got %v", err)
 		}
-		if err := r.reach.PutObject(t.Context(), "o", []byte("body")); err != nil {
+		if err := r.relayed.PutObject(t.Context(), "o", []byte("body")); err != nil {
 			t.Errorf("put: %v", err)
 		}
-		if body, err := r.reach.GetObject(t.Context(), "o"); err != nil || string(body) != "body" {
+		if body, err := r.relayed.GetObject(t.Context(), "o"); err != nil || string(body) != "body" {
 			t.Errorf("get: %q, %v", body, err)
 		}
 	})
@@ -121,90 +121,91 @@
 
 func TestSilentPathDelaysNoCallForLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig()
-		r.reach.Direct = silence{r.own}
-		for i, limit := range []time.Duration{450 * time.Millisecond, 0, 0} { // others are asked first from then on
-			began := time.Now()
-			if _, err := r.reach.Commit(t.Context(), put(fmt.Sprint(i))); err != nil {
+		r := newFixture()
+		r.relayed.Direct = silentStore{r.direct}
+		for i, limit := range []time.Duration{450 * time.Millisecond, 0, 0} { // calls are relayed first from then on
+			start := time.Now()
+			if _, err := r.relayed.Commit(t.Context(), put(fmt.Sprint(i))); err != nil {
 				t.Fatal(err)
 			}
-			if took := time.Since(began); took > limit {
+			if took := time.Since(start); took > limit {
 				t.Errorf("call %d took %s", i, took)
 			}
 		}
 	})
 }
 
-// TestOwnPathIsUsedAgain mends the own path: within a second or so nobody else
-// is asked any more.
+// TestOwnPathIsUsedAgain restores the direct path: after about a second calls must no
+// longer be relayed.
 func TestOwnPathIsUsedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig()
-		var told []bool
-		r.reach.OnSwitch = func(detouring bool) { told = append(told, detouring) }
-		r.own.Cut(errBusy)
+		r := newFixture()
+		var switches []bool
+		r.relayed.OnSwitch = func(relaying bool) { switches = append(switches, relaying) }
+		r.direct.Cut(errBusy)
 		for i := range 5 {
-			if _, err := r.reach.Commit(t.Context(), put(fmt.Sprint("a", i))); err != nil {
+			if _, err := r.relayed.Commit(t.Context(), put(fmt.Sprint("a", i))); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(700 * time.Millisecond)
 		}
-		r.own.Cut(nil)
+		r.direct.Cut(nil)
 		time.Sleep(1500 * time.Millisecond)
-		asked := r.asked.Load()
+		before := r.peerCalls.Load()
 		for i := range 10 {
-			if _, err := r.reach.Commit(t.Context(), put(fmt.Sprint("b", i))); err != nil {
+			if _, err := r.relayed.Commit(t.Context(), put(fmt.Sprint("b", i))); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if n := r.asked.Load() - asked; n > 0 {
-			t.Errorf("%d calls through others", n)
+		if n := r.peerCalls.Load() - before; n > 0 {
+			t.Errorf("%d relayed calls after the direct path was restored", n)
 		}
-		if fmt.Sprint(told) != "[true false]" {
-			t.Errorf("told %v of one loss", told)
+		if fmt.Sprint(switches) != "[true false]" {
+			t.Errorf("switches %v in one outage, want [true false]", switches)
 		}
 	})
 }
 
-// TestStoreThatIsAwayForAllIsLeftAlone fails everywhere for ten seconds, and
-// counts what others are asked.
+// TestStoreThatIsAwayForAllIsLeftAlone lets the store refuse all processes for ten
+// seconds and counts the relayed calls.
 func TestStoreThatIsAwayForAllIsLeftAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig()
-		ways := append([]*rowstore.Client{r.own}, r.others...)
-		for _, w := range ways {
-			w.Cut(errBusy)
+		r := newFixture()
+		clients := append([]*rowstore.Client{r.direct}, r.peers...)
+		for _, client := range clients {
+			client.Cut(errBusy)
 		}
 		for range 100 {
-			if _, err := r.reach.Commit(t.Context(), put("a")); !errors.Is(err, store.ErrRefused) {
+			if _, err := r.relayed.Commit(t.Context(), put("a")); !errors.Is(err, store.ErrRefused) {
 				t.Fatal(err)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		if n := r.asked.Load(); n > 15 {
-			t.Errorf("others were asked %d times in ten seconds", n)
+		if n := r.peerCalls.Load(); n > 15 {
+			t.Errorf("%d calls were relayed in ten seconds, want at most 15", n)
 		}
-		for _, w := range ways {
-			w.Cut(nil)
+		for _, client := range clients {
+			client.Cut(nil)
 		}
-		if _, err := r.reach.Commit(t.Context(), put("a")); err != nil {
-			t.Errorf("after its return: %v", err)
+		if _, err := r.relayed.Commit(t.Context(), put("a")); err != nil {
+			t.Errorf("after the outage: %v", err)
 		}
 	})
 }
 
-// TestRefusedOnlyIfNoWayLeavesItOpen has the own path lose the answer of a write
-// that is done, while all others are turned away.
+// TestRefusedOnlyIfNoWayLeavesItOpen makes a write on the direct path get no response
+// while the store refuses all peers. The write may have been applied, so the result must
+// be ErrUnknown, not ErrRefused.
 func TestRefusedOnlyIfNoWayLeavesItOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, outcome := range []rowstore.Outcome{rowstore.Lost, rowstore.Dropped, rowstore.Late} {
-			r := newRig()
-			for _, o := range r.others {
-				o.Cut(errBusy)
+			r := newFixture()
+			for _, peer := range r.peers {
+				peer.Cut(errBusy)
 			}
 			r.store.Next(outcome)
-			if _, err := r.reach.Commit(t.Context(), put("a")); !errors.Is(err, store.ErrUnknown) {
-				t.Errorf("got %v, want an open outcome", err)
+			if _, err := r.relayed.Commit(t.Context(), put("a")); !errors.Is(err, store.ErrUnknown) {
+				t.Errorf("got %v, want ErrUnknown", err)
 			}
 		}
 		time.Sleep(2 * rowstore.LateBy)
@@ -220,21 +221,21 @@
 	}
 	old := relay.Remote{Call: func(context.Context, *relay.Call) (*relay.Reply, error) { return nil, nil }}
 	if _, err := old.List(t.Context(), store.Range{}); !errors.Is(err, store.ErrRefused) {
-		t.Errorf("a process that makes no such calls: %v", err)
+		t.Errorf("peer that does not support relayed calls: got %v", err)
 	}
 }
 
-// deaf are others that give no answer at all, such as those behind the same cut.
-type deaf struct{}
+// silentPeers has a peer that never responds, as in the same network partition.
+type silentPeers struct{}
 
-func (deaf) Candidates() []store.Store {
+func (silentPeers) Candidates() []store.Store {
 	return []store.Store{relay.Remote{Call: func(ctx context.Context, _ *relay.Call) (*relay.Reply, error) {
 		<-ctx.Done()
 		return nil, context.Cause(ctx)
 	}}}
 }
 
-// boundedFeed is an own path on which a feed call fails after its bound.
+// boundedFeed is a direct path on which a feed call fails after its bound.
 type boundedFeed struct {
 	store.Store
 	bound time.Duration
@@ -248,30 +249,30 @@
 	return store.Snapshot{}, fmt.Errorf("%w: silent", store.ErrUnknown)
 }
 
-// TestSilentOthersHoldUpNoCall cuts a process off from the store and from all
-// others: its calls must fail as soon as by its own path alone, so that it is back
-// as soon as the cut heals.
+// TestSilentOthersHoldUpNoCall separates a process from the store and from all peers. Its
+// calls must fail as soon as on the direct path alone, so that the process recovers as
+// soon as the partition heals.
 func TestSilentOthersHoldUpNoCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const wait, bound = time.Second, 2 * time.Second
-		reach := &relay.Store{Direct: boundedFeed{rowstore.New(), bound}, Peers: deaf{}}
+		relayed := &relay.Store{Direct: boundedFeed{rowstore.New(), bound}, Peers: silentPeers{}}
 		for range 5 {
-			began := time.Now()
-			if _, err := reach.Feed(t.Context(), "t", 0, wait); err == nil {
+			start := time.Now()
+			if _, err := relayed.Feed(t.Context(), "t", 0, wait); err == nil {
 				t.Fatal("want an error")
 			}
-			if took := time.Since(began); took > bound+100*time.Millisecond {
+			if took := time.Since(start); took > bound+100*time.Millisecond {
 				t.Errorf("failed after %s", took)
 			}
 		}
-		r := newRig()
-		r.reach.Peers = deaf{}
-		r.own.Cut(errBusy)
-		began := time.Now()
-		if _, err := r.reach.Commit(t.Context(), put("a")); err == nil {
+		r := newFixture()
+		r.relayed.Peers = silentPeers{}
+		r.direct.Cut(errBusy)
+		start := time.Now()
+		if _, err := r.relayed.Commit(t.Context(), put("a")); err == nil {
 			t.Fatal("want an error")
 		}
-		if took := time.Since(began); took > 700*time.Millisecond {
+		if took := time.Since(start); took > 700*time.Millisecond {
 			t.Errorf("a commit failed after %s", took)
 		}
 	})
--- a/store/relay/wire.go
+++ b/store/relay/wire.go
@@ -9,8 +9,7 @@
 	"mulberryscale.example/store"
 )
 
-// Call is a call to the store that another process is asked to make; one of the
-// pointers is set.
+// Call is a store call that a peer is asked to make; exactly one of the fields is set.
 type Call struct {
 	Commit *store.Tx    `cbor:"1,keyasint,omitempty"`
 	List   *store.Range `cbor:"2,keyasint,omitempty"`
@@ -20,23 +19,23 @@
 	Delete *ObjectCall  `cbor:"6,keyasint,omitempty"`
 }
 
-// FeedCall are the arguments of store.Rows.Feed.
+// FeedCall holds the arguments of store.Rows.Feed.
 type FeedCall struct {
 	Table string        `cbor:"1,keyasint"`
 	After uint64        `cbor:"2,keyasint"`
 	Wait  time.Duration `cbor:"3,keyasint"`
 }
 
-// ObjectCall names an object; Body is what to put.
+// ObjectCall names an object. Body is set for Put only.
 type ObjectCall struct {
 	Name string `cbor:"1,keyasint"`
 	Body []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// Outcome is how a call ended.
+// Outcome is the encoded result of a call: "done" or the name of a store error.
 type Outcome string
 
-// Reply is what came of a call.
+// Reply is the response to a Call.
 type Reply struct {
 	Outcome  Outcome        `cbor:"1,keyasint"`
 	Detail   string         `cbor:"2,keyasint,omitempty"`
@@ -44,24 +43,24 @@
 	Object   []byte         `cbor:"4,keyasint,omitempty"`
 }
 
-// Done reports whether the call was carried out.
+// Done reports whether the call succeeded.
 func (r *Reply) Done() bool { return r.Outcome == outcomeDone }
 
-// outcomeDone is a call that was carried out.
+// outcomeDone is the outcome of a successful call.
 const outcomeDone Outcome = "done"
 
-// outcomes are the store's errors as they are told.
+// outcomes maps the outcomes on the wire to the store's errors.
 var outcomes = map[Outcome]error{
 	"conflict": store.ErrConflict, "refused": store.ErrRefused, "unknown": store.ErrUnknown,
 	"history_gone": store.ErrHistoryGone, "not_found": store.ErrNotFound, "invalid": store.ErrInvalid,
 }
 
-// maxServeTime bounds a call that is made for another process, beside the time
-// for which a feed may be held.
+// maxServeTime bounds a call that is made for a peer, in addition to the time for which
+// a feed may be held.
 const maxServeTime = 1500 * time.Millisecond
 
-// Serve makes a call for another process, by this one's own path.
-func Serve(ctx context.Context, own store.Store, c *Call) *Reply {
+// Serve makes a call for a peer, on this process's direct path.
+func Serve(ctx context.Context, direct store.Store, c *Call) *Reply {
 	limit := maxServeTime
 	if c.Feed != nil {
 		limit += c.Feed.Wait
@@ -72,17 +71,17 @@
 	var err error
 	switch {
 	case c.Commit != nil:
-		r.Snapshot, err = own.Commit(ctx, *c.Commit)
+		r.Snapshot, err = direct.Commit(ctx, *c.Commit)
 	case c.List != nil:
-		r.Snapshot, err = own.List(ctx, *c.List)
+		r.Snapshot, err = direct.List(ctx, *c.List)
 	case c.Feed != nil:
-		r.Snapshot, err = own.Feed(ctx, c.Feed.Table, c.Feed.After, c.Feed.Wait)
+		r.Snapshot, err = direct.Feed(ctx, c.Feed.Table, c.Feed.After, c.Feed.Wait)
 	case c.Put != nil:
-		err = own.PutObject(ctx, c.Put.Name, c.Put.Body)
+		err = direct.PutObject(ctx, c.Put.Name, c.Put.Body)
 	case c.Get != nil:
-		r.Object, err = own.GetObject(ctx, c.Get.Name)
+		r.Object, err = direct.GetObject(ctx, c.Get.Name)
 	case c.Delete != nil:
-		err = own.DeleteObject(ctx, c.Delete.Name)
+		err = direct.DeleteObject(ctx, c.Delete.Name)
 	default:
 		err = fmt.Errorf("%w: a call of no kind that is known here", store.ErrInvalid)
 	}
@@ -102,13 +101,13 @@
 	return "unknown", err.Error()
 }
 
-// Remote is the store as another process reaches it. Call sends a call there; its
-// error leaves open whether the call was made, unless it is store.ErrRefused.
+// Remote is a store.Store that makes its calls through one peer. Call sends a call to
+// the peer; after an error the outcome is unknown unless the error is store.ErrRefused.
 type Remote struct {
 	Call func(context.Context, *Call) (*Reply, error)
 }
 
-// do makes a call and returns its outcome as this process's own path would.
+// do makes a call and translates its outcome to an error of the store.
 func (r Remote) do(ctx context.Context, c *Call) (*Reply, error) {
 	reply, err := r.Call(ctx, c)
 	switch {
