--- a/api/refusal.go
+++ b/api/refusal.go
@@ -65,7 +65,7 @@
 	CodeDuplicate        Code = "duplicate_request" // the key was used before, and its answer is gone
 	CodeOutcomeUnknown   Code = "outcome_unknown"   // sent, and the answer was lost
 	CodeEndpointFailed   Code = "endpoint_failed"   // the endpoint failed during the run
-	CodeHeld             Code = "held"              // endpoints ended under requests of this content
+	CodeQuarantined      Code = "held"              // endpoints ended under requests of this content
 	CodeWrongIncarnation Code = "wrong_incarnation" // the agent restarted since the claim
 	CodeFenced           Code = "fenced"            // a newer attempt or order took over
 	CodeCancelled        Code = "cancelled"         // the caller went away
@@ -89,8 +89,8 @@
 	Step string `json:"step" cbor:"5,keyasint"`
 	// Peer is the id of the process at which the error arose.
 	Peer string `json:"peer" cbor:"6,keyasint"`
-	// EndpointEnded says that the endpoint ended while it ran the request.
-	EndpointEnded bool `json:"endpoint_ended,omitempty" cbor:"7,keyasint,omitempty"`
+	// EndpointCrashed says that the endpoint ended while it ran the request.
+	EndpointCrashed bool `json:"endpoint_ended,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
 // Error implements error.
@@ -142,7 +142,7 @@
 	CodeDuplicate:        http.StatusConflict,
 	CodeOutcomeUnknown:   http.StatusBadGateway,
 	CodeEndpointFailed:   http.StatusBadGateway,
-	CodeHeld:             http.StatusServiceUnavailable,
+	CodeQuarantined:      http.StatusServiceUnavailable,
 	CodeWrongIncarnation: http.StatusBadGateway,
 	CodeFenced:           http.StatusConflict,
 	CodeCancelled:        499,
--- a/results/bench_test.go
+++ b/results/bench_test.go
@@ -68,7 +68,7 @@
 	for i := range n {
 		reader, req := beginNumbered(tb, s, i)
 		run := reader.Run()
-		run.OnEnd(func() { runtime.KeepAlive(req) })
+		run.OnAbort(func() { runtime.KeepAlive(req) })
 		run.Start()
 		run.Append("text", 1, 1)
 		run.FinishText(start, "stop")
@@ -96,7 +96,7 @@
 	key := fmt.Sprintf("trainer-row-1/step-17/sample-%06d", i)
 	prompt := strings.Repeat("p", promptBytes)
 	req := &wire.Run{
-		RunID: "run-of-" + key, Key: key, Linger: time.Minute,
+		RunID: "run-of-" + key, Key: key, Retention: time.Minute,
 		Generate: &wire.Generate{Model: "guide", Prompt: prompt},
 	}
 	reader, refusal := s.Begin(start, req, nil)
--- a/results/rapid_test.go
+++ b/results/rapid_test.go
@@ -22,7 +22,7 @@
 // TestKeyRunsOnce drives a store at random beside an oracle.
 func TestKeyRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(Options{AnswerLinger: 30 * time.Second})
+		s := New(Options{AnswerRetention: 30 * time.Second})
 		now := start
 		truth := map[string]*keyTruth{"n1": {}, "n2": {}, "i1": {}, "i2": {}}
 		keys := []string{"n1", "n2", "i1", "i2"}
--- a/results/reader.go
+++ b/results/reader.go
@@ -85,8 +85,8 @@
 	return Event{Chunk: chunk}
 }
 
-// Delivered notes that the run's result has been passed on.
-func (r *Reader) Delivered() {
+// MarkDelivered notes that the run's result has been passed on.
+func (r *Reader) MarkDelivered() {
 	r.run.store.mu.Lock()
 	defer r.run.store.mu.Unlock()
 	r.run.delivered = true
--- a/results/run.go
+++ b/results/run.go
@@ -60,9 +60,9 @@
 	return r.state
 }
 
-// OnEnd sets what is called, without locks held, when the run ends by a fence
+// OnAbort sets what is called, without locks held, when the run ends by a fence
 // or because nobody wants it any more. If that has come already, it is called at once.
-func (r *Run) OnEnd(f func()) {
+func (r *Run) OnAbort(f func()) {
 	r.store.mu.Lock()
 	ended := r.final
 	if !ended {
--- a/results/store.go
+++ b/results/store.go
@@ -12,9 +12,9 @@
 const (
 	DefaultMaxBytes = 24 << 20
 	DefaultMaxKeys  = 1 << 18
-	// DefaultAnswerLinger keeps the answer of a non-idempotent key whose
+	// DefaultAnswerRetention keeps the answer of a non-idempotent key whose
 	// caller asked for no linger, so that a repeat gets it.
-	DefaultAnswerLinger = time.Minute
+	DefaultAnswerRetention = time.Minute
 )
 
 const stepAttach = "agent.attach"
@@ -30,8 +30,8 @@
 	// the non-idempotent, the fenced and the other started ones, each. Beyond
 	// it new non-idempotent keys and new fences are refused.
 	MaxKeys int
-	// AnswerLinger is how long at least the answer of a non-idempotent key is kept.
-	AnswerLinger time.Duration
+	// AnswerRetention is how long at least the answer of a non-idempotent key is kept.
+	AnswerRetention time.Duration
 }
 
 // Store is an agent's memory of its runs. It is safe for concurrent use.
@@ -54,8 +54,8 @@
 	if opts.MaxKeys <= 0 {
 		opts.MaxKeys = DefaultMaxKeys
 	}
-	if opts.AnswerLinger <= 0 {
-		opts.AnswerLinger = DefaultAnswerLinger
+	if opts.AnswerRetention <= 0 {
+		opts.AnswerRetention = DefaultAnswerRetention
 	}
 	return &Store{
 		opts:   opts,
@@ -74,7 +74,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if run := s.attachable(req); run != nil {
-		run.linger = max(run.linger, req.Linger)
+		run.linger = max(run.linger, req.Retention)
 		run.readers++
 		return &Reader{run: run, attached: true, whole: run.generation}, nil
 	}
@@ -110,7 +110,7 @@
 		return s.truthful(req.Key, req.NonIdempotent, closed)
 	case req.NonIdempotent && req.Key != "" && s.used.full():
 		refusal := s.refuse(api.CodeQueueFull, "too many non-idempotent keys in this incarnation", api.NotRunTrue)
-		refusal.RetryAfter = s.opts.AnswerLinger
+		refusal.RetryAfter = s.opts.AnswerRetention
 		return refusal
 	}
 	return nil
@@ -127,13 +127,13 @@
 		nonIdempotent: req.NonIdempotent,
 		generation:    req.Generate != nil,
 		state:         StateQueued,
-		linger:        req.Linger,
+		linger:        req.Retention,
 		readers:       1,
 		idleSince:     now,
 		changed:       make(chan struct{}),
 	}
 	if run.nonIdempotent && run.key != "" {
-		run.linger = max(run.linger, s.opts.AnswerLinger)
+		run.linger = max(run.linger, s.opts.AnswerRetention)
 	}
 	if g := req.Generate; g != nil {
 		run.text = []byte(g.Prefix)
@@ -163,18 +163,18 @@
 	return api.NotRunTrue
 }
 
-// Crowded says whether the keys of this incarnation will soon reach MaxKeys,
+// NearKeyLimit says whether the keys of this incarnation will soon reach MaxKeys,
 // so that the agent should take another one.
-func (s *Store) Crowded() bool {
+func (s *Store) NearKeyLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.used.crowded() || s.ran.crowded() || s.fenced.crowded()
 }
 
-// Turn begins another incarnation's memory. The keys of the one that ends are
-// remembered until the next Turn, those of the one before are forgotten: the
+// NextIncarnation begins another incarnation's memory. The keys of the one that ends are
+// remembered until the next NextIncarnation, those of the one before are forgotten: the
 // agent must refuse requests that name it from before the call on.
-func (s *Store) Turn() {
+func (s *Store) NextIncarnation() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.turns++
--- a/results/store_test.go
+++ b/results/store_test.go
@@ -14,7 +14,7 @@
 var start = time.Unix(1000, 0)
 
 func generation(key string, linger time.Duration) *wire.Run {
-	return &wire.Run{RunID: "run-" + key, Key: key, Linger: linger, Generate: &wire.Generate{}}
+	return &wire.Run{RunID: "run-" + key, Key: key, Retention: linger, Generate: &wire.Generate{}}
 }
 
 func begin(t *testing.T, s *Store, req *wire.Run) *Reader {
@@ -95,7 +95,7 @@
 }
 
 func TestNonIdempotentStartsOnce(t *testing.T) {
-	s := New(Options{AnswerLinger: time.Minute})
+	s := New(Options{AnswerRetention: time.Minute})
 	req := &wire.Run{RunID: "r", Key: "k", NonIdempotent: true, Call: &wire.Call{}}
 	r := begin(t, s, req)
 	r.Run().Start()
@@ -141,7 +141,7 @@
 	s := New(Options{})
 	queued := begin(t, s, generation("queued", time.Minute))
 	ended := false
-	queued.Run().OnEnd(func() { ended = true })
+	queued.Run().OnAbort(func() { ended = true })
 	running := begin(t, s, generation("running", time.Minute))
 	running.Run().Start()
 	forgotten := begin(t, s, generation("forgotten", time.Minute))
@@ -217,7 +217,7 @@
 	for _, linger := range []time.Duration{0, 5 * time.Second} {
 		ended := false
 		r := begin(t, s, generation("k", linger))
-		r.Run().OnEnd(func() { ended = true })
+		r.Run().OnAbort(func() { ended = true })
 		r.Run().Start()
 		r.Close(start)
 		if ended != (linger == 0) {
@@ -295,11 +295,11 @@
 		}
 		return ""
 	}
-	s.Turn()
+	s.NextIncarnation()
 	if refused("k") != api.CodeDuplicate || refused("f") != api.CodeFenced {
 		t.Error("a key of the incarnation before is forgotten")
 	}
-	s.Turn()
+	s.NextIncarnation()
 	if s.notRun("k", false) != api.NotRunUnknown {
 		t.Error("it is said of a key that may have been forgotten that it did not run")
 	}
--- a/rollout/quarantine.go
+++ b/rollout/quarantine.go
@@ -26,7 +26,7 @@
 		return nil
 	}
 	t.s.Quarantine.CountRefused()
-	return t.refusal(api.CodeHeld, errQuarantined, api.NotRunFalse)
+	return t.refusal(api.CodeQuarantined, errQuarantined, api.NotRunFalse)
 }
 
 // reportOutcome tells the quarantine whether the endpoint served an attempt or crashed during it.
@@ -34,7 +34,7 @@
 	switch {
 	case refusal == nil:
 		t.s.Quarantine.ReportServed(t.fingerprint())
-	case refusal.EndpointEnded:
+	case refusal.EndpointCrashed:
 		t.s.Quarantine.ReportCrashAtAgent(t.fingerprint(), refusal.Peer, took)
 	}
 }
--- a/rollout/task.go
+++ b/rollout/task.go
@@ -239,7 +239,7 @@
 func (t *task) runAfter(text *generation.Progress) *wire.Run {
 	return &wire.Run{
 		RunID: uuid.NewString(), Key: t.key, Row: t.s.row.Name, Class: wire.ClassTraining,
-		Budget: t.s.row.Deadline, Linger: t.s.Retention, MinVersion: t.s.minVersion,
+		Budget: t.s.row.Deadline, Retention: t.s.Retention, MinVersion: t.s.minVersion,
 		ExpectedTokens: t.remaining(), ChunkInterval: chunkInterval,
 		Generate: &wire.Generate{
 			Model: t.s.row.Model, Prompt: t.req.Prompt, MaxTokens: t.req.MaxTokens,
--- a/service/agent/agent.go
+++ b/service/agent/agent.go
@@ -156,7 +156,7 @@
 			return
 		case now := <-ticker.C:
 			a.results.Sweep(now)
-			if a.results.Crowded() {
+			if a.results.NearKeyLimit() {
 				a.renewIncarnation()
 			}
 		}
--- a/service/agent/distribution.go
+++ b/service/agent/distribution.go
@@ -21,7 +21,7 @@
 // without a weight store or an engine.
 type distribution struct {
 	peers *weights.PeerList
-	news  *weights.News
+	news  *weights.VersionGossip
 	relay *weights.Relay
 }
 
@@ -30,27 +30,27 @@
 		return distribution{}
 	}
 	d := distribution{peers: weights.NewPeerList(a.cfg.Instances, a.cfg.ID, a.log, a.cfg.Seed)}
-	d.news = weights.NewNews(weights.NewsConfig{
-		Header: a.header,
-		Dialer: a.cfg.Dialer,
-		Peers:  d.peers.All,
-		Below:  func(model string, version uint64) []platform.Instance { return a.treePlace(model, version).Children },
-		Heard:  a.updateTarget,
-		Seed:   a.cfg.Seed,
-		Log:    a.log,
+	d.news = weights.NewVersionGossip(weights.VersionGossipConfig{
+		Header:       a.header,
+		Dialer:       a.cfg.Dialer,
+		Peers:        d.peers.All,
+		Children:     func(model string, version uint64) []platform.Instance { return a.treePlace(model, version).Children },
+		OnNewVersion: a.updateTarget,
+		Seed:         a.cfg.Seed,
+		Log:          a.log,
 	})
 	if a.cfg.Weights == nil || a.cfg.Engine == nil {
 		return d
 	}
 	d.relay = weights.NewRelay(weights.RelayConfig{
-		Self:   a.instance(),
-		Header: a.header,
-		Dialer: a.cfg.Dialer,
-		Store:  a.cfg.Weights,
-		Peers:  d.peers,
-		Wanted: a.standing,
-		Seed:   a.cfg.Seed,
-		Log:    a.log,
+		Self:      a.instance(),
+		Header:    a.header,
+		Dialer:    a.cfg.Dialer,
+		Store:     a.cfg.Weights,
+		Peers:     d.peers,
+		OnRequest: a.standing,
+		Seed:      a.cfg.Seed,
+		Log:       a.log,
 	})
 	return d
 }
@@ -71,9 +71,9 @@
 // that are not newer than the model's target.
 func (a *Agent) LearnTarget(model string, version uint64) {
 	if a.distribution.news != nil {
-		a.distribution.news.Learn(model, version)
+		a.distribution.news.Record(model, version)
 	}
-	// Learn calls updateTarget too, but for a version that it knows already that call
+	// Record calls updateTarget too, but for a version that it knows already that call
 	// may still be going on in another goroutine.
 	a.updateTarget(model, version)
 }
@@ -112,13 +112,13 @@
 		return 0
 	}
 	place := a.treePlace(model, version)
-	return weights.Turn(place.Rank, place.Agents, a.cfg.SwapWindow)
+	return weights.SwapDelay(place.Rank, place.Agents, a.cfg.SwapWindow)
 }
 
 // treePlace returns this agent's place in the distribution tree of a version.
-func (a *Agent) treePlace(model string, version uint64) weights.Place {
+func (a *Agent) treePlace(model string, version uint64) weights.Position {
 	listed := a.distribution.peers.Serving(time.Now(), model)
-	return weights.TreePlace(a.instance(), model, version, listed, weights.DefaultFanout)
+	return weights.TreePosition(a.instance(), model, version, listed, weights.DefaultFanout)
 }
 
 // restoreTarget sets the target of a model that has just appeared in the engine's
@@ -137,7 +137,7 @@
 
 // standing returns whether this agent serves, is fetching or no longer has a version
 // that a peer asks for. The version was published, so it may become the target.
-func (a *Agent) standing(model string, version uint64) weights.Standing {
+func (a *Agent) standing(model string, version uint64) weights.Availability {
 	a.LearnTarget(model, version)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -146,9 +146,9 @@
 	case !ok:
 		return weights.NotServed
 	case m.fetching == version:
-		return weights.Coming
+		return weights.Pending
 	}
-	return weights.Passed
+	return weights.Discarded
 }
 
 // orderable returns the version that can be ordered now, 0 for none: without a relay
--- a/service/agent/drain_test.go
+++ b/service/agent/drain_test.go
@@ -118,7 +118,7 @@
 	for _, fetched := range []bool{true, false} {
 		inBubble(t, engine.Options{}, nil, func(t *testing.T, r *rig) {
 			req := generation("g")
-			req.Linger = time.Minute
+			req.Retention = time.Minute
 			gone := r.open(wire.Request{Run: req})
 			time.Sleep(20 * time.Millisecond)
 			gone.Close()
--- a/service/agent/endpointrun.go
+++ b/service/agent/endpointrun.go
@@ -114,7 +114,7 @@
 		a.wakePoll() // the engine may have failed as a whole
 	}
 	refusal := a.failureRefusal(j, err, notRun)
-	refusal.EndpointEnded = notRun != api.NotRunTrue && j.ctx.Err() == nil && a.endpointEnded(j.ctx)
+	refusal.EndpointCrashed = notRun != api.NotRunTrue && j.ctx.Err() == nil && a.endpointEnded(j.ctx)
 	a.logRun(j).WithField(observe.FieldStep, refusal.Step).WithError(err).Info("run failed")
 	j.run.Fail(time.Now(), refusal)
 }
--- a/service/agent/fuzz_test.go
+++ b/service/agent/fuzz_test.go
@@ -72,7 +72,7 @@
 			k, _, _ := strings.Cut(req.RunID, "-")
 			req.Key, req.Generate.Prompt = "row/"+k, "prompt of "+k
 			req.Budget = time.Duration(rapid.IntRange(1, 4000).Draw(t, "budget")) * time.Millisecond
-			req.Linger = time.Duration(rapid.IntRange(0, 2).Draw(t, "linger")) * time.Second
+			req.Retention = time.Duration(rapid.IntRange(0, 2).Draw(t, "linger")) * time.Second
 			req.MinVersion = version - uint64(rapid.IntRange(0, 1).Draw(t, "behind"))
 			a := &pendingRun{key: k, s: f.open(wire.Request{Run: req}), ch: make(chan answer, 1)}
 			go func() {
--- a/service/agent/incarnation.go
+++ b/service/agent/incarnation.go
@@ -42,7 +42,7 @@
 	a.incarnation.previous = a.incarnation.current
 	a.incarnation.current = uuid.NewString()
 	a.incarnation.mu.Unlock()
-	a.results.Turn()
+	a.results.NextIncarnation()
 	a.log.Info("memory of keys is nearly full; agent takes a new incarnation")
 	a.changed.Fire()
 }
--- a/service/agent/job.go
+++ b/service/agent/job.go
@@ -60,7 +60,7 @@
 	j.timer = time.AfterFunc(j.deadline.Sub(now), func() { a.expire(j) })
 	a.mu.Unlock()
 	a.changed.Fire()
-	run.OnEnd(func() { a.abandon(j, errAbandoned) })
+	run.OnAbort(func() { a.abandon(j, errAbandoned) })
 	return nil
 }
 
--- a/service/agent/run.go
+++ b/service/agent/run.go
@@ -45,7 +45,7 @@
 			return
 		case event.Done != nil:
 			if a.finalReply(s, row, &wire.Reply{Done: event.Done}) {
-				reader.Delivered()
+				reader.MarkDelivered()
 			}
 			return
 		case event.Refusal != nil:
--- a/service/agent/run_test.go
+++ b/service/agent/run_test.go
@@ -51,7 +51,7 @@
 func TestLingeringRunIsAttachedTo(t *testing.T) {
 	inBubble(t, engine.Options{}, nil, func(t *testing.T, r *rig) {
 		req := generation("g")
-		req.Linger = time.Minute
+		req.Retention = time.Minute
 		s := r.open(wire.Request{Run: req})
 		time.Sleep(30 * time.Millisecond)
 		s.Close()
--- a/service/agent/weights.go
+++ b/service/agent/weights.go
@@ -113,12 +113,12 @@
 // it now.
 func (a *Agent) swapDue(now time.Time, m *modelState) bool {
 	return weights.SwapDue(now, weights.Swap{
-		Policy:    a.swapPolicy(m.model),
-		Version:   m.version,
-		Wanted:    a.orderable(m),
-		Needed:    m.minRequired,
-		LearnedAt: m.learnedAt,
-		Turn:      m.swapDelay,
+		Policy:     a.swapPolicy(m.model),
+		Version:    m.version,
+		Latest:     a.orderable(m),
+		MinVersion: m.minRequired,
+		LearnedAt:  m.learnedAt,
+		Delay:      m.swapDelay,
 	})
 }
 
--- a/service/entry/claimed.go
+++ b/service/entry/claimed.go
@@ -160,7 +160,7 @@
 	run.Key = claims.RunKey(work.row.Name, key, claim.Generation)
 	run.Incarnation = claim.Incarnation
 	run.Budget = budgetOf(ctx)
-	run.Linger = e.cfg.Retention
+	run.Retention = e.cfg.Retention
 	run.NonIdempotent = true
 	return &run
 }
--- a/service/entry/gossip.go
+++ b/service/entry/gossip.go
@@ -81,14 +81,14 @@
 	offer := g.average.Offer()
 	offer.Entries = entries
 	offer.Members = g.e.watcher.GossipBatch()
-	offer.Contents = g.e.contentNews()
+	offer.ContentEvents = g.e.contentNews()
 	reply, err := g.exchange(ctx, peer.Addr, offer)
 	if err != nil {
 		g.e.cfg.Log.WithError(err).WithField("peer", peer.ID).Debug("no exchange of demand")
 		return
 	}
 	g.e.watcher.MergeGossip(reply.Members)
-	g.e.hearContents(reply.Contents)
+	g.e.hearContents(reply.ContentEvents)
 	g.average.ApplyReply(time.Now(), offer, *reply, entries, demand)
 }
 
@@ -122,8 +122,8 @@
 	reply := g.average.HandleOffer(time.Now(), *offer, entries, g.e.limits.Demand())
 	reply.Entries = entries
 	reply.Members = g.e.watcher.GossipBatch()
-	reply.Contents = g.e.contentNews()
+	reply.ContentEvents = g.e.contentNews()
 	g.e.watcher.MergeGossip(offer.Members)
-	g.e.hearContents(offer.Contents)
+	g.e.hearContents(offer.ContentEvents)
 	return wire.Reply{Header: g.e.header(), Gossip: &reply}
 }
--- a/service/entry/quarantine.go
+++ b/service/entry/quarantine.go
@@ -18,7 +18,7 @@
 		return nil
 	}
 	e.quarantine.CountRefused()
-	return e.refusal(api.CodeHeld, "endpoints have ended under this request", StepRoute, wait)
+	return e.refusal(api.CodeQuarantined, "endpoints have ended under this request", StepRoute, wait)
 }
 
 // mayEndAnother reports whether a call that failed may go to one more endpoint.
@@ -32,16 +32,16 @@
 	switch {
 	case refusal == nil:
 		e.quarantine.ReportServed(c.subject)
-	case refusal.EndpointEnded:
+	case refusal.EndpointCrashed:
 		e.quarantine.ReportCrashAtAgent(c.subject, agent, took)
 	}
 }
 
 // contentNews is what the quarantine tells other entries.
-func (e *Entry) contentNews() (list []wire.ContentNews) {
+func (e *Entry) contentNews() (list []wire.ContentEvent) {
 	for _, n := range e.quarantine.RecentEvents() {
-		list = append(list, wire.ContentNews{
-			Content: string(n.Fingerprint), Kind: int(n.Kind), Agent: n.Endpoint.ID, Born: n.Endpoint.StartedAt,
+		list = append(list, wire.ContentEvent{
+			Content: string(n.Fingerprint), Kind: int(n.Kind), Agent: n.Endpoint.ID, CrashedAt: n.Endpoint.StartedAt,
 			Took: n.Took, Trial: n.Trial, Age: n.Age,
 		})
 	}
@@ -49,12 +49,12 @@
 }
 
 // hearContents takes in what another entry tells.
-func (e *Entry) hearContents(list []wire.ContentNews) {
+func (e *Entry) hearContents(list []wire.ContentEvent) {
 	heard := make([]quarantine.GossipEvent, 0, len(list))
 	for _, n := range list {
 		heard = append(heard, quarantine.GossipEvent{
 			Fingerprint: quarantine.Fingerprint(n.Content), Kind: quarantine.GossipKind(n.Kind),
-			Endpoint: fleet.Incarnation{ID: n.Agent, StartedAt: n.Born}, Took: n.Took, Trial: n.Trial, Age: n.Age,
+			Endpoint: fleet.Incarnation{ID: n.Agent, StartedAt: n.CrashedAt}, Took: n.Took, Trial: n.Trial, Age: n.Age,
 		})
 	}
 	e.quarantine.MergeEvents(heard)
--- a/weights/fetch.go
+++ b/weights/fetch.go
@@ -66,7 +66,7 @@
 	return f
 }
 
-func sourcesOf(p Place) []source {
+func sourcesOf(p Position) []source {
 	var sources []source
 	for _, peer := range p.Sources {
 		sources = append(sources, source{peer: peer})
@@ -92,7 +92,7 @@
 // replan looks for other sources since one does not serve the model; false says
 // that it was done too often.
 func (f *fetch) replan(lacking source) bool {
-	f.r.cfg.Peers.Lacks(time.Now(), lacking.peer.ID, f.model)
+	f.r.cfg.Peers.MarkNotServing(time.Now(), lacking.peer.ID, f.model)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !slices.Contains(f.sources, lacking) {
@@ -101,7 +101,7 @@
 	if f.replans++; f.replans > maxReplans {
 		return false
 	}
-	f.sources = sourcesOf(f.r.Place(f.model, f.version))
+	f.sources = sourcesOf(f.r.Position(f.model, f.version))
 	return true
 }
 
@@ -262,7 +262,7 @@
 // ask calls a peer, and again for as long as it says that what is asked for is
 // on its way there, up to Patience.
 func (f *fetch) ask(ctx context.Context, step string, s source, req wire.Request, take func(*wire.Reply) bool) error {
-	until := time.Now().Add(f.r.cfg.Patience)
+	until := time.Now().Add(f.r.cfg.PendingTimeout)
 	for {
 		err := f.r.caller.call(ctx, step, s.peer.Addr, req, take)
 		refusal := refusalOf(err)
--- a/weights/news.go
+++ b/weights/news.go
@@ -14,45 +14,45 @@
 	"mulberryscale.example/wire"
 )
 
-// Defaults of NewsConfig.
+// Defaults of VersionGossipConfig.
 const (
-	// DefaultTell random peers besides the children in the tree reach all but
+	// DefaultPushPeers random peers besides the children in the tree reach all but
 	// e^-4 = 2% of many processes even if no child is told; the others learn
 	// by their own exchanges.
-	DefaultTell     = 3
-	DefaultExchange = 3 * time.Second
-	newsTimeout     = 2 * time.Second
+	DefaultPushPeers        = 3
+	DefaultExchangeInterval = 3 * time.Second
+	newsTimeout             = 2 * time.Second
 )
 
 // stepNews is the step named in errors.
 const stepNews = "weights.news"
 
-// NewsConfig configures a News. Zero values take the defaults.
-type NewsConfig struct {
+// VersionGossipConfig configures a VersionGossip. Zero values take the defaults.
+type VersionGossipConfig struct {
 	// Header makes the header of this process's messages.
 	Header func() wire.Header
 	Dialer transport.Dialer
 	// Peers lists the agents that may be told.
 	Peers func() []platform.Instance
-	// Below lists the peers that wait for this process's news of a version,
+	// Children lists the peers that wait for this process's news of a version,
 	// its children in the tree; it may be nil.
-	Below func(model string, version uint64) []platform.Instance
-	// Heard is called for each newer version; it may be nil.
-	Heard func(model string, version uint64)
-	// Tell is how many peers are told of a newer version.
-	Tell int
-	// Exchange is how often, with jitter, one peer is asked what it knows.
-	Exchange time.Duration
+	Children func(model string, version uint64) []platform.Instance
+	// OnNewVersion is called for each newer version; it may be nil.
+	OnNewVersion func(model string, version uint64)
+	// PushPeers is how many peers are told of a newer version.
+	PushPeers int
+	// ExchangeInterval is how often, with jitter, one peer is asked what it knows.
+	ExchangeInterval time.Duration
 	// Seed makes choices repeatable; 0 draws one.
 	Seed uint64
 	Log  logrus.FieldLogger
 }
 
-// News knows the newest published version of each model and passes it on: at
+// VersionGossip knows the newest published version of each model and passes it on: at
 // once to a few random peers, and by a slow exchange that mends what is lost.
 // It is safe for concurrent use.
-type News struct {
-	cfg    NewsConfig
+type VersionGossip struct {
+	cfg    VersionGossipConfig
 	caller caller
 	wake   chan struct{}
 	rand   *random
@@ -63,11 +63,11 @@
 	calls int64
 }
 
-// NewNews returns a News that tells nobody until Run.
-func NewNews(cfg NewsConfig) *News {
-	cfg.Tell = cmp.Or(cfg.Tell, DefaultTell)
-	cfg.Exchange = cmp.Or(cfg.Exchange, DefaultExchange)
-	return &News{
+// NewVersionGossip returns a VersionGossip that tells nobody until Run.
+func NewVersionGossip(cfg VersionGossipConfig) *VersionGossip {
+	cfg.PushPeers = cmp.Or(cfg.PushPeers, DefaultPushPeers)
+	cfg.ExchangeInterval = cmp.Or(cfg.ExchangeInterval, DefaultExchangeInterval)
+	return &VersionGossip{
 		cfg:    cfg,
 		caller: caller{header: cfg.Header, dialer: cfg.Dialer, timeout: newsTimeout},
 		wake:   make(chan struct{}, 1),
@@ -76,8 +76,8 @@
 	}
 }
 
-// Learn takes in a published version and says whether it is newer than the one known.
-func (n *News) Learn(model string, version uint64) bool {
+// Record takes in a published version and says whether it is newer than the one known.
+func (n *VersionGossip) Record(model string, version uint64) bool {
 	n.mu.Lock()
 	newer := version > n.known[model]
 	if newer {
@@ -88,8 +88,8 @@
 	if !newer {
 		return false
 	}
-	if n.cfg.Heard != nil {
-		n.cfg.Heard(model, version)
+	if n.cfg.OnNewVersion != nil {
+		n.cfg.OnNewVersion(model, version)
 	}
 	select {
 	case n.wake <- struct{}{}:
@@ -99,7 +99,7 @@
 }
 
 // Known lists the newest versions, ordered by model.
-func (n *News) Known() []wire.Published {
+func (n *VersionGossip) Known() []wire.Published {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	known := make([]wire.Published, 0, len(n.known))
@@ -111,22 +111,22 @@
 }
 
 // Calls is how many peers were told or asked so far.
-func (n *News) Calls() int64 {
+func (n *VersionGossip) Calls() int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.calls
 }
 
 // Run tells and asks until ctx ends.
-func (n *News) Run(ctx context.Context) {
+func (n *VersionGossip) Run(ctx context.Context) {
 	for {
-		timer := time.NewTimer(n.rand.jitter(n.cfg.Exchange))
+		timer := time.NewTimer(n.rand.jitter(n.cfg.ExchangeInterval))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
 		case <-n.wake:
-			n.tell(ctx, append(n.waiting(), n.some(n.cfg.Tell)...))
+			n.tell(ctx, append(n.waiting(), n.some(n.cfg.PushPeers)...))
 		case <-timer.C:
 			n.tell(ctx, n.some(1))
 		}
@@ -135,7 +135,7 @@
 }
 
 // some draws a number of peers.
-func (n *News) some(count int) []platform.Instance {
+func (n *VersionGossip) some(count int) []platform.Instance {
 	peers := n.cfg.Peers()
 	var drawn []platform.Instance
 	for _, i := range n.rand.draw(len(peers), count) {
@@ -145,22 +145,22 @@
 }
 
 // waiting lists the peers that wait for what has not been told yet.
-func (n *News) waiting() []platform.Instance {
+func (n *VersionGossip) waiting() []platform.Instance {
 	n.mu.Lock()
 	fresh := n.fresh
 	n.fresh = nil
 	n.mu.Unlock()
 	var peers []platform.Instance
 	for _, p := range fresh {
-		if n.cfg.Below != nil {
-			peers = append(peers, n.cfg.Below(p.Model, p.Version)...)
+		if n.cfg.Children != nil {
+			peers = append(peers, n.cfg.Children(p.Model, p.Version)...)
 		}
 	}
 	return peers
 }
 
 // tell sends what is known to the peers, all at a time.
-func (n *News) tell(ctx context.Context, peers []platform.Instance) {
+func (n *VersionGossip) tell(ctx context.Context, peers []platform.Instance) {
 	var group sync.WaitGroup
 	for _, p := range peers {
 		group.Go(func() { n.exchange(ctx, p.Addr) })
@@ -169,7 +169,7 @@
 }
 
 // exchange tells one peer and learns from its answer.
-func (n *News) exchange(ctx context.Context, addr string) {
+func (n *VersionGossip) exchange(ctx context.Context, addr string) {
 	n.mu.Lock()
 	n.calls++
 	n.mu.Unlock()
@@ -177,7 +177,7 @@
 	err := n.caller.call(ctx, stepNews, addr, req, func(r *wire.Reply) bool {
 		if r.Gossip != nil {
 			for _, p := range r.Gossip.Weights {
-				n.Learn(p.Model, p.Version)
+				n.Record(p.Model, p.Version)
 			}
 		}
 		return true
--- a/weights/peers.go
+++ b/weights/peers.go
@@ -96,8 +96,8 @@
 	return serving
 }
 
-// Lacks notes that a peer does not serve a model.
-func (p *PeerList) Lacks(now time.Time, peer, model string) {
+// MarkNotServing notes that a peer does not serve a model.
+func (p *PeerList) MarkNotServing(now time.Time, peer, model string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lacks[lack{peer, model}] = now.Add(lackTime)
--- a/weights/relay.go
+++ b/weights/relay.go
@@ -21,12 +21,12 @@
 	DefaultWindow  = 8
 	DefaultMaxPart = 2 << 20
 	// DefaultInFlight parts are fetched at a time.
-	DefaultInFlight    = 4
-	DefaultHold        = 2 * time.Second
-	DefaultServeWait   = time.Second
-	DefaultPullTimeout = 5 * time.Second
-	DefaultPatience    = 10 * time.Second
-	DefaultSourceRetry = 200 * time.Millisecond
+	DefaultInFlight       = 4
+	DefaultPartRetention  = 2 * time.Second
+	DefaultServeWait      = time.Second
+	DefaultPullTimeout    = 5 * time.Second
+	DefaultPendingTimeout = 10 * time.Second
+	DefaultSourceRetry    = 200 * time.Millisecond
 )
 
 // RelayConfig configures a Relay. Zero values take the defaults.
@@ -38,9 +38,9 @@
 	Dialer transport.Dialer
 	Store  platform.WeightStore
 	Peers  *PeerList
-	// Wanted is called when a peer asks for a version that is not being
+	// OnRequest is called when a peer asks for a version that is not being
 	// fetched here, and begins to fetch it if it is newer.
-	Wanted func(model string, version uint64) Standing
+	OnRequest func(model string, version uint64) Availability
 	// Fanout is how many agents of the zone fetch from one agent.
 	Fanout int
 	// Window is how many parts of a model are held at a time and MaxPart the
@@ -48,14 +48,14 @@
 	Window   int
 	MaxPart  int64
 	InFlight int
-	// Hold is how long a part is kept for children that have not fetched it.
-	Hold time.Duration
+	// PartRetention is how long a part is kept for children that have not fetched it.
+	PartRetention time.Duration
 	// ServeWait is how long a peer's call waits for a part that is on its way.
 	ServeWait time.Duration
 	// PullTimeout bounds one call, and Patience how long one source may say
 	// that a part is still on its way there.
-	PullTimeout time.Duration
-	Patience    time.Duration
+	PullTimeout    time.Duration
+	PendingTimeout time.Duration
 	// SourceRetry is the wait after all sources have failed.
 	SourceRetry time.Duration
 	// Seed makes the jitter repeatable; 0 draws one.
@@ -96,10 +96,10 @@
 	cfg.Window = cmp.Or(cfg.Window, DefaultWindow)
 	cfg.MaxPart = cmp.Or(cfg.MaxPart, DefaultMaxPart)
 	cfg.InFlight = cmp.Or(cfg.InFlight, DefaultInFlight)
-	cfg.Hold = cmp.Or(cfg.Hold, DefaultHold)
+	cfg.PartRetention = cmp.Or(cfg.PartRetention, DefaultPartRetention)
 	cfg.ServeWait = cmp.Or(cfg.ServeWait, DefaultServeWait)
 	cfg.PullTimeout = cmp.Or(cfg.PullTimeout, DefaultPullTimeout)
-	cfg.Patience = cmp.Or(cfg.Patience, DefaultPatience)
+	cfg.PendingTimeout = cmp.Or(cfg.PendingTimeout, DefaultPendingTimeout)
 	cfg.SourceRetry = cmp.Or(cfg.SourceRetry, DefaultSourceRetry)
 	return &Relay{
 		cfg:       cfg,
@@ -134,9 +134,9 @@
 	r.stats.PeakBytes = max(r.stats.PeakBytes, held)
 }
 
-// Place is where this agent stands in the tree of a version now.
-func (r *Relay) Place(model string, version uint64) Place {
-	return TreePlace(r.cfg.Self, model, version, r.cfg.Peers.Serving(time.Now(), model), r.cfg.Fanout)
+// Position is where this agent stands in the tree of a version now.
+func (r *Relay) Position(model string, version uint64) Position {
+	return TreePosition(r.cfg.Self, model, version, r.cfg.Peers.Serving(time.Now(), model), r.cfg.Fanout)
 }
 
 // Fetch fetches all parts of a version, and returns when the last one has been
@@ -178,7 +178,7 @@
 
 // begin makes the version the model's newest here; parts of the one before are dropped.
 func (r *Relay) begin(model string, version uint64) *download {
-	d := newDownload(version, r.Place(model, version))
+	d := newDownload(version, r.Position(model, version))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if old := r.downloads[model]; old != nil {
--- a/weights/relay_test.go
+++ b/weights/relay_test.go
@@ -83,7 +83,7 @@
 		go r.peers.Run(ctx)
 		r.relay = NewRelay(RelayConfig{
 			Self: self, Header: func() wire.Header { return wire.Header{From: self.ID} }, Dialer: dialer, Store: r.store, Peers: r.peers,
-			Wanted: func(string, uint64) Standing { return Passed }, InFlight: 1, Seed: 1, Log: observe.Discard(),
+			OnRequest: func(string, uint64) Availability { return Discarded }, InFlight: 1, Seed: 1, Log: observe.Discard(),
 		})
 		synctest.Wait()
 		f(t, r)
@@ -99,7 +99,7 @@
 	for i := range 100 {
 		self = platform.Instance{ID: "self", Role: platform.RoleAgent, Zone: "z"}
 		parent = platform.Instance{ID: fmt.Sprint("peer-", i), Role: platform.RoleAgent, Zone: "z"}
-		if len(TreePlace(self, testModel, testVersion, []platform.Instance{parent}, DefaultFanout).Sources) == 1 {
+		if len(TreePosition(self, testModel, testVersion, []platform.Instance{parent}, DefaultFanout).Sources) == 1 {
 			return self, parent
 		}
 	}
@@ -173,7 +173,7 @@
 	relayTest(t, refuseWith(api.CodeNoEndpoint, time.Millisecond), func(t *testing.T, r *relayRig) {
 		began := time.Now()
 		r.fetch(t)
-		if took := time.Since(began); took < DefaultPatience || took > 2*DefaultPatience {
+		if took := time.Since(began); took < DefaultPendingTimeout || took > 2*DefaultPendingTimeout {
 			t.Fatalf("took %s", took)
 		}
 	})
--- a/weights/serve.go
+++ b/weights/serve.go
@@ -12,17 +12,17 @@
 // pieceBytes is the size of the messages that a part is sent in.
 const pieceBytes = 256 << 10
 
-// Standing says how an agent stands to a version that a peer asks for.
-type Standing uint8
+// Availability says how an agent stands to a version that a peer asks for.
+type Availability uint8
 
 // Standings.
 const (
 	// NotServed: the model is not served here.
-	NotServed Standing = iota
-	// Coming: the version is about to be fetched.
-	Coming
-	// Passed: the version was fetched before, or given up, and is not held any more.
-	Passed
+	NotServed Availability = iota
+	// Pending: the version is about to be fetched.
+	Pending
+	// Discarded: the version was fetched before, or given up, and is not held any more.
+	Discarded
 )
 
 // ServeManifest answers a peer's question for a manifest, waiting for a
@@ -120,10 +120,10 @@
 	if d != nil && d.version > version {
 		return r.refuse(api.CodeStale, step, "a newer version is fetched here")
 	}
-	switch r.cfg.Wanted(model, version) {
+	switch r.cfg.OnRequest(model, version) {
 	case NotServed:
 		return r.refuse(api.CodeBadRequest, step, "the model is not served here")
-	case Passed:
+	case Discarded:
 		return r.refuse(api.CodeNoEndpoint, step, "the version is not held any more")
 	}
 	return nil
--- a/weights/tree.go
+++ b/weights/tree.go
@@ -16,8 +16,8 @@
 // maxSources bounds the peers that are asked before the store.
 const maxSources = 3
 
-// Place is where an agent stands in the tree along which a version spreads.
-type Place struct {
+// Position is where an agent stands in the tree along which a version spreads.
+type Position struct {
 	// Sources are the peers to fetch from in the order to try; the store comes
 	// after them. The agent at the root has none.
 	Sources []platform.Instance
@@ -34,16 +34,16 @@
 	hash uint64
 }
 
-// TreePlace finds the place of self in the tree of a version among the listed
+// TreePosition finds the place of self in the tree of a version among the listed
 // agents. All are ordered by rendezvous hashing on (model, version, id). The
 // first agent of each zone is the zone's head; the heads make a tree of the
 // given fanout, and below each head its zone makes another, so that parts cross
 // between zones once. Sources always come earlier in the order, so that agents
 // whose lists differ never wait for each other in a circle.
-func TreePlace(self platform.Instance, model string, version uint64, listed []platform.Instance, fanout int) Place {
+func TreePosition(self platform.Instance, model string, version uint64, listed []platform.Instance, fanout int) Position {
 	order := rank(self, model, version, listed)
 	heads, zone := levels(order, self.Zone)
-	p := Place{Rank: indexOf(order, self.ID), Agents: len(order)}
+	p := Position{Rank: indexOf(order, self.ID), Agents: len(order)}
 	inZone := indexOf(zone, self.ID)
 	p.Children = below(zone, inZone, fanout)
 	level, at := zone, inZone
--- a/weights/tree_test.go
+++ b/weights/tree_test.go
@@ -31,10 +31,10 @@
 		agents := drawAgents(t)
 		version := rapid.Uint64().Draw(t, "version")
 		fanout := rapid.IntRange(1, 4).Draw(t, "fanout")
-		places := make(map[string]Place)
+		places := make(map[string]Position)
 		zoneOf := make(map[string]string)
 		for _, a := range agents {
-			places[a.ID] = TreePlace(a, "guide", version, agents, fanout)
+			places[a.ID] = TreePosition(a, "guide", version, agents, fanout)
 			zoneOf[a.ID] = a.Zone
 		}
 		roots, crossings, children := 0, make(map[string]int), 0
@@ -78,7 +78,7 @@
 			listed := slices.DeleteFunc(slices.Clone(agents), func(platform.Instance) bool {
 				return rapid.IntRange(0, 3).Draw(t, "drop") == 0
 			})
-			for _, s := range TreePlace(a, "guide", 7, listed, 2).Sources {
+			for _, s := range TreePosition(a, "guide", 7, listed, 2).Sources {
 				if indexOf(all, s.ID) >= indexOf(all, a.ID) {
 					t.Fatalf("%s has the later %s as a source", a.ID, s.ID)
 				}
@@ -114,7 +114,7 @@
 		bound := int(float64(n)*float64(load)/float64(window)) + 1
 		var turns []time.Duration
 		for rank := range n {
-			turns = append(turns, Turn(rank, n, window))
+			turns = append(turns, SwapDelay(rank, n, window))
 		}
 		for i, began := range turns {
 			loading := 0
@@ -135,7 +135,7 @@
 
 func TestSwapDue(t *testing.T) {
 	learned := time.Unix(1000, 0)
-	rolling := Swap{Policy: table.SwapRolling, Version: 3, Wanted: 4, LearnedAt: learned, Turn: 5 * time.Second}
+	rolling := Swap{Policy: table.SwapRolling, Version: 3, Latest: 4, LearnedAt: learned, Delay: 5 * time.Second}
 	change := func(f func(*Swap)) Swap { s := rolling; f(&s); return s }
 	cases := []struct {
 		name  string
@@ -145,9 +145,9 @@
 	}{
 		{"before the turn", 4 * time.Second, rolling, false},
 		{"at the turn", 5 * time.Second, rolling, true},
-		{"nothing newer", time.Hour, change(func(s *Swap) { s.Wanted = 3 }), false},
-		{"too old for a request", 0, change(func(s *Swap) { s.Needed = 4 }), true},
-		{"new enough for the requests", 0, change(func(s *Swap) { s.Needed = 3 }), false},
+		{"nothing newer", time.Hour, change(func(s *Swap) { s.Latest = 3 }), false},
+		{"too old for a request", 0, change(func(s *Swap) { s.MinVersion = 4 }), true},
+		{"new enough for the requests", 0, change(func(s *Swap) { s.MinVersion = 3 }), false},
 		{"nothing loaded", 0, change(func(s *Swap) { s.Version = 0 }), true},
 		{"at once", 0, change(func(s *Swap) { s.Policy = table.SwapAtOnce }), true},
 		{"drain", 0, change(func(s *Swap) { s.Policy = table.SwapDrain }), true},
--- a/weights/turn.go
+++ b/weights/turn.go
@@ -10,11 +10,11 @@
 // DefaultSwapWindow is the time over which engines of a rolling swap take turns.
 const DefaultSwapWindow = 10 * time.Second
 
-// Turn is how long after the news of a version the agent of that rank swaps
+// SwapDelay is how long after the news of a version the agent of that rank swaps
 // under the rolling policy. The turns of n agents are spread evenly over the
 // window, so that with loads of a duration d at most ceil(n*d/window) engines
 // load at a time, as far as the agents' lists agree.
-func Turn(rank, n int, window time.Duration) time.Duration {
+func SwapDelay(rank, n int, window time.Duration) time.Duration {
 	if n <= 0 || rank <= 0 {
 		return 0
 	}
@@ -26,25 +26,25 @@
 	Policy table.SwapPolicy
 	// Version is what the engine has, Wanted the newest published version and
 	// Needed the oldest one that some waiting request may use.
-	Version uint64
-	Wanted  uint64
-	Needed  uint64
+	Version    uint64
+	Latest     uint64
+	MinVersion uint64
 	// LearnedAt is when Wanted became known here; Turn is the agent's turn after it.
 	LearnedAt time.Time
-	Turn      time.Duration
+	Delay     time.Duration
 }
 
 // SwapDue says whether the engine should begin to swap now. A rolling swap
 // waits for the agent's turn unless the engine's weights are already too old
 // for a request: then the staleness bound comes first.
 func SwapDue(now time.Time, s Swap) bool {
-	if s.Wanted <= s.Version {
+	if s.Latest <= s.Version {
 		return false
 	}
-	if s.Policy != table.SwapRolling || s.Version == 0 || s.Needed > s.Version {
+	if s.Policy != table.SwapRolling || s.Version == 0 || s.MinVersion > s.Version {
 		return true
 	}
-	return now.Sub(s.LearnedAt) >= s.Turn
+	return now.Sub(s.LearnedAt) >= s.Delay
 }
 
 // Bounds of what all agents together ask of the platform.
--- a/weights/window.go
+++ b/weights/window.go
@@ -20,7 +20,7 @@
 type download struct {
 	version  uint64
 	manifest *platform.WeightManifest // nil until it is known
-	place    Place
+	place    Position
 	// children is how many peers each part is kept for.
 	children int
 	window   []*part // the oldest first
@@ -30,7 +30,7 @@
 	changed  chan struct{}
 }
 
-func newDownload(version uint64, place Place) *download {
+func newDownload(version uint64, place Position) *download {
 	return &download{version: version, place: place, children: len(place.Children), left: make(map[string]bool), changed: make(chan struct{})}
 }
 
@@ -82,7 +82,7 @@
 func (r *Relay) reserve(ctx context.Context, d *download) error {
 	for {
 		r.mu.Lock()
-		wait, ok := d.makeRoom(time.Now(), r.cfg.Window, r.cfg.Hold)
+		wait, ok := d.makeRoom(time.Now(), r.cfg.Window, r.cfg.PartRetention)
 		if ok {
 			d.reserved++
 			r.mu.Unlock()
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -57,9 +57,9 @@
 	Budget time.Duration `cbor:"5,keyasint"`
 	// Incarnation, when set, must be the agent's, or it refuses with CodeWrongIncarnation.
 	Incarnation string `cbor:"6,keyasint,omitempty"`
-	// Linger keeps the run going, and its result afterwards, for this long
+	// Retention keeps the run going, and its result afterwards, for this long
 	// after the entry has gone; 0 cancels the run when the stream breaks.
-	Linger time.Duration `cbor:"7,keyasint,omitempty"`
+	Retention time.Duration `cbor:"7,keyasint,omitempty"`
 	// MinVersion is the oldest weight version that may be used, 0 for any.
 	MinVersion uint64 `cbor:"8,keyasint,omitempty"`
 	// Exactly one of Generate and Call is set.
@@ -295,17 +295,17 @@
 	Entries int         `cbor:"4,keyasint,omitempty"` // entries that the sender believes live
 	// Epoch is the averaging that Demand belongs to; see package limits.
 	Epoch uint64 `cbor:"5,keyasint,omitempty"`
-	// Contents is what has happened lately to contents under which endpoints ended.
-	Contents []ContentNews `cbor:"6,keyasint,omitempty"`
+	// ContentEvents is what has happened lately to contents under which endpoints ended.
+	ContentEvents []ContentEvent `cbor:"6,keyasint,omitempty"`
 }
 
-// ContentNews is what happened to a content; see quarantine.GossipEvent.
-type ContentNews struct {
-	Content string        `cbor:"1,keyasint"`
-	Kind    int           `cbor:"2,keyasint"`
-	Agent   string        `cbor:"3,keyasint,omitempty"` // beside the endpoint that ended
-	Born    int64         `cbor:"4,keyasint,omitempty"` // Unix milliseconds of the end
-	Took    time.Duration `cbor:"5,keyasint,omitempty"` // how long the run had gone on
-	Trial   int           `cbor:"6,keyasint,omitempty"`
-	Age     time.Duration `cbor:"7,keyasint"`
+// ContentEvent is what happened to a content; see quarantine.GossipEvent.
+type ContentEvent struct {
+	Content   string        `cbor:"1,keyasint"`
+	Kind      int           `cbor:"2,keyasint"`
+	Agent     string        `cbor:"3,keyasint,omitempty"` // beside the endpoint that ended
+	CrashedAt int64         `cbor:"4,keyasint,omitempty"` // Unix milliseconds of the end
+	Took      time.Duration `cbor:"5,keyasint,omitempty"` // how long the run had gone on
+	Trial     int           `cbor:"6,keyasint,omitempty"`
+	Age       time.Duration `cbor:"7,keyasint"`
 }
