--- a/batch/enginestate.go
+++ b/batch/enginestate.go
@@ -115,7 +115,7 @@
 	for ctx.Err() == nil {
 		changed := w.View.Changed()
 		if i, ok := w.View.Snapshot().AtAddr(w.Engine); ok {
-			w.checkRestart(i.Born)
+			w.checkRestart(i.StartedAt)
 		}
 		if time.Since(reported) >= w.reportInterval() {
 			w.updateReport(ctx)
@@ -165,7 +165,7 @@
 	}
 	w.engine.reset(startedAt)
 	for t := range w.running {
-		if t.sentTo.Born < startedAt {
+		if t.sentTo.StartedAt < startedAt {
 			t.stop(errEngineRestarted)
 		}
 	}
--- a/rollout/task.go
+++ b/rollout/task.go
@@ -181,8 +181,8 @@
 // reattach reconnects to a run whose stream broke: the run continues at the agent when only
 // the connection was lost. On failure it returns brokenStream, the original refusal.
 func (t *task) reattach(ctx context.Context, a *membership.Agent, brokenStream *api.Refusal) (*wire.Done, *api.Refusal) {
-	a.Sends.Begin()
-	defer a.Sends.End()
+	a.InFlight.Begin()
+	defer a.InFlight.End()
 	done, refusal := t.attach(ctx, a)
 	if refusal != nil {
 		return nil, brokenStream
@@ -200,10 +200,10 @@
 	}
 	a := t.s.View.Snapshot().Agent(p.id)
 	if a == nil || a.Addr != p.addr {
-		a = &membership.Agent{ID: p.id, Addr: p.addr, Sends: &membership.Sends{}}
+		a = &membership.Agent{ID: p.id, Addr: p.addr, InFlight: &membership.InFlight{}}
 	}
-	a.Sends.Begin()
-	defer a.Sends.End()
+	a.InFlight.Begin()
+	defer a.InFlight.End()
 	t.lastPeer = p
 	done, refusal := t.attach(ctx, a)
 	if refusal != nil || !generation.Fresh(done.Spans, t.s.minVersion) {
@@ -239,7 +239,7 @@
 func (t *task) runAfter(text *generation.Progress) *wire.Run {
 	return &wire.Run{
 		RunID: uuid.NewString(), Key: t.key, Row: t.s.row.Name, Class: wire.ClassTraining,
-		Budget: t.s.row.Deadline, Linger: t.s.Retention, MinVersion: t.s.minVersion,
+		Budget: t.s.row.Deadline, Retention: t.s.Retention, MinVersion: t.s.minVersion,
 		ExpectedTokens: t.remaining(), ChunkInterval: chunkInterval,
 		Generate: &wire.Generate{
 			Model: t.s.row.Model, Prompt: t.req.Prompt, MaxTokens: t.req.MaxTokens,
