--- a/store/relay/relay.go
+++ b/store/relay/relay.go
@@ -108,8 +108,8 @@
 type operation[T any] func(ctx context.Context, via store.Store, wait time.Duration) (T, error)
 
 // call makes a call on the direct path, or through peers while that path counts as lost,
-// and on the other path too if the first fails or does not respond (a hedged call). The store may hold the call for wait;
-// the hedge is not held, since wait has passed by then.
+// and on the other path too if the first fails or does not respond (a hedged call). The
+// store may hold the call for wait; the hedge is not held, since wait has passed by then.
 func call[T any](ctx context.Context, s *Store, wait time.Duration, do operation[T]) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/tablestore/apply.go
+++ b/tablestore/apply.go
@@ -13,30 +13,30 @@
 	"mulberryscale.example/table"
 )
 
-// Bounds of the attempts that settle an apply whose reply was lost.
+// Bounds of the retries of an apply.
 const (
 	maxAttempts = 8
 	firstDelay  = 100 * time.Millisecond
 	maxDelay    = 2 * time.Second
 )
 
-// ApplyRequest is one edit of the whole table.
+// ApplyRequest is an edit that replaces the whole table.
 type ApplyRequest struct {
-	// Base is the version from which the edit was made, 0 before the first.
+	// Base is the version from which the edit was made; 0 if there is none yet.
 	Base uint64
-	// ApplyID is unique for each edit and the same when it is repeated.
+	// ApplyID is unique for each edit, and the same in its retries.
 	ApplyID string
 	Author  string
 	// Format is table.FormatCSV or table.FormatYAML.
 	Format string
 	Body   []byte
-	// rollbackOf is set by Rollback.
+	// rollbackOf is the version that Rollback restores; 0 for an edit.
 	rollbackOf uint64
 }
 
-// RollbackRequest makes the text of an older version the newest one again.
+// RollbackRequest restores the text of an older version as a new version.
 type RollbackRequest struct {
-	// To is the version whose text is wanted.
+	// To is the version to restore.
 	To uint64
 	// Base is the version that the operator saw as current.
 	Base    uint64
@@ -44,14 +44,14 @@
 	Author  string
 }
 
-// Apply makes an edit the next version. Its errors are table.Errors for a text
-// that does not parse; ConflictError when another edit came first;
-// OutcomeUnknownError when it cannot be told whether the edit took effect;
-// ApplyIDReusedError; any other error means that this call wrote nothing.
+// Apply makes an edit the next version. It returns table.Errors for a text that
+// does not parse, ConflictError if another edit was applied first,
+// OutcomeUnknownError if the edit may or may not have taken effect, and
+// ApplyIDReusedError. Any other error means that this call wrote nothing.
 //
-// The write carries the preconditions that the current version is still Base
-// and that the apply id is unused. It can therefore be repeated after a lost
-// reply, and at most one of the repeats takes effect.
+// The preconditions of the write are that the current version is still Base and
+// that the apply id is unused. It is therefore idempotent: it can be retried after
+// a lost reply, and at most one attempt takes effect.
 func (s *Store) Apply(ctx context.Context, req ApplyRequest) (Entry, error) {
 	if req.ApplyID == "" {
 		return Entry{}, trace.BadParameter("step table.apply: the apply id is empty")
@@ -68,7 +68,7 @@
 		switch {
 		case err == nil:
 			return result.entry, nil
-		case result.settled:
+		case result.final:
 			return Entry{}, err
 		case result.unknown:
 			mayHaveTakenEffect = true
@@ -86,7 +86,8 @@
 	return Entry{}, err
 }
 
-// Rollback applies the text of an older version as a new version.
+// Rollback restores the text of an older version as a new version. Its errors are
+// those of Version and Apply.
 func (s *Store) Rollback(ctx context.Context, req RollbackRequest) (Entry, error) {
 	doc, err := s.Version(ctx, req.To)
 	if err != nil {
@@ -102,17 +103,17 @@
 	})
 }
 
-// attempt is the result of one attempt of an apply.
+// attempt is the result of one attempt to apply an edit.
 type attempt struct {
 	entry Entry
-	// settled: the error is final.
-	settled bool
-	// unknown: the write may or may not have taken effect.
+	// final is set if the error must not be retried.
+	final bool
+	// unknown is set if the write may or may not have taken effect.
 	unknown bool
 }
 
-// tryApply makes one attempt. Each of its reads may be stale; only the write's
-// preconditions and immutable records are relied on.
+// tryApply makes one attempt. Each of its reads may be stale, so it relies only on
+// the preconditions of the write and on immutable records.
 func (s *Store) tryApply(ctx context.Context, req ApplyRequest) (attempt, error) {
 	h, err := s.readHead(ctx)
 	if err != nil {
@@ -124,10 +125,10 @@
 	}
 	if err != nil {
 		var reused *ApplyIDReusedError
-		return attempt{settled: errors.As(err, &reused)}, err
+		return attempt{final: errors.As(err, &reused)}, err
 	}
 	if h.Version != req.Base {
-		return s.overtaken(ctx, req, h.Entry)
+		return s.resolveStaleBase(ctx, req, h.Entry)
 	}
 	entry, err = s.commit(ctx, req, h)
 	if err == nil {
@@ -137,7 +138,7 @@
 	return attempt{unknown: !notWritten}, err
 }
 
-// findApplied looks for an earlier effect of the same apply.
+// findApplied looks for the version that an earlier attempt of the same apply created.
 func (s *Store) findApplied(ctx context.Context, req ApplyRequest) (Entry, bool, error) {
 	record, err := s.service.Get(ctx, applyKey(req.ApplyID))
 	if errors.Is(err, platform.ErrNotFound) {
@@ -160,10 +161,10 @@
 	return doc.Entry, true, nil
 }
 
-// overtaken handles a base that is not the current version. Only the version
-// after Base can be this apply's, so its record, which never changes, tells
-// whether an earlier attempt took effect or never can.
-func (s *Store) overtaken(ctx context.Context, req ApplyRequest, current Entry) (attempt, error) {
+// resolveStaleBase handles a Base that is not the current version. This apply can
+// only have created version Base+1, whose record is immutable: the record shows
+// whether an earlier attempt took effect or no attempt ever can.
+func (s *Store) resolveStaleBase(ctx context.Context, req ApplyRequest, current Entry) (attempt, error) {
 	if current.Version < req.Base {
 		return attempt{}, trace.BadParameter("step table.apply: made from version %d, the current one is %d",
 			req.Base, current.Version)
@@ -175,7 +176,7 @@
 	if next.ApplyID == req.ApplyID && next.Digest == digest(req.Body) {
 		return attempt{entry: next.Entry}, nil
 	}
-	return attempt{settled: true}, s.conflict(ctx, req, current)
+	return attempt{final: true}, s.conflict(ctx, req, current)
 }
 
 // commit writes the next version in one transaction.
@@ -212,7 +213,7 @@
 	return entry, nil
 }
 
-// conflict compares the refused edit with the version that came first.
+// conflict compares the rejected edit with the current version.
 func (s *Store) conflict(ctx context.Context, req ApplyRequest, current Entry) error {
 	e := &ConflictError{Base: req.Base, Current: current}
 	base, err := s.rows(ctx, req.Base)
@@ -241,7 +242,7 @@
 	return e
 }
 
-// rows reads the rows of a version; version 0 has none.
+// rows reads the rows of a version. Version 0 has no rows.
 func (s *Store) rows(ctx context.Context, version uint64) ([]table.Row, error) {
 	if version == 0 {
 		return nil, nil
--- a/tablestore/document.go
+++ b/tablestore/document.go
@@ -1,8 +1,8 @@
 // Package tablestore keeps the operators' table in the platform's table
-// service: one record of what is current, one immutable record for each
-// version and one for each apply, written together in one transaction. Two
-// operators who race cannot both win, and an apply whose reply was lost is
-// recognised and never takes effect twice.
+// service: a record of the current version, an immutable record of each
+// version and one of each apply, all written in one transaction. Of two
+// concurrent applies only one succeeds, and applies are idempotent: one whose
+// reply was lost is recognised when it is retried and takes effect only once.
 package tablestore
 
 import (
@@ -22,31 +22,31 @@
 	keyAppliesPrefix  = "table/applies/"
 )
 
-// Entry is one accepted version without its text. The record table/current
-// holds the newest.
+// Entry is the metadata of an accepted version, without its text. The record
+// table/current holds the newest Entry.
 type Entry struct {
 	Version uint64 `json:"version"`
 	// Base is the version from which the edit was made.
 	Base uint64 `json:"base"`
-	// ApplyID identifies the apply, so that a repeat is recognised.
+	// ApplyID is the idempotency key of the apply: a retry has the same one.
 	ApplyID string `json:"apply_id"`
-	// Digest is the SHA-256 of the body, hexadecimal.
+	// Digest is the SHA-256 of the body in hexadecimal.
 	Digest string `json:"digest"`
 	Author string `json:"author"`
 	// AcceptedAt is the time of the apply by the writer's clock.
 	AcceptedAt time.Time `json:"accepted_at"`
-	// RollbackOf is the version whose text this one repeats; 0 for an edit.
+	// RollbackOf is the version that this one restores; 0 for an edit.
 	RollbackOf uint64 `json:"rollback_of,omitempty"`
 }
 
-// Document is one accepted version with its text.
+// Document is an accepted version with its text.
 type Document struct {
 	Entry
 	Format string `json:"format"`
 	Body   []byte `json:"body"`
 }
 
-// Wire is the document as our processes pass it on.
+// Wire converts the document to the form that is sent between our processes.
 func (d *Document) Wire() wire.TableDocument {
 	return wire.TableDocument{
 		Version:    d.Version,
@@ -56,7 +56,7 @@
 	}
 }
 
-// appliedRecord says which version an apply became.
+// appliedRecord maps an apply to the version that it created.
 type appliedRecord struct {
 	Version uint64 `json:"version"`
 	Digest  string `json:"digest"`
@@ -71,7 +71,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// decodeDocument reads a version's record and checks it against its digest.
+// decodeDocument decodes the record of a version and checks its number and digest.
 func decodeDocument(value []byte, version uint64) (Document, error) {
 	var doc Document
 	if err := json.Unmarshal(value, &doc); err != nil {
--- a/tablestore/errors.go
+++ b/tablestore/errors.go
@@ -7,24 +7,24 @@
 	"mulberryscale.example/table"
 )
 
-// ErrNoTable says that no table was ever applied.
+// ErrNoTable means that no table was applied yet.
 var ErrNoTable = errors.New("tablestore: no table was applied yet")
 
-// ErrNoVersion says that there is no such version.
+// ErrNoVersion means that the version does not exist.
 var ErrNoVersion = errors.New("tablestore: no such version")
 
-// ConflictError says that another edit came first: nothing was written.
+// ConflictError means that another edit was applied first and nothing was written.
 type ConflictError struct {
-	// Base is the version from which the refused edit was made.
+	// Base is the version from which the rejected edit was made.
 	Base uint64
-	// Current is the version that came first.
+	// Current is the current version, which is newer than Base.
 	Current Entry
-	// Mine and Theirs are both edits, against Base.
+	// Mine and Theirs are the changes of the rejected edit and of Current, from Base.
 	Mine, Theirs []table.Change
-	// Merge joins both edits; it is to be checked by the operator.
+	// Merge combines both edits; the operator has to check it.
 	Merge table.Merge
-	// CompareErr is set, and the fields from Mine on are empty, when the two
-	// versions could not be read for the comparison.
+	// CompareErr is set if the versions could not be compared. Mine, Theirs and
+	// Merge are empty then.
 	CompareErr error
 }
 
@@ -39,8 +39,8 @@
 		text, len(e.Mine), len(e.Theirs), len(e.Merge.Conflicts))
 }
 
-// OutcomeUnknownError says that an apply may or may not have taken effect.
-// Repeating it with the same apply id is safe and tells.
+// OutcomeUnknownError means that an apply may or may not have taken effect. A
+// retry with the same apply id is safe and resolves the outcome.
 type OutcomeUnknownError struct {
 	ApplyID string
 	Err     error
@@ -51,10 +51,10 @@
 	return fmt.Sprintf("may or may not be applied; repeat with apply id %s: %v", e.ApplyID, e.Err)
 }
 
-// Unwrap gives the last error met.
+// Unwrap returns the error of the last attempt.
 func (e *OutcomeUnknownError) Unwrap() error { return e.Err }
 
-// ApplyIDReusedError says that an apply id was used before for another text.
+// ApplyIDReusedError means that the apply id was used before for another text.
 type ApplyIDReusedError struct {
 	ApplyID string
 	Version uint64
--- a/tablestore/store.go
+++ b/tablestore/store.go
@@ -10,22 +10,22 @@
 	"mulberryscale.example/platform"
 )
 
-// Store reads and writes the table in the platform's table service. It keeps
-// nothing itself and is safe for concurrent use.
+// Store reads and writes the table in the platform's table service. It has no
+// state of its own and is safe for concurrent use.
 type Store struct {
 	service platform.TableService
 }
 
-// New returns a store on a table service.
+// New returns a Store that uses the table service.
 func New(service platform.TableService) *Store { return &Store{service: service} }
 
-// head is what is current, with the ETag to write against.
+// head is the current version, with the ETag for a conditional write.
 type head struct {
 	Entry
 	etag platform.ETag
 }
 
-// Current reads which version is current, without its text: one small read.
+// Current reads the metadata of the current version, which is one small read.
 // It returns ErrNoTable before the first apply.
 func (s *Store) Current(ctx context.Context) (Entry, error) {
 	h, err := s.readHead(ctx)
@@ -47,7 +47,7 @@
 	return s.Version(ctx, entry.Version)
 }
 
-// Version reads one version, or ErrNoVersion.
+// Version reads one version. It returns ErrNoVersion if there is none.
 func (s *Store) Version(ctx context.Context, n uint64) (Document, error) {
 	record, err := s.service.Get(ctx, versionKey(n))
 	if errors.Is(err, platform.ErrNotFound) {
@@ -63,8 +63,8 @@
 	return doc, nil
 }
 
-// History reads the newest versions, the newest first, at most limit of them.
-// It makes one read for each.
+// History reads up to limit of the newest versions, newest first, with one read
+// for each.
 func (s *Store) History(ctx context.Context, limit int) ([]Document, error) {
 	h, err := s.readHead(ctx)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return docs, nil
 }
 
-// readHead returns a head of version 0 and no ETag before the first apply.
+// readHead reads the head. Before the first apply it has version 0 and no ETag.
 func (s *Store) readHead(ctx context.Context) (head, error) {
 	record, err := s.service.Get(ctx, keyCurrent)
 	if errors.Is(err, platform.ErrNotFound) {
--- a/tablestore/store_test.go
+++ b/tablestore/store_test.go
@@ -19,7 +19,7 @@
 	"mulberryscale.example/table"
 )
 
-// TestMain fixes rapid's seed; -rapid.seed on the command line wins.
+// TestMain sets a fixed seed for rapid; -rapid.seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -128,8 +128,8 @@
 	})
 }
 
-// TestLostReplyThenStaleReads: an apply that took effect is never called
-// refused, however old the state is that later reads show.
+// TestLostReplyThenStaleReads: an apply that took effect must not be reported as
+// rejected, however stale the reads after it are.
 func TestLostReplyThenStaleReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, service := newStore()
@@ -146,36 +146,36 @@
 	})
 }
 
-// hidden is a table service whose reads of some keys are so stale that they
-// find nothing, once hide is set.
-type hidden struct {
+// staleService is a table service whose reads of the hidden keys are so stale that
+// they find nothing.
+type staleService struct {
 	platform.TableService
-	hide map[string]bool
+	hidden map[string]bool
 }
 
-func (h *hidden) Get(ctx context.Context, key string) (platform.Record, error) {
-	if h.hide[key] {
+func (h *staleService) Get(ctx context.Context, key string) (platform.Record, error) {
+	if h.hidden[key] {
 		return platform.Record{}, platform.ErrNotFound
 	}
 	return h.TableService.Get(ctx, key)
 }
 
-// TestLostReplyThenStaleRecord: reads that are stale each to another degree
-// make no accepted apply look refused.
+// TestLostReplyThenStaleRecord: reads that are stale to different degrees must not
+// make an accepted apply look rejected.
 func TestLostReplyThenStaleRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := tableservice.New(tableservice.Options{})
-		view := &hidden{TableService: service}
+		view := &staleService{TableService: service}
 		s := New(view)
 		mustApply(t, s, request(0, "first", "a"))
 
-		view.hide = map[string]bool{applyKey("second"): true}
+		view.hidden = map[string]bool{applyKey("second"): true}
 		service.LoseNextReplies(1)
 		if entry := mustApply(t, s, request(1, "second", "b")); entry.Version != 2 {
 			t.Fatalf("got %+v", entry)
 		}
 
-		view.hide = map[string]bool{applyKey("second"): true, keyCurrent: true}
+		view.hidden = map[string]bool{applyKey("second"): true, keyCurrent: true}
 		var conflict *ConflictError
 		if _, err := s.Apply(t.Context(), request(1, "second", "b")); err == nil || errors.As(err, &conflict) {
 			t.Fatalf("got %v, want an error that is not a conflict", err)
@@ -198,30 +198,30 @@
 		t.Fatalf("empty table: got %v", err)
 	}
 	if _, err := s.Apply(t.Context(), request(0, "", "a")); err == nil {
-		t.Fatal("an empty apply id was taken")
+		t.Fatal("an empty apply id was accepted")
 	}
 	if _, err := s.Apply(t.Context(), request(7, "first", "a")); err == nil {
-		t.Fatal("a base that does not exist was taken")
+		t.Fatal("a base that does not exist was accepted")
 	}
 }
 
-// verdict is what an operator was told of an apply.
-type verdict uint8
+// outcome is the result of an apply as reported to the operator.
+type outcome uint8
 
 const (
-	accepted verdict = iota + 1
-	refused
+	accepted outcome = iota + 1
+	rejected
 	unknown
 )
 
-// edit is one operator's edit in the oracle's list.
+// edit is an operator's edit and its reported outcome.
 type edit struct {
 	request ApplyRequest
-	verdict verdict
+	outcome outcome
 	version uint64
 }
 
-// operators drives two operators against one table service.
+// operators runs two operators against one table service and records their edits.
 type operators struct {
 	store   *Store
 	service *tableservice.Service
@@ -230,10 +230,10 @@
 	known   [2]Document
 }
 
-// timeout ends an apply in the middle of a slow write.
+// timeout bounds an apply. It can expire during a slow write.
 const timeout = 3 * time.Second
 
-// add adds a row to the table that the operator knows and applies it.
+// add adds a row to the table as the operator last read it, and applies that.
 func (o *operators) add(operator int) {
 	o.mu.Lock()
 	known := o.known[operator]
@@ -255,14 +255,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	entry, err := o.store.Apply(ctx, e.request)
-	var outcome *OutcomeUnknownError
+	var unknownErr *OutcomeUnknownError
 	switch {
 	case err == nil:
-		e.verdict, e.version = accepted, entry.Version
-	case errors.As(err, &outcome):
-		e.verdict = unknown
+		e.outcome, e.version = accepted, entry.Version
+	case errors.As(err, &unknownErr):
+		e.outcome = unknown
 	default:
-		e.verdict = refused
+		e.outcome = rejected
 	}
 }
 
@@ -274,7 +274,8 @@
 	}
 }
 
-// settle ends all faults, lets late writes land and repeats unknown applies.
+// settle clears all faults, waits for late writes and retries the applies of unknown
+// outcome.
 func (o *operators) settle() {
 	o.service.Outage(false)
 	o.service.Slow(0)
@@ -282,13 +283,13 @@
 	o.service.StaleReads(false)
 	time.Sleep(time.Minute)
 	for _, e := range o.edits {
-		if e.verdict == unknown {
+		if e.outcome == unknown {
 			o.apply(e)
 		}
 	}
 }
 
-// check compares the table service with what the operators were told.
+// check compares the history in the table service with the reported outcomes.
 func (o *operators) check(t *rapid.T) {
 	docs, err := o.store.History(context.Background(), len(o.edits)+1)
 	if err != nil {
@@ -297,18 +298,18 @@
 	found := make(map[string]uint64)
 	for i, doc := range docs {
 		if want := uint64(len(docs) - i); doc.Version != want || doc.Base != want-1 {
-			t.Fatalf("version %d from %d stands where %d was due", doc.Version, doc.Base, want)
+			t.Fatalf("found version %d with base %d, want version %d", doc.Version, doc.Base, want)
 		}
 		if before, ok := found[doc.ApplyID]; ok {
-			t.Fatalf("apply %s became versions %d and %d", doc.ApplyID, doc.Version, before)
+			t.Fatalf("apply %s created versions %d and %d", doc.ApplyID, doc.Version, before)
 		}
 		found[doc.ApplyID] = doc.Version
 	}
 	for _, e := range o.edits {
 		version := found[e.request.ApplyID]
-		if e.verdict == unknown || version != e.version {
-			t.Fatalf("apply %s: told verdict %d of version %d, the history has %d",
-				e.request.ApplyID, e.verdict, e.version, version)
+		if e.outcome == unknown || version != e.version {
+			t.Fatalf("apply %s: reported outcome %d and version %d, the history has version %d",
+				e.request.ApplyID, e.outcome, e.version, version)
 		}
 		if version > 0 && !strings.Contains(string(docs[0].Body), e.request.ApplyID) {
 			t.Fatalf("the accepted edit %s is lost", e.request.ApplyID)
@@ -316,14 +317,14 @@
 	}
 }
 
-// bubbleT hides from rapid that this is a *testing.T, whose Deadline may not be
-// asked for in a synctest bubble. To shrink a failure there, where time runs
-// fast, give -rapid.shrinktime=1000h.
+// bubbleT hides from rapid that this is a *testing.T, whose Deadline must not be
+// called in a synctest bubble. To shrink a failure there, where time runs fast,
+// set -rapid.shrinktime=1000h.
 type bubbleT struct{ *testing.T }
 
-// TestOperatorsRace: two operators add rows through lost replies, outages, slow
-// writes that land after their caller gave up, and stale reads. Every edit that
-// was called accepted stays, every one called refused never appears.
+// TestOperatorsRace: two operators add rows during lost replies, outages, slow
+// writes that are applied after their caller gave up, and stale reads. Every edit
+// that was reported as accepted must stay, and none reported as rejected may appear.
 func TestOperatorsRace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(bubbleT{t}, func(t *rapid.T) {
