--- a/cmd/mulberryctl/explain.go
+++ b/cmd/mulberryctl/explain.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	story := logstory.Tell(lines, id)
+	story := logstory.Build(lines, id)
 	story.Unreadable = unreadable
 	return story.Write(out)
 }
--- a/keys/files.go
+++ b/keys/files.go
@@ -11,8 +11,8 @@
 	"github.com/gravitational/trace"
 )
 
-// RereadInterval is how often, at most, handshakes look for changed files.
-const RereadInterval = time.Second
+// ReloadInterval is how often, at most, handshakes look for changed files.
+const ReloadInterval = time.Second
 
 const (
 	keyFileMode  = 0o600
@@ -48,7 +48,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	if now.Sub(f.checked) >= RereadInterval {
+	if now.Sub(f.checked) >= ReloadInterval {
 		if err := f.reread(now); err != nil {
 			f.failed(err) // the certificates in force stay
 		}
--- a/keys/keys_test.go
+++ b/keys/keys_test.go
@@ -216,12 +216,12 @@
 		accepts("old authority only, old peer", oldPeer, true)
 		accepts("old authority only, new peer", newPeer, false)
 		d.write(t, newPair, before, after)
-		time.Sleep(RereadInterval)
+		time.Sleep(ReloadInterval)
 		if _, _, err := handshake(newPeer, s); err != nil {
 			t.Fatalf("the new peer refuses the new certificate: %v", err)
 		}
 		d.write(t, newPair, after)
-		time.Sleep(RereadInterval)
+		time.Sleep(ReloadInterval)
 		accepts("new authority only, old peer", oldPeer, false)
 		accepts("new authority only, new peer", newPeer, true)
 	})
@@ -237,11 +237,11 @@
 		s := d.load(t, func(err error) { failures = append(failures, err) })
 		other := issue(t, a, "agent-1")
 		check(t, os.WriteFile(d.cert, other.CertPEM, 0o644)) // does not fit the key
-		time.Sleep(RereadInterval)
+		time.Sleep(ReloadInterval)
 		_, _, err := handshake(s, peer)
 		check(t, err)
 		check(t, os.Remove(d.ca))
-		time.Sleep(RereadInterval)
+		time.Sleep(ReloadInterval)
 		_, _, err = handshake(s, peer)
 		check(t, err)
 		if len(failures) != 2 || !strings.Contains(failures[1].Error(), d.ca) {
--- a/logstory/logstory.go
+++ b/logstory/logstory.go
@@ -63,8 +63,8 @@
 	return n
 }
 
-// Story is what the logs say of an id.
-type Story struct {
+// Timeline is what the logs say of an id.
+type Timeline struct {
 	ID string
 	// Lines are those of the id and, for an item, of its job.
 	Lines []Line
@@ -114,9 +114,9 @@
 	return l, err == nil && l.Message != ""
 }
 
-// Tell picks an id's story out of lines in order of time.
-func Tell(lines []Line, id string) Story {
-	s := Story{ID: id}
+// Build picks an id's story out of lines in order of time.
+func Build(lines []Line, id string) Timeline {
+	s := Timeline{ID: id}
 	job := ""
 	reward := ""
 	for _, l := range lines {
@@ -203,7 +203,7 @@
 }
 
 // Write prints a story.
-func (s Story) Write(w io.Writer) error {
+func (s Timeline) Write(w io.Writer) error {
 	var b strings.Builder
 	section := func(title string, lines []Line) {
 		if len(lines) == 0 {
--- a/logstory/logstory_test.go
+++ b/logstory/logstory_test.go
@@ -16,13 +16,13 @@
 {"time":"2026-08-13T09:00:50.00Z","msg":"request answered","process":"front-1","request":"r1","status":200,"level":"info"}
 `
 
-func tell(t *testing.T, id string) (Story, string) {
+func tell(t *testing.T, id string) (Timeline, string) {
 	t.Helper()
 	lines, unreadable, err := Read(strings.NewReader(logs))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := Tell(lines, id)
+	s := Build(lines, id)
 	s.Unreadable = unreadable
 	var b strings.Builder
 	if err := s.Write(&b); err != nil {
@@ -56,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := Tell(lines, "j1"); len(s.Lines) != 5 {
+	if s := Build(lines, "j1"); len(s.Lines) != 5 {
 		t.Errorf("got %v", s.Lines)
 	}
 }
@@ -78,7 +78,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		lines, _, err := Read(strings.NewReader(text))
 		if err == nil {
-			Tell(lines, "i1")
+			Build(lines, "i1")
 		}
 	})
 }
--- a/observe/bounded.go
+++ b/observe/loglimiter.go
@@ -30,11 +30,11 @@
 // FieldDropped is the number of lines lost since they were last told.
 const FieldDropped = "dropped"
 
-// Bounded keeps a logger's volume within a budget and never lets it wait for
+// LogLimiter keeps a logger's volume within a budget and never lets it wait for
 // who reads the log. Refusals and failures have a budget of their own, so that
 // ordinary lines do not crowd them out. What is lost is counted and told once a
 // second.
-type Bounded struct {
+type LogLimiter struct {
 	out      io.Writer
 	next     logrus.Formatter
 	ordinary *rate.Limiter
@@ -47,9 +47,9 @@
 	once     sync.Once
 }
 
-// Bound puts a logger's lines under a budget; Close must be called.
-func Bound(logger *logrus.Logger) *Bounded {
-	b := &Bounded{
+// LimitLog puts a logger's lines under a budget; Close must be called.
+func LimitLog(logger *logrus.Logger) *LogLimiter {
+	b := &LogLimiter{
 		out: logger.Out, next: logger.Formatter,
 		ordinary: rate.NewLimiter(logLines, 2*logLines), urgent: rate.NewLimiter(logUrgent, 2*logUrgent),
 		lines: make(chan []byte, logQueue), stop: make(chan struct{}), stopped: make(chan struct{}),
@@ -61,15 +61,15 @@
 }
 
 // Dropped is the number of lines lost since the start.
-func (b *Bounded) Dropped() int64 { return b.total.Load() }
+func (b *LogLimiter) Dropped() int64 { return b.total.Load() }
 
-func (b *Bounded) drop() {
+func (b *LogLimiter) drop() {
 	b.dropped.Add(1)
 	b.total.Add(1)
 }
 
 // Format implements logrus.Formatter; it returns nothing for a line over the budget.
-func (b *Bounded) Format(entry *logrus.Entry) ([]byte, error) {
+func (b *LogLimiter) Format(entry *logrus.Entry) ([]byte, error) {
 	budget := b.ordinary
 	if entry.Level <= logrus.WarnLevel {
 		budget = b.urgent
@@ -82,7 +82,7 @@
 }
 
 // Write implements io.Writer; it never blocks.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *LogLimiter) Write(line []byte) (int, error) {
 	if len(line) == 0 {
 		return 0, nil
 	}
@@ -95,7 +95,7 @@
 }
 
 // write writes what waits, all of it at once, until Close.
-func (b *Bounded) write(logger *logrus.Logger) {
+func (b *LogLimiter) write(logger *logrus.Logger) {
 	defer close(b.stopped)
 	ticker := time.NewTicker(dropReport)
 	defer ticker.Stop()
@@ -115,7 +115,7 @@
 }
 
 // flush writes a line and all that waits behind it.
-func (b *Bounded) flush(text []byte) {
+func (b *LogLimiter) flush(text []byte) {
 	for {
 		select {
 		case line := <-b.lines:
@@ -132,7 +132,7 @@
 }
 
 // Close writes what waits, unless the reader has stalled.
-func (b *Bounded) Close() {
+func (b *LogLimiter) Close() {
 	b.once.Do(func() { close(b.stop) })
 	select {
 	case <-b.stopped:
--- a/observe/bounded_test.go
+++ b/observe/loglimiter_test.go
@@ -41,7 +41,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := Bound(logger)
+		b := LimitLog(logger)
 		began := time.Now()
 		for range 10 {
 			for range 2 * logLines {
@@ -67,7 +67,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := Bound(logger)
+		b := LimitLog(logger)
 		for i := range 5000 {
 			logger.WithField("i", i).Info("ordinary")
 			if i%100 == 0 {
--- a/observe/names.go
+++ b/observe/names.go
@@ -126,7 +126,7 @@
 	NameStoreReceived Name = "store_received_bytes"
 	// NameStoreCalls counts those calls, by table.
 	NameStoreCalls Name = "store_calls"
-	// NameStoreDetours counts the calls to the platform's store that an agent made
+	// NameStoreRelayed counts the calls to the platform's store that an agent made
 	// for this process, whose own path was lost.
-	NameStoreDetours Name = "store_detours"
+	NameStoreRelayed Name = "store_detours"
 )
--- a/service/node/node.go
+++ b/service/node/node.go
@@ -31,7 +31,7 @@
 	incarnation string
 	metricsPort int
 	log         *logrus.Entry
-	bounded     *observe.Bounded
+	bounded     *observe.LogLimiter
 	counters    *observe.Counters
 	// store is this process's direct connection to the store. rows is the same store,
 	// reached through agents while the direct connection fails.
@@ -59,14 +59,14 @@
 		return nil, err
 	}
 	b := &base{
-		settings: settings, metricsPort: options.MetricsPort, bounded: observe.Bound(logger), incarnation: newIncarnation(), counters: observe.NewCounters(),
+		settings: settings, metricsPort: options.MetricsPort, bounded: observe.LimitLog(logger), incarnation: newIncarnation(), counters: observe.NewCounters(),
 		store: metastore.New(settings.Store), duties: duties.New(settings.Duties), peers: &peers{}, view: fleet.NewView(),
 	}
 	b.store.Traffic = b.countTraffic
 	b.log = logger.WithFields(logrus.Fields{observe.FieldProcess: settings.Node, "role": role, "incarnation": b.incarnation})
 	b.rows = &relay.Store{
 		Direct: b.store, OnSwitch: b.logRelayed,
-		OnRelayed: func() { b.counters.Add(observe.NameStoreDetours, observe.RowNone, 1) },
+		OnRelayed: func() { b.counters.Add(observe.NameStoreRelayed, observe.RowNone, 1) },
 		Peers:     &relayAgents{node: settings.Node, ownEngine: settings.Engine, port: settings.PeerPort, view: b.view, peers: b.peers},
 	}
 	b.ledger = &batch.Ledger{Store: b.rows, RowBytes: settings.RowBytes, ObjectBytes: settings.ObjectBytes}
--- a/settings/print.go
+++ b/settings/print.go
@@ -8,8 +8,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// InForce is one setting as --print-settings shows it.
-type InForce struct {
+// EffectiveSetting is one setting as --print-settings shows it.
+type EffectiveSetting struct {
 	Name   string `json:"name"`
 	Env    string `json:"env"`
 	Value  string `json:"value"` // secrets hidden
@@ -19,11 +19,11 @@
 // PrintRequested says whether the command was asked to print its settings.
 func PrintRequested(cmd *cli.Command) bool { return cmd.Bool(PrintFlag) }
 
-// InForce lists the settings as Check found them.
-func (s *Set) InForce() []InForce {
-	list := make([]InForce, 0, len(s.settings))
+// Effective lists the settings as Check found them.
+func (s *Set) Effective() []EffectiveSetting {
+	list := make([]EffectiveSetting, 0, len(s.settings))
 	for _, st := range s.settings {
-		list = append(list, InForce{
+		list = append(list, EffectiveSetting{
 			Name:   st.name,
 			Env:    EnvName(st.name),
 			Value:  st.printable(),
@@ -44,7 +44,7 @@
 func (s *Set) Print(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "NAME\tVALUE\tSOURCE")
-	for _, f := range s.InForce() {
+	for _, f := range s.Effective() {
 		fmt.Fprintf(table, "%s\t%s\t%s\n", f.Name, f.Value, f.Source)
 	}
 	return table.Flush()
--- a/stepprofile/stepprofile.go
+++ b/stepprofile/stepprofile.go
@@ -17,19 +17,19 @@
 
 // Parts, in their order on the critical path.
 const (
-	// PartNews is from a job's acceptance until the agent that first sent the item
+	// PartNotify is from a job's acceptance until the agent that first sent the item
 	// has heard of the job.
-	PartNews Part = "news"
-	// PartPlace is from then until the item was first sent to an engine.
-	PartPlace Part = "place"
-	// PartFloor is what its events take at the quickest pace that any item of the
+	PartNotify Part = "news"
+	// PartDispatch is from then until the item was first sent to an engine.
+	PartDispatch Part = "place"
+	// PartBaseline is what its events take at the quickest pace that any item of the
 	// model had in these logs: no policy is quicker.
-	PartFloor Part = "floor"
-	// PartSlow is what runs took beyond that: company on the engine, a slow engine,
+	PartBaseline Part = "floor"
+	// PartSlowdown is what runs took beyond that: company on the engine, a slow engine,
 	// events that were made twice.
-	PartSlow Part = "slow"
-	// PartMoves is the time between its runs: refusals, hand-overs, loads of weights.
-	PartMoves Part = "moves"
+	PartSlowdown Part = "slow"
+	// PartRescheduling is the time between its runs: refusals, hand-overs, loads of weights.
+	PartRescheduling Part = "moves"
 	// PartAppend is from its last event until its result stands in the store.
 	PartAppend Part = "append"
 	// PartReading is from then until the trainer ends the job.
@@ -37,7 +37,7 @@
 )
 
 // Parts are all parts in order.
-var Parts = []Part{PartNews, PartPlace, PartFloor, PartSlow, PartMoves, PartAppend, PartReading}
+var Parts = []Part{PartNotify, PartDispatch, PartBaseline, PartSlowdown, PartRescheduling, PartAppend, PartReading}
 
 // Step is a batch job whose end is in the logs.
 type Step struct {
@@ -183,8 +183,8 @@
 	floor := min(running, time.Duration(s.Events)*pace)
 	appended := j.appendedAfter(last.done)
 	s.Parts = map[Part]time.Duration{
-		PartNews: heard.Sub(s.Accepted), PartPlace: first.Time.Sub(heard), PartFloor: floor, PartSlow: running - floor,
-		PartMoves: done.Sub(first.Time) - running, PartAppend: appended.Sub(done), PartReading: j.ended.Sub(appended),
+		PartNotify: heard.Sub(s.Accepted), PartDispatch: first.Time.Sub(heard), PartBaseline: floor, PartSlowdown: running - floor,
+		PartRescheduling: done.Sub(first.Time) - running, PartAppend: appended.Sub(done), PartReading: j.ended.Sub(appended),
 	}
 	return true
 }
--- a/stepprofile/stepprofile_test.go
+++ b/stepprofile/stepprofile_test.go
@@ -55,7 +55,7 @@
 	}
 	const ms = time.Millisecond
 	want := map[Part]time.Duration{
-		PartNews: 20 * ms, PartPlace: 20 * ms, PartMoves: 500 * ms, PartFloor: 4000 * ms, PartSlow: 1000 * ms, PartAppend: 20 * ms, PartReading: 400 * ms,
+		PartNotify: 20 * ms, PartDispatch: 20 * ms, PartRescheduling: 500 * ms, PartBaseline: 4000 * ms, PartSlowdown: 1000 * ms, PartAppend: 20 * ms, PartReading: 400 * ms,
 	}
 	sum := time.Duration(0)
 	for _, p := range Parts {
@@ -80,7 +80,7 @@
 `
 	lines := read(t, resumed+strings.TrimSpace(logs))
 	slices.SortStableFunc(lines, func(a, b logstory.Line) int { return a.Time.Compare(b.Time) })
-	if steps := Steps(lines); len(steps) != 1 || steps[0].Parts[PartFloor] != 2500*time.Millisecond {
+	if steps := Steps(lines); len(steps) != 1 || steps[0].Parts[PartBaseline] != 2500*time.Millisecond {
 		t.Errorf("got %+v", steps)
 	}
 }
