--- a/service/entry/gossip.go
+++ b/service/entry/gossip.go
@@ -82,14 +82,14 @@
 	offer := g.average.Offer()
 	offer.Entries = entries
 	offer.Members = g.e.watcher.GossipBatch()
-	offer.Contents = g.e.quarantineEvents()
+	offer.ContentEvents = g.e.quarantineEvents()
 	reply, err := g.exchange(ctx, peer.Addr, offer)
 	if err != nil {
 		g.e.cfg.Log.WithError(err).WithField("peer", peer.ID).Debug("gossip exchange failed")
 		return
 	}
 	g.e.watcher.MergeGossip(reply.Members)
-	g.e.mergeQuarantineEvents(reply.Contents)
+	g.e.mergeQuarantineEvents(reply.ContentEvents)
 	g.average.ApplyReply(time.Now(), offer, *reply, entries, demand)
 }
 
@@ -123,8 +123,8 @@
 	reply := g.average.HandleOffer(time.Now(), *offer, entries, g.e.limits.Demand())
 	reply.Entries = entries
 	reply.Members = g.e.watcher.GossipBatch()
-	reply.Contents = g.e.quarantineEvents()
+	reply.ContentEvents = g.e.quarantineEvents()
 	g.e.watcher.MergeGossip(offer.Members)
-	g.e.mergeQuarantineEvents(offer.Contents)
+	g.e.mergeQuarantineEvents(offer.ContentEvents)
 	return wire.Reply{Header: g.e.header(), Gossip: &reply}
 }
