--- a/service/entry/quarantine.go
+++ b/service/entry/quarantine.go
@@ -18,7 +18,7 @@
 		return nil
 	}
 	e.quarantine.CountRefused()
-	return e.refusal(api.CodeHeld, "endpoints have ended under this request", StepRoute, wait)
+	return e.refusal(api.CodeQuarantined, "endpoints have ended under this request", StepRoute, wait)
 }
 
 // mayTryAnother reports whether the quarantine allows to send a failed call to one more
@@ -34,16 +34,16 @@
 	switch {
 	case refusal == nil:
 		e.quarantine.ReportServed(c.fingerprint)
-	case refusal.EndpointEnded:
+	case refusal.EndpointCrashed:
 		e.quarantine.ReportCrashAtAgent(c.fingerprint, agent, took)
 	}
 }
 
 // quarantineEvents returns the recent quarantine events, for gossip with other entries.
-func (e *Entry) quarantineEvents() (list []wire.ContentNews) {
+func (e *Entry) quarantineEvents() (list []wire.ContentEvent) {
 	for _, n := range e.quarantine.RecentEvents() {
-		list = append(list, wire.ContentNews{
-			Content: string(n.Fingerprint), Kind: int(n.Kind), Agent: n.Endpoint.ID, Born: n.Endpoint.StartedAt,
+		list = append(list, wire.ContentEvent{
+			Content: string(n.Fingerprint), Kind: int(n.Kind), Agent: n.Endpoint.ID, CrashedAt: n.Endpoint.StartedAt,
 			Took: n.Took, Trial: n.Trial, Age: n.Age,
 		})
 	}
@@ -51,12 +51,12 @@
 }
 
 // mergeQuarantineEvents adds the quarantine events from another entry's gossip.
-func (e *Entry) mergeQuarantineEvents(list []wire.ContentNews) {
+func (e *Entry) mergeQuarantineEvents(list []wire.ContentEvent) {
 	events := make([]quarantine.GossipEvent, 0, len(list))
 	for _, n := range list {
 		events = append(events, quarantine.GossipEvent{
 			Fingerprint: quarantine.Fingerprint(n.Content), Kind: quarantine.GossipKind(n.Kind),
-			Endpoint: fleet.Incarnation{ID: n.Agent, StartedAt: n.Born}, Took: n.Took, Trial: n.Trial, Age: n.Age,
+			Endpoint: fleet.Incarnation{ID: n.Agent, StartedAt: n.CrashedAt}, Took: n.Took, Trial: n.Trial, Age: n.Age,
 		})
 	}
 	e.quarantine.MergeEvents(events)
