--- a/claims/batch.go
+++ b/claims/batch.go
@@ -10,43 +10,42 @@
 )
 
 const (
-	// maxBatch is the most writes in one commit.
+	// maxBatch is the maximum number of writes in one commit.
 	maxBatch = 128
-	// maxCommits is the most commits under way at a time.
+	// maxCommits is the maximum number of commits in flight.
 	maxCommits = 4
 	// commitTimeout bounds one commit.
 	commitTimeout = 2 * time.Second
 )
 
-// errNotSent says that a write was given up before it was sent.
+// errNotSent is returned if a write was cancelled before it was sent.
 var errNotSent = errors.New("claims: gave up before the write was sent")
 
-// batcher gathers the writes that arrive while commits are under way into the
-// next one, so that many claims at once take few commits. A write alone is
-// sent at once.
+// batcher collects the writes that arrive while commits are in flight into the next commit, so
+// that many concurrent claims take few commits. A single write is sent at once.
 type batcher struct {
-	table   platform.TableService
-	mu      sync.Mutex
-	waiting []*pending
-	running int // commits under way
+	table    platform.TableService
+	mu       sync.Mutex
+	waiting  []*pending
+	inFlight int // commits in flight
 }
 
-// pending is a write that waits for its commit.
+// pending is a write that waits for its commit to finish.
 type pending struct {
 	write  platform.Write
-	result chan committed
+	result chan commitResult
 }
 
-// committed is how a write ended.
-type committed struct {
+// commitResult is the outcome of a write.
+type commitResult struct {
 	etag platform.ETag
 	err  error
 }
 
-// commit writes w, together with others or alone. The errors are those of
-// platform.TableService, errNotSent, or ctx's, after which the outcome is unknown.
+// commit writes w, possibly together with other writes. It returns an error of
+// platform.TableService, errNotSent, or the error of ctx. After the latter the outcome is unknown.
 func (b *batcher) commit(ctx context.Context, w platform.Write) (platform.ETag, error) {
-	p := &pending{write: w, result: make(chan committed, 1)}
+	p := &pending{write: w, result: make(chan commitResult, 1)}
 	b.add(p)
 	select {
 	case r := <-p.result:
@@ -63,13 +62,13 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.waiting = append(b.waiting, p)
-	if b.running < maxCommits {
-		b.running++
+	if b.inFlight < maxCommits {
+		b.inFlight++
 		go b.run()
 	}
 }
 
-// remove takes out a write that no commit has taken yet.
+// remove removes a write unless it is part of a commit already. It returns whether it did.
 func (b *batcher) remove(p *pending) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,7 +81,7 @@
 	return false
 }
 
-// run commits until nothing waits.
+// run commits batches until no write is waiting.
 func (b *batcher) run() {
 	for {
 		batch := b.next()
@@ -93,30 +92,31 @@
 	}
 }
 
-// next takes writes out, of each record one: two conditional writes of a record
-// in one transaction would both succeed. When there are none, the run has ended.
+// next removes and returns the writes of the next batch, at most one per record: two conditional
+// writes of one record in the same transaction would both succeed. If there are none, the caller
+// must return from run, which next no longer counts as in flight.
 func (b *batcher) next() []*pending {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var batch, left []*pending
+	var batch, rest []*pending
 	taken := map[string]bool{}
 	for _, p := range b.waiting {
 		if len(batch) == maxBatch || taken[p.write.Key] {
-			left = append(left, p)
+			rest = append(rest, p)
 			continue
 		}
 		taken[p.write.Key] = true
 		batch = append(batch, p)
 	}
-	b.waiting = left
+	b.waiting = rest
 	if len(batch) == 0 {
-		b.running--
+		b.inFlight--
 	}
 	return batch
 }
 
-// commitAll commits a batch. When a precondition fails, nothing was written,
-// and its halves are committed apart, so that one write fails no other.
+// commitAll commits a batch. If a precondition fails, nothing was written, and the two halves of
+// the batch are committed separately, so that one failed write doesn't make others fail.
 func (b *batcher) commitAll(batch []*pending) {
 	etags, err := b.send(batch)
 	if errors.Is(err, platform.ErrPrecondition) && len(batch) > 1 {
@@ -126,7 +126,7 @@
 		return
 	}
 	for i, p := range batch {
-		r := committed{err: err}
+		r := commitResult{err: err}
 		if err == nil {
 			r.etag = etags[i]
 		}
--- a/claims/bench_test.go
+++ b/claims/bench_test.go
@@ -11,7 +11,7 @@
 	"mulberryscale.example/platform"
 )
 
-// slowTable takes a time for each commit and counts them.
+// slowTable counts commits, each of which takes commitTime.
 type slowTable struct {
 	platform.TableService
 	commits atomic.Int64
@@ -25,18 +25,18 @@
 	return make([]platform.ETag, len(writes)), nil
 }
 
-// BenchmarkClaims is how many claims a commit carries, by claims at a time,
-// when a commit takes 5 ms.
+// BenchmarkClaims measures the number of claims per commit, by number of concurrent claims, if a
+// commit takes 5 ms.
 func BenchmarkClaims(b *testing.B) {
 	for _, atOnce := range []int{1, 8, 64, 256} {
 		b.Run(fmt.Sprintf("at_once=%d", atOnce), func(b *testing.B) {
 			table := &slowTable{}
 			store := NewStore(table)
-			made := 0
+			created := 0
 			for b.Loop() {
 				var all sync.WaitGroup
 				for i := range atOnce {
-					key := fmt.Sprintf("key-%d-%d", made, i)
+					key := fmt.Sprintf("key-%d-%d", created, i)
 					all.Go(func() {
 						if _, _, err := store.Create(b.Context(), "row", key, Claim{Owner: key}); err != nil {
 							b.Error(err)
@@ -44,9 +44,9 @@
 					})
 				}
 				all.Wait()
-				made += atOnce
+				created += atOnce
 			}
-			b.ReportMetric(float64(made)/float64(table.commits.Load()), "claims/commit")
+			b.ReportMetric(float64(created)/float64(table.commits.Load()), "claims/commit")
 		})
 	}
 }
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -1,7 +1,6 @@
-// Package claims records in the platform's table service who may run a
-// request that must run at most once. A claim is created by one conditional
-// write before the request is sent, and names the agent and the agent's
-// incarnation that alone may run it.
+// Package claims records in the platform's table service who may run a request that must run at
+// most once. A claim is created with one conditional write before the request is sent. It names
+// the agent and the agent's incarnation, the only ones that may run the request.
 package claims
 
 import (
@@ -19,67 +18,67 @@
 	"mulberryscale.example/retry"
 )
 
-// keyPrefix is where claims stand in the table service.
+// keyPrefix is the prefix of the keys of claims in the table service.
 const keyPrefix = "claims/"
 
-// Delays while the outcome of a write is read back.
+// Bounds of the backoff while the outcome of a write is read back.
 const (
-	firstReadBack = 20 * time.Millisecond
-	mostReadBack  = 500 * time.Millisecond
+	minReadBackDelay = 20 * time.Millisecond
+	maxReadBackDelay = 500 * time.Millisecond
 )
 
-// Claim says who may run a request.
+// Claim is the exclusive right to run a request.
 type Claim struct {
-	// Owner is unique for each claim that an entry makes.
+	// Owner is unique for each claim that an entry creates.
 	Owner string `json:"owner"`
-	// Agent, Addr and Incarnation name the only process that may run it.
+	// Agent, Addr and Incarnation identify the only process that may run the request.
 	Agent       string `json:"agent"`
 	Addr        string `json:"addr"`
 	Incarnation string `json:"incarnation"`
-	// Digest identifies the request's content, so that a key used for another
-	// request is recognised.
+	// Digest is a digest of the request's content, so that reuse of the key for another
+	// request is detected.
 	Digest string `json:"digest"`
-	// Generation grows each time that a claim which never ran is taken over;
-	// it is part of the run's key at the agent.
+	// Generation is incremented each time that a claim whose request never ran is taken over.
+	// It is part of the run's key at the agent.
 	Generation int `json:"generation"`
-	// At is when the claim was made, by its owner's clock.
+	// At is the time of creation by the owner's clock.
 	At time.Time `json:"at"`
 
 	etag platform.ETag
 }
 
-// ErrOutcomeUnknown says that it could not be learnt whether a claim was written.
-// Nothing has been sent, and its owner must not send anything.
+// ErrOutcomeUnknown is returned if it is not known whether a claim was written. The request has not
+// been sent, and the owner of the claim must not send it.
 var ErrOutcomeUnknown = errors.New("claims: outcome of the claim is not known")
 
-// Store keeps claims in the table service. Claims that are made at the same
-// time are written together. It is safe for concurrent use.
+// Store stores claims in the table service. Concurrent claims are written in batches. It is safe
+// for concurrent use.
 type Store struct {
 	table platform.TableService
-	// OnRetry is told of each reading back; it may be nil.
+	// OnRetry is called for each retry of a read-back; it may be nil.
 	OnRetry func(retry.Reason)
 	writes  batcher
 }
 
-// NewStore returns a store in the table service.
+// NewStore returns a store that uses the given table service.
 func NewStore(table platform.TableService) *Store {
 	return &Store{table: table, writes: batcher{table: table}}
 }
 
-// Create creates the claim of a row's key. When there is one already, it is
-// returned with mine false. When nothing was written, the error says why, such
-// as platform.ErrUnavailable; else it is ErrUndecided.
-func (s *Store) Create(ctx context.Context, row, key string, c Claim) (claim Claim, mine bool, err error) {
+// Create creates the claim for a row's key. If there is one already, Create returns that one, and
+// owned is false. The error is ErrOutcomeUnknown if the claim may have been written. After other
+// errors, such as platform.ErrUnavailable, nothing was written.
+func (s *Store) Create(ctx context.Context, row, key string, c Claim) (claim Claim, owned bool, err error) {
 	return s.write(ctx, row, key, c, "")
 }
 
-// TakeOver replaces a claim that is proven never to run.
-func (s *Store) TakeOver(ctx context.Context, row, key string, old, c Claim) (claim Claim, mine bool, err error) {
+// TakeOver replaces a claim whose request is known never to run. Its results are those of Create.
+func (s *Store) TakeOver(ctx context.Context, row, key string, old, c Claim) (claim Claim, owned bool, err error) {
 	c.Generation = old.Generation + 1
 	return s.write(ctx, row, key, c, old.etag)
 }
 
-// write makes the conditional write and reads back when its reply was lost.
+// write makes the conditional write, and reads the claim back if the outcome is unknown.
 func (s *Store) write(ctx context.Context, row, key string, c Claim, ifETag platform.ETag) (Claim, bool, error) {
 	value, err := json.Marshal(c)
 	if err != nil {
@@ -97,17 +96,17 @@
 	return s.readBack(ctx, record, c)
 }
 
-// readBack finds out whose claim stands after a write that failed or whose
-// reply was lost.
+// readBack reads which claim is stored, after a write that failed its precondition or whose reply
+// was lost.
 func (s *Store) readBack(ctx context.Context, record string, c Claim) (Claim, bool, error) {
-	delays := retry.NewBackoff(firstReadBack, mostReadBack)
+	delays := retry.NewBackoff(minReadBackDelay, maxReadBackDelay)
 	for {
 		found, err := s.get(ctx, record)
 		switch {
 		case err == nil:
 			return found, found.Owner == c.Owner, nil
 		case errors.Is(err, platform.ErrNotFound):
-			// The write may still arrive; its owner gives up and sends nothing.
+			// The write may still take effect later, so the owner must not send the request.
 			return Claim{}, false, ErrOutcomeUnknown
 		}
 		if s.OnRetry != nil {
@@ -134,13 +133,13 @@
 	return c, nil
 }
 
-// RecordKey is the table service's key of a claim. The caller's key is hashed,
-// since it may hold any characters and any length.
+// RecordKey returns the key of a claim in the table service. The caller's key is hashed, since it
+// may have any characters and any length.
 func RecordKey(row, key string) string {
 	return keyPrefix + row + "/" + digest.Of(key)
 }
 
-// RunKey is the identity of a claimed request at its agent.
+// RunKey returns the key that identifies a claimed request at its agent.
 func RunKey(row, key string, generation int) string {
 	return strings.Join([]string{"claim", row, digest.Of(key), strconv.Itoa(generation)}, "/")
 }
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -13,10 +13,10 @@
 	"mulberryscale.example/platform"
 )
 
-// stepClaims is how many scoring calls of one large step are claimed at once.
+// stepClaims is the number of scoring calls of a large step, claimed concurrently.
 const stepClaims = 4096
 
-// fewCommits is how many commits they may take.
+// fewCommits is the maximum number of commits for them.
 const fewCommits = 64
 
 // countedTable counts commits.
@@ -30,28 +30,28 @@
 	return c.Service.Commit(ctx, writes)
 }
 
-// made counts the claims that are the caller's own.
-type made struct {
-	mu   sync.Mutex
-	mine map[string]int
-	errs []error
+// claimResults collects the errors and the number of owned claims by key.
+type claimResults struct {
+	mu    sync.Mutex
+	owned map[string]int
+	errs  []error
 }
 
-func (m *made) claim(t *testing.T, s *Store, key, owner string) {
-	_, mine, err := s.Create(t.Context(), "row", key, Claim{Owner: owner})
+func (m *claimResults) claim(t *testing.T, s *Store, key, owner string) {
+	_, owned, err := s.Create(t.Context(), "row", key, Claim{Owner: owner})
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err != nil {
 		m.errs = append(m.errs, err)
 	}
-	if mine {
-		m.mine[key]++
+	if owned {
+		m.owned[key]++
 	}
 }
 
-// claimAll claims n keys at once, each times over, and returns what came of it.
-func claimAll(t *testing.T, s *Store, n, times int) *made {
-	m := &made{mine: map[string]int{}}
+// claimAll claims n keys concurrently, each of them the given number of times.
+func claimAll(t *testing.T, s *Store, n, times int) *claimResults {
+	m := &claimResults{owned: map[string]int{}}
 	var wg sync.WaitGroup
 	for i := range n {
 		for j := range times {
@@ -62,8 +62,8 @@
 	return m
 }
 
-// inBubble gives f a table service that takes 2 ms for each call.
-func inBubble(t *testing.T, f func(t *testing.T, table *countedTable, s *Store)) {
+// withFakeTime runs f in a synctest bubble, with a table service that takes 2 ms per call.
+func withFakeTime(t *testing.T, f func(t *testing.T, table *countedTable, s *Store)) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &countedTable{Service: tableservice.New(tableservice.Options{})}
 		table.Slow(2 * time.Millisecond)
@@ -71,12 +71,12 @@
 	})
 }
 
-// TestManyClaimsTakeFewCommits claims a whole step's scoring calls at once.
+// TestManyClaimsTakeFewCommits claims all scoring calls of a large step concurrently.
 func TestManyClaimsTakeFewCommits(t *testing.T) {
-	inBubble(t, func(t *testing.T, table *countedTable, s *Store) {
+	withFakeTime(t, func(t *testing.T, table *countedTable, s *Store) {
 		m := claimAll(t, s, stepClaims, 1)
-		if len(m.mine) != stepClaims || len(m.errs) > 0 {
-			t.Errorf("%d claims were made, errors %v", len(m.mine), m.errs)
+		if len(m.owned) != stepClaims || len(m.errs) > 0 {
+			t.Errorf("%d claims were made, errors %v", len(m.owned), m.errs)
 		}
 		t.Logf("%d claims took %d commits", stepClaims, table.commits.Load())
 		if n := table.commits.Load(); n > fewCommits {
@@ -85,52 +85,54 @@
 	})
 }
 
-// TestOneKeyIsClaimedOnce claims each key three times at once; two writes of
-// one record must not share a transaction.
+// TestOneKeyIsClaimedOnce claims each key three times concurrently. Two writes of one record must
+// not be in the same transaction, where both would succeed.
 func TestOneKeyIsClaimedOnce(t *testing.T) {
-	inBubble(t, func(t *testing.T, _ *countedTable, s *Store) {
+	withFakeTime(t, func(t *testing.T, _ *countedTable, s *Store) {
 		m := claimAll(t, s, 200, 3)
-		for key, n := range m.mine {
+		for key, n := range m.owned {
 			if n != 1 {
 				t.Errorf("%s was claimed %d times", key, n)
 			}
 		}
-		if len(m.mine) != 200 || len(m.errs) > 0 {
-			t.Errorf("%d keys were claimed, errors %v", len(m.mine), m.errs)
+		if len(m.owned) != 200 || len(m.errs) > 0 {
+			t.Errorf("%d keys were claimed, errors %v", len(m.owned), m.errs)
 		}
 	})
 }
 
-// TestTakenKeyFailsNoOther claims keys of which another entry has some already.
+// TestTakenKeyFailsNoOther claims keys of which another entry has claimed some before: only the
+// claims of those must fail.
 func TestTakenKeyFailsNoOther(t *testing.T) {
-	inBubble(t, func(t *testing.T, table *countedTable, s *Store) {
+	withFakeTime(t, func(t *testing.T, table *countedTable, s *Store) {
 		for i := 0; i < 200; i += 50 {
-			if _, mine, err := NewStore(table).Create(t.Context(), "row", fmt.Sprint("key-", i), Claim{Owner: "other"}); !mine || err != nil {
-				t.Fatal(mine, err)
+			if _, owned, err := NewStore(table).Create(t.Context(), "row", fmt.Sprint("key-", i), Claim{Owner: "other"}); !owned || err != nil {
+				t.Fatal(owned, err)
 			}
 		}
 		m := claimAll(t, s, 200, 1)
-		if len(m.mine) != 196 || m.mine["key-50"] != 0 || len(m.errs) > 0 {
-			t.Errorf("%d keys were claimed, errors %v", len(m.mine), m.errs)
+		if len(m.owned) != 196 || m.owned["key-50"] != 0 || len(m.errs) > 0 {
+			t.Errorf("%d keys were claimed, errors %v", len(m.owned), m.errs)
 		}
 	})
 }
 
-// TestLostReplyOfABatch loses the replies of commits that took effect.
+// TestLostReplyOfABatch loses the replies of commits that took effect: the claims must be owned
+// after the read-back.
 func TestLostReplyOfABatch(t *testing.T) {
-	inBubble(t, func(t *testing.T, table *countedTable, s *Store) {
+	withFakeTime(t, func(t *testing.T, table *countedTable, s *Store) {
 		table.LoseNextReplies(3)
 		m := claimAll(t, s, 200, 1)
-		if len(m.mine) != 200 || len(m.errs) > 0 {
-			t.Errorf("%d keys were claimed, errors %v", len(m.mine), m.errs)
+		if len(m.owned) != 200 || len(m.errs) > 0 {
+			t.Errorf("%d keys were claimed, errors %v", len(m.owned), m.errs)
 		}
 	})
 }
 
-// TestGivenUpClaimIsNotWritten ends the context of a claim that waits for
-// commits under way.
-func TestGivenUpClaimIsNotWritten(t *testing.T) {
-	inBubble(t, func(t *testing.T, table *countedTable, s *Store) {
+// TestCancelledClaimIsNotWritten lets the context of a claim expire that waits for commits in
+// flight.
+func TestCancelledClaimIsNotWritten(t *testing.T) {
+	withFakeTime(t, func(t *testing.T, table *countedTable, s *Store) {
 		table.Slow(time.Second)
 		for i := range maxCommits {
 			go s.Create(t.Context(), "row", fmt.Sprint("busy-", i), Claim{Owner: "a"})
@@ -138,30 +140,30 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		if _, mine, err := s.Create(ctx, "row", "late", Claim{Owner: "a"}); mine || err == nil {
-			t.Errorf("got mine %v, %v", mine, err)
+		if _, owned, err := s.Create(ctx, "row", "late", Claim{Owner: "a"}); owned || err == nil {
+			t.Errorf("got owned %v, %v", owned, err)
 		}
 		time.Sleep(5 * time.Second)
 		if _, err := table.Get(t.Context(), RecordKey("row", "late")); err == nil {
-			t.Error("a claim that was given up was written")
+			t.Error("a cancelled claim was written")
 		}
 	})
 }
 
-// TestTakeOver lets two callers take over a claim at a time: one wins.
+// TestTakeOver lets two callers take over the same claim: only one must succeed.
 func TestTakeOver(t *testing.T) {
-	inBubble(t, func(t *testing.T, table *countedTable, s *Store) {
+	withFakeTime(t, func(t *testing.T, table *countedTable, s *Store) {
 		old, _, err := s.Create(t.Context(), "row", "key", Claim{Owner: "a"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		first, mine, err := s.TakeOver(t.Context(), "row", "key", old, Claim{Owner: "b"})
-		if !mine || err != nil || first.Generation != 1 {
-			t.Fatal(first, mine, err)
+		first, owned, err := s.TakeOver(t.Context(), "row", "key", old, Claim{Owner: "b"})
+		if !owned || err != nil || first.Generation != 1 {
+			t.Fatal(first, owned, err)
 		}
-		second, mine, err := NewStore(table).TakeOver(t.Context(), "row", "key", old, Claim{Owner: "c"})
-		if mine || err != nil || second.Owner != "b" {
-			t.Fatal(second, mine, err)
+		second, owned, err := NewStore(table).TakeOver(t.Context(), "row", "key", old, Claim{Owner: "c"})
+		if owned || err != nil || second.Owner != "b" {
+			t.Fatal(second, owned, err)
 		}
 	})
 }
--- a/usage/counter.go
+++ b/usage/counter.go
@@ -1,6 +1,6 @@
-// Package usage counts the requests of each organisation that endpoints began, by
-// windows of true time, and reports each window once to the platform. Entries
-// count and keep their counts in the store; whoever holds the duty adds them up.
+// Package usage counts, for each organisation, the requests that endpoints began to run, by
+// windows of wall clock time, and reports each window once to the platform. Entries count and
+// save their counts in the store. The holder of the duty of usage reports adds them up.
 package usage
 
 import (
@@ -10,43 +10,42 @@
 	"time"
 )
 
-// Counts are begun requests by the name of their organisation.
+// Counts are numbers of begun requests by the name of the organisation.
 type Counts map[string]uint64
 
-// Windows divide true time, from the beginning of 1970 on.
+// Windows divides Unix time into numbered windows of equal length, beginning with 1970.
 type Windows struct{ Length time.Duration }
 
-// Index is the window of a moment.
+// Index returns the window that contains a time.
 func (w Windows) Index(at time.Time) uint64 { return uint64(at.UnixNano() / int64(w.Length)) }
 
-// End is when a window ends.
+// End returns the end of a window.
 func (w Windows) End(window uint64) time.Time { return time.Unix(0, int64(window+1)*int64(w.Length)) }
 
-// Counter counts at one entry. It is safe for concurrent use.
+// Counter counts the requests of one entry. It is safe for concurrent use.
 type Counter struct {
 	windows Windows
 
 	mu      sync.Mutex
 	byIndex map[uint64]*windowCounts
-	changed chan struct{} // holds a token while something is to be written
+	changed chan struct{} // has an element while there are changes to write
 }
 
 // windowCounts are the counts of one window.
 type windowCounts struct {
 	counts Counts
-	// changed says that they differ from what was taken last; taken that they
-	// were, so that they may stand in the store.
+	// changed is true if the counts differ from those returned by takeChanged last. taken is
+	// true if takeChanged has returned them before, so that they may be in the store.
 	changed, taken bool
 }
 
-// NewCounter returns a counter without counts.
+// NewCounter returns a counter with no counts.
 func NewCounter(windows Windows) *Counter {
 	return &Counter{windows: windows, byIndex: map[uint64]*windowCounts{}, changed: make(chan struct{}, 1)}
 }
 
-// Add counts a request that an endpoint began at a moment. What it returns
-// takes that back, and is called once at most. Requests of no organisation are
-// not counted.
+// Add counts a request that an endpoint began at the given time. The returned function undoes
+// that and may be called at most once. Requests without an organisation are not counted.
 func (c *Counter) Add(organisation string, at time.Time) (withdraw func()) {
 	if organisation == "" {
 		return func() {}
@@ -60,11 +59,11 @@
 		c.byIndex[window] = w
 	}
 	w.counts[organisation]++
-	c.mark(w)
+	c.setChanged(w)
 	return func() { c.withdraw(w, organisation) }
 }
 
-// withdraw takes one request out of a window's counts.
+// withdraw removes one request from the counts of a window.
 func (c *Counter) withdraw(w *windowCounts, organisation string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,11 +71,11 @@
 	if w.counts[organisation] == 0 {
 		delete(w.counts, organisation)
 	}
-	c.mark(w)
+	c.setChanged(w)
 }
 
-// mark has a window written. It is called with c.mu held.
-func (c *Counter) mark(w *windowCounts) {
+// setChanged marks a window as changed, so that it is written. The caller holds c.mu.
+func (c *Counter) setChanged(w *windowCounts) {
 	w.changed = true
 	select {
 	case c.changed <- struct{}{}:
@@ -84,9 +83,9 @@
 	}
 }
 
-// take returns what is to be written, and forgets that it is. A window whose
-// only requests were withdrawn before they were taken needs no writing.
-func (c *Counter) take() map[uint64]Counts {
+// takeChanged returns the counts that must be written, by window, and marks them as unchanged. A
+// window whose requests were all withdrawn before it was ever returned needs no write.
+func (c *Counter) takeChanged() map[uint64]Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	taken := map[uint64]Counts{}
@@ -104,19 +103,19 @@
 	return taken
 }
 
-// putBack has windows written again.
-func (c *Counter) putBack(windows []uint64) {
+// markChanged marks windows as changed after their write failed.
+func (c *Counter) markChanged(windows []uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, window := range windows {
 		if w := c.byIndex[window]; w != nil {
-			c.mark(w)
+			c.setChanged(w)
 		}
 	}
 }
 
-// forget drops the counts of windows before one.
-func (c *Counter) forget(before uint64) (dropped []uint64) {
+// dropBefore drops the counts of all windows before the given one and returns these windows.
+func (c *Counter) dropBefore(before uint64) (dropped []uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for window := range c.byIndex {
@@ -129,8 +128,8 @@
 	return dropped
 }
 
-// size is how many requests of a window are counted.
-func (c *Counter) size(window uint64) uint64 {
+// total returns the number of requests counted in a window.
+func (c *Counter) total(window uint64) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.byIndex[window]
--- a/usage/recorder.go
+++ b/usage/recorder.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	// flushDelay is how long counts may stand in an entry's memory only. An entry
-	// that is killed loses what it counted in that time: at five requests a second
-	// one request, at the cost of five writes a second at most.
+	// flushDelay is how long counts may be in the memory of an entry only. An entry that is
+	// killed loses the counts of that time: with five requests per second that is one request.
+	// The cost is at most five writes per second.
 	flushDelay = 200 * time.Millisecond
-	// busyDelay is for entries that count more than busyCount in a window: what they
-	// lose is small against what they report, and their writes would be many.
-	busyDelay = time.Second
-	busyCount = 50
-	// retryPause is the pause after a write that failed.
+	// busyFlushDelay is used while an entry has counted more than busyThreshold requests in a
+	// window. The loss is then small against the total, and flushDelay would cause many writes.
+	busyFlushDelay = time.Second
+	busyThreshold  = 50
+	// retryPause is the pause after a failed write.
 	retryPause = 300 * time.Millisecond
-	// keepWindows is how many windows back counts are kept in memory: their reports
-	// are made after one or two.
+	// keepWindows is the number of past windows whose counts are kept in memory. Windows are
+	// reported one or two windows after their end.
 	keepWindows = 12
 )
 
-// Recorder keeps the counts of an entry in the store.
+// Recorder saves the counts of an entry in the store.
 type Recorder struct {
 	Rows    store.Rows
 	Counter *Counter
 	Windows Windows
-	// Zone is this entry's availability zone, Entry names this start of it.
+	// Zone is this entry's availability zone. Entry identifies this incarnation of the entry.
 	Zone, Entry string
-	// ReportDelay is how long after its end a window is reported.
+	// ReportDelay is the time between the end of a window and its report.
 	ReportDelay time.Duration
 	Log         logrus.FieldLogger
 
-	// versions are those of the rows written, by window.
+	// versions are the versions of the rows written, by window.
 	versions map[uint64]uint64
 }
 
-// Run writes counts until ctx ends, and then what is left within the time that
-// the last write may take.
+// Run writes changed counts until ctx is cancelled. Then it writes the remaining ones, for at most
+// retryPause.
 func (r *Recorder) Run(ctx context.Context) {
 	r.versions = map[uint64]uint64{}
 	for {
@@ -56,46 +56,46 @@
 			r.flush(last)
 			return
 		}
-		_ = pause.Sleep(ctx, r.delay()) // the end of ctx is looked at next
+		_ = pause.Sleep(ctx, r.nextFlushDelay()) // the loop checks ctx next
 		if !r.flush(ctx) {
-			_ = pause.Sleep(ctx, retryPause) // the end of ctx is looked at next
+			_ = pause.Sleep(ctx, retryPause) // the loop checks ctx next
 		}
 	}
 }
 
-// delay is how long counts gather before they are written.
-func (r *Recorder) delay() time.Duration {
-	if r.Counter.size(r.Windows.Index(time.Now())) > busyCount {
-		return busyDelay
+// nextFlushDelay returns how long counts are collected before they are written.
+func (r *Recorder) nextFlushDelay() time.Duration {
+	if r.Counter.total(r.Windows.Index(time.Now())) > busyThreshold {
+		return busyFlushDelay
 	}
 	return flushDelay
 }
 
-// flush writes what has changed; it reports whether all of it was.
+// flush writes all changed counts. It returns whether all writes succeeded.
 func (r *Recorder) flush(ctx context.Context) bool {
 	var failed []uint64
-	for window, counts := range r.Counter.take() {
+	for window, counts := range r.Counter.takeChanged() {
 		if err := r.write(ctx, window, counts); err != nil {
 			r.Log.WithError(err).WithField("window", window).Warn("usage counts not written")
 			failed = append(failed, window)
 			continue
 		}
 		if late := time.Since(r.Windows.End(window)); late > r.ReportDelay {
-			r.Log.WithFields(logrus.Fields{"window": window, "late_ms": late.Milliseconds()}).Warn("usage counts written after their window's report")
+			r.Log.WithFields(logrus.Fields{"window": window, "late_ms": late.Milliseconds()}).Warn("usage counts written after the report of their window")
 		}
 	}
-	r.Counter.putBack(failed)
+	r.Counter.markChanged(failed)
 	if now := r.Windows.Index(time.Now()); now > keepWindows {
-		for _, window := range r.Counter.forget(now - keepWindows) {
+		for _, window := range r.Counter.dropBefore(now - keepWindows) {
 			delete(r.versions, window)
 		}
 	}
 	return len(failed) == 0
 }
 
-// write puts a window's counts in the place of those written before. A write that
-// got no answer may be done yet, so the next one reads first which row is there:
-// a late one must not take a newer one's place.
+// write replaces the row of a window's counts. A write without an answer may still take effect
+// later, so the next one first reads the version of the row: the late write must not overwrite a
+// newer one.
 func (r *Recorder) write(ctx context.Context, window uint64, counts Counts) error {
 	key := countsKey(r.Zone, window, r.Entry)
 	version, known := r.versions[window]
--- a/usage/reporter.go
+++ b/usage/reporter.go
@@ -12,46 +12,48 @@
 	"mulberryscale.example/transport/codec"
 )
 
-// Report is what is reported of a window.
+// Report is the usage of one window.
 type Report struct {
 	Window uint64 `cbor:"1,keyasint"`
 	Counts Counts `cbor:"2,keyasint,omitempty"`
 }
 
-// ReportSender takes reports.
+// ReportSender sends reports to the platform.
 type ReportSender interface {
-	// Report sends a report once, unless acting says at the moment of sending that
-	// it may not be sent any more. nil means that it was accepted.
-	Report(ctx context.Context, f duty.Fence, acting func() bool, r *Report) error
+	// Report sends a report once, unless maySend returns false at the moment of sending. It
+	// returns nil if the report was accepted.
+	Report(ctx context.Context, f duty.Fence, maySend func() bool, r *Report) error
 }
 
-// delayShare is the share of the time in which a report is due that its entries
-// have to write their counts. What is left is enough for one more holder if the
-// first one dies: its term, the time between two holders, and its own sends take
-// less than five of the ten seconds that platforms allow.
-const delayShare = 0.45
+// reportDelayShare is the share of the time until a report is due that entries have to write their
+// counts. The rest is enough for a second holder if the first one crashes: the first one's term,
+// the time between two holders, and the second one's sends take less than five of the ten seconds
+// that platforms allow.
+const reportDelayShare = 0.45
 
-// ReportDelay is how long after its end a window is reported where reports are
-// due that late.
-func ReportDelay(late time.Duration) time.Duration { return time.Duration(delayShare * float64(late)) }
+// ReportDelay returns the time between the end of a window and its report, if reports are due late
+// after the end of their window.
+func ReportDelay(late time.Duration) time.Duration {
+	return time.Duration(reportDelayShare * float64(late))
+}
 
-// backlog is how far back windows are reported that were missed while the whole
-// system or the platform was away.
-const backlog = 10 * time.Minute
+// maxBacklog is the age up to which windows are still reported that were missed during an outage of
+// the whole system or the platform.
+const maxBacklog = 10 * time.Minute
 
-// Reporter is the duty.Work of usage reports: a window is a piece.
+// Reporter is the duty.Work of usage reports. Each window is a piece.
 type Reporter struct {
 	Rows    store.Rows
 	Windows Windows
-	// Zones are the availability zones of entries.
+	// Zones are the availability zones that have entries.
 	Zones []string
-	// Delay is how long after its end a window is reported.
+	// Delay is the time between the end of a window and its report.
 	Delay  time.Duration
 	Sender ReportSender
 	Log    logrus.FieldLogger
 
-	// before are the rows of earlier windows that Decide met.
-	before []store.Key
+	// staleRows are the rows of earlier windows that Decide found.
+	staleRows []store.Key
 }
 
 func (r *Reporter) due(window uint64) time.Time { return r.Windows.End(window).Add(r.Delay) }
@@ -59,9 +61,9 @@
 // Next implements duty.Work.
 func (r *Reporter) Next(done uint64, found bool) (uint64, time.Time) {
 	now := time.Now()
-	oldest := r.Windows.Index(now.Add(-backlog))
+	oldest := r.Windows.Index(now.Add(-maxBacklog))
 	if !found {
-		oldest = r.Windows.Index(now.Add(-r.Delay)) - 1 // the last one that is due
+		oldest = r.Windows.Index(now.Add(-r.Delay)) - 1 // the last due window
 	}
 	window := max(done+1, oldest)
 	return window, r.due(window)
@@ -73,10 +75,10 @@
 	return window, r.due(window)
 }
 
-// Decide implements duty.Work.
+// Decide implements duty.Work. It adds up the counts of the window over all zones.
 func (r *Reporter) Decide(ctx context.Context, window uint64, _ []byte) ([]byte, error) {
 	report := Report{Window: window, Counts: Counts{}}
-	r.before = nil
+	r.staleRows = nil
 	for _, zone := range r.Zones {
 		c, err := readZone(ctx, r.Rows, zone, window)
 		if err != nil {
@@ -85,31 +87,31 @@
 		for organisation, n := range c.counts {
 			report.Counts[organisation] += n
 		}
-		r.before = append(r.before, c.before...)
+		r.staleRows = append(r.staleRows, c.staleRows...)
 	}
 	return codec.Marshal(report)
 }
 
 // Send implements duty.Work.
-func (r *Reporter) Send(ctx context.Context, f duty.Fence, acting func() bool, work []byte) error {
+func (r *Reporter) Send(ctx context.Context, f duty.Fence, maySend func() bool, work []byte) error {
 	var report Report
 	if err := codec.Unmarshal(work, &report); err != nil {
 		return fmt.Errorf("usage report: %w", err)
 	}
-	return r.Sender.Report(ctx, f, acting, &report)
+	return r.Sender.Report(ctx, f, maySend, &report)
 }
 
-// maxDeletes is how many rows one transaction of the store may name.
+// maxDeletes is the maximum number of rows in one transaction of the store.
 const maxDeletes = 100
 
-// OnDone implements duty.Work: it removes the rows of earlier windows. Those
-// that stay are met by the next report.
+// OnDone implements duty.Work. It removes the rows of earlier windows. Remaining ones are removed
+// after the next report.
 func (r *Reporter) OnDone(ctx context.Context, _ uint64) {
 	byZone := map[string][]store.Key{}
-	for _, key := range r.before {
+	for _, key := range r.staleRows {
 		byZone[key.Part] = append(byZone[key.Part], key)
 	}
-	r.before = nil
+	r.staleRows = nil
 	for zone, keys := range byZone {
 		tx := store.Tx{Delete: keys[:min(len(keys), maxDeletes)]}
 		if _, err := r.Rows.Commit(ctx, tx); err != nil {
--- a/usage/rows.go
+++ b/usage/rows.go
@@ -10,16 +10,16 @@
 	"mulberryscale.example/transport/codec"
 )
 
-// TableCounts holds a row for each window and start of an entry, in a part for
-// each availability zone: a part of the store takes 150 transactions a second.
+// TableCounts holds a row for each window and incarnation of an entry. Each availability zone has
+// its own partition, since a partition of the store takes 150 transactions per second.
 const TableCounts = "usage_counts"
 
-// countsKey is the row of an entry's counts of a window.
+// countsKey returns the key of the row with an entry's counts of a window.
 func countsKey(zone string, window uint64, entry string) store.Key {
 	return store.Key{Table: TableCounts, Part: zone, Name: windowName(window) + entry}
 }
 
-// windowName begins the names of a window's rows. Names of earlier windows come first.
+// windowName returns the prefix of the names of a window's rows. Names sort by window.
 func windowName(window uint64) string { return fmt.Sprintf("%020d/", window) }
 
 func windowOf(name string) (uint64, error) {
@@ -27,32 +27,32 @@
 	return strconv.ParseUint(digits, 10, 64)
 }
 
-// counted are the rows of windows up to one, of one availability zone.
-type counted struct {
-	counts Counts // of that window
-	before []store.Key
+// zoneCounts is the usage of one window in one availability zone, and the rows of earlier windows.
+type zoneCounts struct {
+	counts    Counts
+	staleRows []store.Key
 }
 
-// readZone reads what a zone's entries counted in a window, and which rows of
-// earlier windows are still there.
-func readZone(ctx context.Context, rows store.Rows, zone string, window uint64) (counted, error) {
+// readZone reads the counts of all entries of a zone for a window, and the keys of the rows of
+// earlier windows.
+func readZone(ctx context.Context, rows store.Rows, zone string, window uint64) (zoneCounts, error) {
 	s, err := store.ListAll(ctx, rows, store.Range{Table: TableCounts, Part: zone, To: windowName(window + 1)})
 	if err != nil {
-		return counted{}, err
+		return zoneCounts{}, err
 	}
-	c := counted{counts: Counts{}}
+	c := zoneCounts{counts: Counts{}}
 	for _, row := range s.Rows {
 		of, err := windowOf(row.Name)
 		if err != nil {
-			return counted{}, fmt.Errorf("row %s of %s: %w", row.Name, TableCounts, err)
+			return zoneCounts{}, fmt.Errorf("row %s of %s: %w", row.Name, TableCounts, err)
 		}
 		if of != window {
-			c.before = append(c.before, row.Key)
+			c.staleRows = append(c.staleRows, row.Key)
 			continue
 		}
 		var counts Counts
 		if err := codec.Unmarshal(row.Value, &counts); err != nil {
-			return counted{}, fmt.Errorf("row %s of %s: %w", row.Name, TableCounts, err)
+			return zoneCounts{}, fmt.Errorf("row %s of %s: %w", row.Name, TableCounts, err)
 		}
 		for organisation, n := range counts {
 			c.counts[organisation] += n
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	testDue    = 10 * time.Second
-	testMember = 41 // organisations of the load
+	testDue           = 10 * time.Second
+	testOrganisations = 41
 )
 
 var testWindows = Windows{Length: 5 * time.Second}
 
-// entry counts and records on its own way to the store.
+// entry is an entry that counts requests and records them with its own client of the store.
 type entry struct {
 	counter *Counter
-	way     *rowstore.Client
+	client  *rowstore.Client
 	stop    context.CancelFunc
 	done    sync.WaitGroup
 }
 
 func startEntry(s *rowstore.Store, zone, name string) *entry {
 	ctx, stop := context.WithCancel(context.Background())
-	e := &entry{counter: NewCounter(testWindows), way: s.Client(), stop: stop}
+	e := &entry{counter: NewCounter(testWindows), client: s.Client(), stop: stop}
 	r := &Recorder{
-		Rows: e.way, Counter: e.counter, Windows: testWindows, Zone: zone, Entry: name, ReportDelay: ReportDelay(testDue), Log: observe.Discard(),
+		Rows: e.client, Counter: e.counter, Windows: testWindows, Zone: zone, Entry: name, ReportDelay: ReportDelay(testDue), Log: observe.Discard(),
 	}
 	e.done.Go(func() { r.Run(ctx) })
 	return e
 }
 
-func (e *entry) end() {
+func (e *entry) shutDown() {
 	e.stop()
 	e.done.Wait()
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// decide is what would be reported of a window now.
+// decide returns the counts that would be reported for a window now.
 func decide(t *testing.T, rows store.Rows, window uint64) Counts {
 	t.Helper()
 	work, err := newReporter(rows, nil).Decide(t.Context(), window, nil)
@@ -67,9 +67,9 @@
 	return r.Counts
 }
 
-// TestManySmallCounts has the load of a site with many organisations and few
-// requests: 14 a second of 41 organisations at 6 entries, so that most counts of
-// a window are 0, 1 or 2 and each one matters. Writes fail in all ways meanwhile.
+// TestManySmallCounts has the load of a site with many organisations and few requests: 14 per
+// second from 41 organisations at 6 entries. Most counts of a window are 0, 1 or 2, so that each
+// lost request shows. Writes fail in all possible ways meanwhile.
 func TestManySmallCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
@@ -81,7 +81,7 @@
 		truth := map[uint64]Counts{}
 		for i := range 14 * 20 {
 			time.Sleep(71 * time.Millisecond)
-			organisation := fmt.Sprint("o", i*i%testMember)
+			organisation := fmt.Sprint("o", i*i%testOrganisations)
 			window := testWindows.Index(time.Now())
 			entries[i%len(entries)].counter.Add(organisation, time.Now())
 			if truth[window] == nil {
@@ -106,47 +106,47 @@
 			}
 		}
 		for _, e := range entries {
-			e.end()
+			e.shutDown()
 		}
 		time.Sleep(rowstore.LateBy)
 	})
 }
 
-// TestCountsOutliveAnOutage has the store away over the end of a window for as
-// long as a report waits for.
-func TestCountsOutliveAnOutage(t *testing.T) {
+// TestCountsSurviveStoreOutage makes the store unreachable across the end of a window, for less
+// than the time until the report.
+func TestCountsSurviveStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
 		e := startEntry(s, "z", "entry")
 		window := testWindows.Index(time.Now())
-		e.way.Cut(store.ErrUnknown)
+		e.client.Cut(store.ErrUnknown)
 		e.counter.Add("guthi", time.Now())
 		time.Sleep(testWindows.Length + 3*time.Second)
-		e.way.Cut(nil)
+		e.client.Cut(nil)
 		time.Sleep(time.Second)
 		if got := decide(t, s, window); got["guthi"] != 1 {
 			t.Errorf("got %v", got)
 		}
-		e.end()
+		e.shutDown()
 	})
 }
 
-// TestStoppedEntryWritesItsLastCounts ends an entry right after a request.
+// TestStoppedEntryWritesItsLastCounts stops an entry right after a request.
 func TestStoppedEntryWritesItsLastCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
 		e := startEntry(s, "z", "entry")
 		e.counter.Add("guthi", time.Now())
 		synctest.Wait()
-		e.end()
+		e.shutDown()
 		if got := decide(t, s, testWindows.Index(time.Now())); got["guthi"] != 1 {
 			t.Errorf("got %v", got)
 		}
 	})
 }
 
-// TestWritesAreBounded: a busy entry writes at most once a second, however many
-// requests it counts; one without requests writes nothing.
+// TestWritesAreBounded checks that a busy entry writes at most once per second, however many
+// requests it counts, and that an entry without requests writes nothing.
 func TestWritesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
@@ -158,20 +158,20 @@
 		if n := s.Commits(); n > 10+4 {
 			t.Errorf("%d writes in ten seconds", n)
 		}
-		busy.end()
-		idle.end()
+		busy.shutDown()
+		idle.shutDown()
 	})
 }
 
 func TestRequestsOfNoOrganisationAreNotCounted(t *testing.T) {
 	c := NewCounter(testWindows)
 	c.Add("", time.Now())
-	if taken := c.take(); len(taken) != 0 {
+	if taken := c.takeChanged(); len(taken) != 0 {
 		t.Errorf("got %v", taken)
 	}
 }
 
-func TestWindowsOfTrueTime(t *testing.T) {
+func TestWindowsOfUnixTime(t *testing.T) {
 	w := Windows{Length: 5 * time.Second}
 	at := time.Unix(1779205550, 0)
 	if w.Index(at) != 355841110 || w.Index(at.Add(-1)) != 355841109 || !w.End(355841109).Equal(at) {
@@ -179,20 +179,21 @@
 	}
 }
 
-// fakeSink takes reports.
-type fakeSink struct{ reports []Report }
+// fakeSender records the reports that it gets.
+type fakeSender struct{ reports []Report }
 
-func (s *fakeSink) Report(_ context.Context, _ duty.Fence, acting func() bool, r *Report) error {
-	if !acting() {
+func (s *fakeSender) Report(_ context.Context, _ duty.Fence, maySend func() bool, r *Report) error {
+	if !maySend() {
 		return errors.New("the term is over")
 	}
 	s.reports = append(s.reports, *r)
 	return nil
 }
 
-// TestReportIsSentAsDecided: rows that change after the decision change nothing.
+// TestReportIsSentAsDecided checks that rows that change after the decision don't change the
+// report.
 func TestReportIsSentAsDecided(t *testing.T) {
-	s, sink := rowstore.New(), &fakeSink{}
+	s, sink := rowstore.New(), &fakeSender{}
 	r := newReporter(s, sink)
 	put := func(zone string, window uint64, entry string, counts Counts) {
 		value, err := codec.Marshal(counts)
@@ -210,9 +211,9 @@
 		t.Fatal(err)
 	}
 	put("y", 7, "e1", Counts{"guthi": 50})
-	acting := true
+	maySend := true
 	for range 2 {
-		if err := r.Send(t.Context(), duty.Fence{}, func() bool { return acting }, work); err != nil {
+		if err := r.Send(t.Context(), duty.Fence{}, func() bool { return maySend }, work); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -226,19 +227,19 @@
 		left = append(left, row.Name)
 	}
 	if len(left) != 3 {
-		t.Errorf("rows of earlier windows are removed: got %v", left)
+		t.Errorf("rows of earlier windows must be removed: got %v", left)
 	}
 	if _, err := r.Decide(t.Context(), 9, nil); err != nil {
 		t.Fatal(err)
 	}
 	s.Put(store.Row{Key: countsKey("z", 9, "e3"), Value: []byte("{")})
 	if _, err := r.Decide(t.Context(), 9, nil); err == nil {
-		t.Error("a row that is not readable must not be left out")
+		t.Error("want an error for a row that is not readable")
 	}
 }
 
-// TestWindowsInTheirOrder: after a long absence the backlog is bounded; the first
-// report ever is of the last window that is due.
+// TestWindowsInTheirOrder checks that windows are reported in order, that the backlog after a long
+// outage is bounded, and that the first report ever is of the last due window.
 func TestWindowsInTheirOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReporter(rowstore.New(), nil)
@@ -263,9 +264,9 @@
 	})
 }
 
-// TestWithdrawnRequestsAreNotReported guards against counts of requests that an
-// endpoint did not begin: one that is known before the counts are written costs no
-// write, one that is known later is taken out of what was written.
+// TestWithdrawnRequestsAreNotReported guards against reports of requests that no endpoint began. A
+// request that is withdrawn before its count is written must cause no write. One that is
+// withdrawn later must be removed from the written count.
 func TestWithdrawnRequestsAreNotReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
@@ -282,13 +283,13 @@
 		withdraw := e.counter.Add("guthi", time.Now())
 		time.Sleep(time.Second)
 		if got := decide(t, s, window); got["guthi"] != 2 {
-			t.Errorf("before it is known: got %v", got)
+			t.Errorf("before the withdrawal: got %v", got)
 		}
 		withdraw()
 		time.Sleep(time.Second)
 		if got := decide(t, s, window); got["guthi"] != 1 {
-			t.Errorf("once it is known: got %v", got)
+			t.Errorf("after the withdrawal: got %v", got)
 		}
-		e.end()
+		e.shutDown()
 	})
 }
