--- a/tablesync/bootstrap.go
+++ b/tablesync/bootstrap.go
@@ -8,10 +8,10 @@
 	"github.com/gravitational/trace"
 )
 
-// Bootstrap finds a first version for a process that starts: it asks some peers
-// and the table service at once and keeps the newest answer. The poller may be
-// nil, as for agents, which leave the table service to the entries. An error
-// says why neither has a table; the caller may go on and try again.
+// Bootstrap finds the first version for a process that starts: it queries some peers
+// and the table service concurrently and keeps the newest version. The poller may be
+// nil, as it is in agents: only entries read the table service. The error joins the
+// errors of both sources; the caller may continue and retry.
 func Bootstrap(ctx context.Context, spread *Spread, poller *Poller, peers []Peer) error {
 	var fromPeers, fromService error
 	var both sync.WaitGroup
--- a/tablesync/handle.go
+++ b/tablesync/handle.go
@@ -8,13 +8,13 @@
 	"mulberryscale.example/wire"
 )
 
-// Steps named in refusals.
+// Step names in refusals.
 const (
 	stepPush = "table.push"
 )
 
-// HandlePull answers a peer's PullTable: the document in force if it is newer
-// than what the peer has. The version in self is replaced by the one in force.
+// HandlePull handles a peer's PullTable. The reply holds the document in force if it
+// is newer than the peer's. The table version in self is set to the one in force.
 func HandlePull(h *Holder, self wire.Header, pull wire.PullTable) wire.Reply {
 	reply := wire.Reply{Header: self, OK: true}
 	doc := h.Document()
@@ -28,7 +28,7 @@
 	return reply
 }
 
-// HandlePush installs a document that a peer pushed, if it is newer.
+// HandlePush handles a peer's PushTable: it installs the document if it is newer.
 func HandlePush(h *Holder, self wire.Header, doc wire.TableDocument) wire.Reply {
 	_, err := h.Install(doc)
 	self.TableVersion = h.Version()
--- a/tablesync/holder.go
+++ b/tablesync/holder.go
@@ -1,6 +1,6 @@
-// Package tablesync keeps the newest version of the table in each process:
-// Holder has the version in force, Poller reads the table service sparsely and
-// Spread passes versions on between our processes.
+// Package tablesync replicates the newest version of the table to each process:
+// Holder holds the version in force, Poller polls the table service at a bounded
+// rate, and Spread disseminates versions between our processes.
 package tablesync
 
 import (
@@ -16,9 +16,9 @@
 	"mulberryscale.example/wire"
 )
 
-// BodyMismatchError says that a document has the version in force and another
-// body. Versions are written once, so this is a fault of the table service or
-// of a peer; the version in force stays.
+// BodyMismatchError means that a document has the version in force but a different
+// body or format. Versions are immutable, so this is a fault of the table service or
+// of a peer; the document in force stays.
 type BodyMismatchError struct{ Version uint64 }
 
 // Error implements error.
@@ -26,14 +26,14 @@
 	return fmt.Sprintf("table version %d: a second document with another body", e.Version)
 }
 
-// Holder has the newest version of the table that this process has seen. It
-// never goes back to an older one. It is safe for concurrent use.
+// Holder holds the newest version of the table that this process has received. It
+// never reverts to an older one. It is safe for concurrent use.
 type Holder struct {
 	installing sync.Mutex
 	state      atomic.Pointer[holderState]
 }
 
-// holderState is replaced as a whole at each install.
+// holderState is immutable; each install replaces it.
 type holderState struct {
 	snapshot *table.Snapshot
 	document *wire.TableDocument
@@ -47,17 +47,18 @@
 	return h
 }
 
-// Current is the version in force, nil before the first.
+// Current returns the snapshot in force, nil before the first install.
 func (h *Holder) Current() *table.Snapshot { return h.state.Load().snapshot }
 
-// Version is the number of the version in force, 0 before the first.
+// Version returns the version in force, 0 before the first install.
 func (h *Holder) Version() uint64 { return h.state.Load().version() }
 
-// Document is the document in force, nil before the first. It must not be changed.
+// Document returns the document in force, nil before the first install. The caller must
+// not change it.
 func (h *Holder) Document() *wire.TableDocument { return h.state.Load().document }
 
-// Changed returns a channel that is closed at the next install. Take it before
-// reading Current so as to miss no install.
+// Changed returns a channel that is closed at the next install. Call it before
+// Current in order to miss no install.
 func (h *Holder) Changed() <-chan struct{} { return h.state.Load().replaced }
 
 func (s *holderState) version() uint64 {
@@ -67,12 +68,12 @@
 	return s.snapshot.Version
 }
 
-// Install puts a document in force if it is newer than the one in force. An
-// older one, or the same again, is passed over without an error. It returns a
-// BodyMismatchError for the same version with another body, and an error that
+// Install puts a document in force if it is newer than the one in force. It ignores
+// an older document and a repeated one without an error. It returns a
+// BodyMismatchError for the same version with a different body, and an error that
 // wraps table.Errors for a document that does not parse; neither is installed.
 func (h *Holder) Install(doc wire.TableDocument) (installed bool, err error) {
-	newer, err := h.state.Load().admits(&doc)
+	newer, err := h.state.Load().supersededBy(&doc)
 	if err != nil || !newer {
 		return false, err
 	}
@@ -83,8 +84,8 @@
 	h.installing.Lock()
 	defer h.installing.Unlock()
 	old := h.state.Load()
-	// Another install may have come first while this document was parsed.
-	newer, err = old.admits(&doc)
+	// Another document may have been installed while this one was parsed.
+	newer, err = old.supersededBy(&doc)
 	if err != nil || !newer {
 		return false, err
 	}
@@ -98,8 +99,9 @@
 	return true, nil
 }
 
-// admits reports whether the document is newer than the state.
-func (s *holderState) admits(doc *wire.TableDocument) (bool, error) {
+// supersededBy reports whether the document is newer than the state. It returns a
+// BodyMismatchError for a different document of the same version.
+func (s *holderState) supersededBy(doc *wire.TableDocument) (bool, error) {
 	have := s.version()
 	if doc.Version != have {
 		return doc.Version > have, nil
--- a/tablesync/holder_test.go
+++ b/tablesync/holder_test.go
@@ -15,7 +15,7 @@
 	"mulberryscale.example/wire"
 )
 
-// TestMain fixes rapid's seed; -rapid.seed on the command line wins.
+// TestMain sets a fixed seed for rapid; -rapid.seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// document makes a version whose one row is named after it.
+// document returns a document whose only row is named after its version.
 func document(version uint64) wire.TableDocument {
 	return wire.TableDocument{
 		Version:    version,
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestHolderNeverReverts installs versions from several goroutines and watches
-// that what is in force only grows and ends as the newest.
+// TestHolderNeverReverts installs versions concurrently. The version in force must
+// never decrease, and must be the newest one at the end.
 func TestHolderNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := NewHolder()
@@ -77,7 +77,7 @@
 					t.Errorf("version %d: %v", v, err)
 				}
 				if after := h.Version(); after < before || after < v {
-					t.Errorf("%d after %d and the install of %d", after, before, v)
+					t.Errorf("version %d in force, was %d before the install of %d", after, before, v)
 				}
 			})
 		}
@@ -100,7 +100,7 @@
 	<-changed
 	select {
 	case <-h.Changed():
-		t.Fatal("closed without an install")
+		t.Fatal("the channel was closed without an install")
 	default:
 	}
 }
--- a/tablesync/notice.go
+++ b/tablesync/notice.go
@@ -10,40 +10,41 @@
 	"mulberryscale.example/wire"
 )
 
-// runNotices sends notices after each install and, now and then, to the peers
+// runNotices sends notices after each install, and each RenotifyInterval to the peers
 // that are known to be behind.
 func (s *Spread) runNotices(ctx context.Context) {
-	renotice := time.NewTicker(s.config.RenotifyInterval)
-	defer renotice.Stop()
-	var noticed uint64
+	renotify := time.NewTicker(s.config.RenotifyInterval)
+	defer renotify.Stop()
+	var announced uint64
 	for {
 		changed := s.config.Holder.Changed()
-		if version := s.config.Holder.Version(); version > noticed {
-			noticed = version
-			s.notify(ctx, s.noticePeers())
-			continue // a version may have come meanwhile
+		if version := s.config.Holder.Version(); version > announced {
+			announced = version
+			s.sendNotices(ctx, s.noticePeers())
+			continue // another version may have been installed meanwhile
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-renotice.C:
-			s.notify(ctx, s.takeLaggards())
+		case <-renotify.C:
+			s.sendNotices(ctx, s.takeLaggards())
 		}
 	}
 }
 
-// noticePeers lists whom an install concerns: some entries and all watched agents.
+// noticePeers lists the recipients of the notices of an install: a random sample of the
+// entries and all watched agents.
 func (s *Spread) noticePeers() []Peer {
-	peers := s.choose(s.config.Entries(), s.config.Fanout)
+	peers := s.sample(s.config.Entries(), s.config.Fanout)
 	if s.config.Watched != nil {
 		peers = append(peers, s.config.Watched()...)
 	}
 	return peers
 }
 
-// choose draws up to n peers, without this process.
-func (s *Spread) choose(peers []Peer, n int) []Peer {
+// sample returns up to n random peers other than this process.
+func (s *Spread) sample(peers []Peer, n int) []Peer {
 	self := s.config.Self().From
 	others := make([]Peer, 0, len(peers))
 	for _, p := range peers {
@@ -59,8 +60,8 @@
 	return others[:min(n, len(others))]
 }
 
-// takeLaggards takes the peers that are behind. One that stays behind is noted
-// again by its next message.
+// takeLaggards returns and forgets the peers that are behind. Observe adds one that
+// stays behind again at its next message.
 func (s *Spread) takeLaggards() []Peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,27 +73,26 @@
 		}
 	}
 	clear(s.laggards)
-	s.lagging.Store(0)
+	s.laggardCount.Store(0)
 	return peers
 }
 
-// notify sends notices, a bounded number at a time.
-func (s *Spread) notify(ctx context.Context, peers []Peer) {
+// sendNotices sends a notice to each peer, up to MaxConcurrent at a time.
+func (s *Spread) sendNotices(ctx context.Context, peers []Peer) {
 	var group errgroup.Group
 	group.SetLimit(s.config.MaxConcurrent)
 	for _, peer := range peers {
 		group.Go(func() error {
-			s.notice(ctx, peer)
+			s.sendNotice(ctx, peer)
 			return nil
 		})
 	}
 	_ = group.Wait() // no notice returns an error
 }
 
-// notice asks a peer for anything newer than the version in force here. The
-// header of the question tells the peer of this version, and the peer's answer
-// is observed in turn.
-func (s *Spread) notice(ctx context.Context, peer Peer) {
+// sendNotice sends a PullTable to a peer. The header of the request announces the
+// version in force here, and the reply returns a newer document if the peer has one.
+func (s *Spread) sendNotice(ctx context.Context, peer Peer) {
 	version := s.config.Holder.Version()
 	reply, err := s.call(ctx, peer.Addr, wire.Request{PullTable: &wire.PullTable{Have: version}})
 	s.count(func(st *SpreadStats) {
@@ -102,17 +102,17 @@
 		}
 	})
 	if err != nil {
-		s.config.Log.WithError(err).WithField("peer", peer.Addr).Debug("notice of the table failed")
+		s.config.Log.WithError(err).WithField("peer", peer.Addr).Debug("table notice failed")
 		return
 	}
 	if reply.Table != nil {
 		if err := s.install(reply); err != nil {
-			s.config.Log.WithError(err).WithField("peer", peer.Addr).Error("a peer's table was refused")
+			s.config.Log.WithError(err).WithField("peer", peer.Addr).Error("table from peer rejected")
 		}
 		return
 	}
 	reply.Header.Addr = peer.Addr
-	s.Observe(reply.Header) // if it is still behind at the next renotice it gets another
+	s.Observe(reply.Header) // sends another notice if the peer is still behind after RenotifyInterval
 	if reply.Header.TableVersion < version && s.config.Self().Addr == "" {
 		s.push(ctx, peer) // the peer cannot pull from here
 	}
--- a/tablesync/poller.go
+++ b/tablesync/poller.go
@@ -23,58 +23,59 @@
 	DefaultMaxBackoff     = 30 * time.Second
 )
 
-// jitterShare is how far an interval is shortened or lengthened at random, so
-// that pollers that started together come apart.
+// jitterShare is the fraction by which an interval is randomly shortened or lengthened,
+// so that pollers that started together do not stay in step.
 const jitterShare = 0.25
 
-// Reader reads versions; *tablestore.Store is one.
+// Reader reads versions of the table; *tablestore.Store implements it.
 type Reader interface {
 	Current(ctx context.Context) (tablestore.Entry, error)
 	Version(ctx context.Context, n uint64) (tablestore.Document, error)
 }
 
-// PollerConfig configures a Poller. Zero durations and rates take the defaults.
+// PollerConfig configures a Poller. Durations and rates that are zero or negative take the
+// defaults.
 type PollerConfig struct {
 	Reader Reader
 	Holder *Holder
-	// Entries is how many entries are believed to poll, this one included.
+	// Entries returns the estimated number of polling entries, including this one.
 	Entries func() int
-	// ReadsPerSecond is what all entries together read of what is current.
+	// ReadsPerSecond is the rate at which all entries together read the current version.
 	ReadsPerSecond float64
 	MinInterval    time.Duration
 	MaxInterval    time.Duration
 	ReadTimeout    time.Duration
-	// MaxBackoff bounds the interval while the table service does not answer.
+	// MaxBackoff bounds the interval while reads fail.
 	MaxBackoff time.Duration
-	// Rand draws the jitter; nil draws from the runtime's source.
+	// Rand is the source of the jitter; nil selects the global source of math/rand/v2.
 	Rand *rand.Rand
 	Log  logrus.FieldLogger
 }
 
-// PollerStats counts what a Poller did.
+// PollerStats holds the counters of a Poller.
 type PollerStats struct {
 	Reads    int64 `json:"reads"`
 	Failures int64 `json:"failures"`
-	// Older counts reads that showed an older version than the one in force.
+	// Older counts stale reads: they returned an older version than the one in force.
 	Older    int64 `json:"older"`
 	Installs int64 `json:"installs"`
 	// Rejected counts versions that could not be installed.
 	Rejected int64 `json:"rejected"`
 }
 
-// Poller reads the table service sparsely: the more entries there are, the more
-// rarely each of them asks, so that their reads together stay bounded. What one
-// of them finds reaches the others by Spread.
+// Poller polls the table service. The interval grows with the number of entries, so
+// that the total read rate stays bounded. A version that one entry reads reaches the
+// others through Spread.
 type Poller struct {
 	config PollerConfig
-	// answeredAt is when the table service last answered, nil before the first time.
-	answeredAt atomic.Pointer[time.Time]
+	// respondedAt is when the table service last responded, nil before the first response.
+	respondedAt atomic.Pointer[time.Time]
 
 	mu    sync.Mutex
 	stats PollerStats
 }
 
-// NewPoller returns a poller that does nothing until Run or Poll.
+// NewPoller returns a Poller that makes no reads before Run or Poll.
 func NewPoller(c PollerConfig) *Poller {
 	setDefault(&c.ReadsPerSecond, DefaultReadsPerSecond)
 	setDefault(&c.MinInterval, DefaultMinInterval)
@@ -90,8 +91,8 @@
 	}
 }
 
-// Interval is how long each of a number of entries waits between two reads so
-// that all of them together make readsPerSecond.
+// Interval returns the time between two reads of each entry at which all entries
+// together make readsPerSecond reads. It is bounded by low and high.
 func Interval(entries int, readsPerSecond float64, low, high time.Duration) time.Duration {
 	seconds := float64(entries) / readsPerSecond
 	if seconds >= high.Seconds() {
@@ -100,8 +101,8 @@
 	return max(low, time.Duration(math.Round(seconds*float64(time.Second))))
 }
 
-// Backoff is the wait after a number of failures in a row: the interval,
-// doubled for each failure after the first and bounded.
+// Backoff returns the delay after a number of consecutive failures: the interval,
+// doubled for each failure after the first, up to high.
 func Backoff(interval time.Duration, failures int, high time.Duration) time.Duration {
 	for range failures - 1 {
 		interval *= 2
@@ -112,7 +113,7 @@
 	return interval
 }
 
-// Run polls until ctx ends.
+// Run polls until ctx is cancelled.
 func (p *Poller) Run(ctx context.Context) {
 	failures := 0
 	for {
@@ -140,8 +141,8 @@
 	return time.Duration(float64(d) * (1 - jitterShare + 2*jitterShare*random()))
 }
 
-// Poll reads once, and installs a newer version. An error says that the table
-// service did not answer or that its version could not be installed.
+// Poll reads once and installs a newer version. It returns an error if the read failed
+// or the version could not be installed.
 func (p *Poller) Poll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, p.config.ReadTimeout)
 	defer cancel()
@@ -166,10 +167,10 @@
 		return false, err
 	}
 	now := time.Now()
-	p.answeredAt.Store(&now)
+	p.respondedAt.Store(&now)
 	have := p.config.Holder.Version()
 	if entry.Version <= have {
-		p.countOlder(entry.Version < have)
+		p.countStaleRead(entry.Version < have)
 		return false, nil
 	}
 	doc, err := p.config.Reader.Version(ctx, entry.Version)
@@ -185,7 +186,7 @@
 	return installed, err
 }
 
-func (p *Poller) countOlder(older bool) {
+func (p *Poller) countStaleRead(older bool) {
 	if !older {
 		return
 	}
@@ -194,16 +195,17 @@
 	p.stats.Older++
 }
 
-// Age is how long ago the table service last answered; false when it never did.
+// Age returns the time since the last response of the table service, and false before
+// the first one.
 func (p *Poller) Age(now time.Time) (time.Duration, bool) {
-	at := p.answeredAt.Load()
+	at := p.respondedAt.Load()
 	if at == nil {
 		return 0, false
 	}
 	return now.Sub(*at), true
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (p *Poller) Stats() PollerStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/tablesync/poller_test.go
+++ b/tablesync/poller_test.go
@@ -67,15 +67,15 @@
 	})
 }
 
-// TestPollerThroughOutage: the version in force stays through an outage, its
-// age is told, and it does not revert when the service comes back stale.
+// TestPollerThroughOutage: the version in force stays during an outage of the table
+// service while Age grows, and it does not revert on stale reads.
 func TestPollerThroughOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := tableservice.New(tableservice.Options{})
 		store := tablestore.New(service)
 		p := newPoller(store, 1, 1)
 		if _, ok := p.Age(time.Now()); ok {
-			t.Fatal("an age before any answer")
+			t.Fatal("Age is known before the first response")
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
@@ -106,8 +106,8 @@
 	})
 }
 
-// TestPollerKeepsVersionOnStaleRead: a read that shows an older version is
-// counted and changes nothing.
+// TestPollerKeepsVersionOnStaleRead: a read that returns an older version is counted
+// and changes nothing.
 func TestPollerKeepsVersionOnStaleRead(t *testing.T) {
 	service := tableservice.New(tableservice.Options{})
 	store := tablestore.New(service)
@@ -125,7 +125,8 @@
 	}
 }
 
-// TestPollersReadWithinTheirRate counts what the design's 820 entries read.
+// TestPollersReadWithinTheirRate measures the total read rate of 820 entries, the number
+// that the design assumes.
 func TestPollersReadWithinTheirRate(t *testing.T) {
 	const entries = 820
 	synctest.Test(t, func(t *testing.T) {
--- a/tablesync/spread.go
+++ b/tablesync/spread.go
@@ -18,50 +18,50 @@
 
 // Defaults of SpreadConfig.
 const (
-	// DefaultFanout leaves 0.03% of many entries without a notice in the mean;
-	// those learn from later headers and from the table service.
+	// DefaultFanout leaves 0.03% of many entries without a notice on average. They learn
+	// of the version from the header of a later message or from the table service.
 	DefaultFanout           = 8
 	DefaultMaxConcurrent    = 64
 	DefaultCallTimeout      = 2 * time.Second
 	DefaultRenotifyInterval = 5 * time.Second
 )
 
-// Bounds of what is kept between calls.
+// Bounds of the peers that are remembered.
 const (
-	maxSources  = 8    // peers remembered as having the wanted version
-	maxLaggards = 4096 // peers remembered as being behind
+	maxSources  = 8    // peers that have the wanted version
+	maxLaggards = 4096 // peers that are behind
 )
 
-// Peer is a process that takes part in spreading.
+// Peer is a process that takes part in the dissemination of versions.
 type Peer struct {
 	ID   string
 	Addr string // "ip:port"
 }
 
-// SpreadConfig configures a Spread. Zero values take the defaults.
+// SpreadConfig configures a Spread. Zero numbers and durations take the defaults.
 type SpreadConfig struct {
-	// Self is the header of this process; its table version is filled in.
+	// Self returns the header of this process. Spread sets its table version.
 	Self   func() wire.Header
 	Dialer transport.Dialer
 	Holder *Holder
-	// Entries lists the entries known, perhaps with this process among them.
+	// Entries lists the known entries. The list may include this process.
 	Entries func() []Peer
-	// Watched lists the agents that this process watches; nil for an agent.
+	// Watched lists the agents that this process watches. It is nil in an agent.
 	Watched func() []Peer
-	// Fanout is how many entries get a notice of each version.
+	// Fanout is the number of entries that get a notice of each version.
 	Fanout int
-	// MaxConcurrent bounds the notices under way.
+	// MaxConcurrent bounds the notices in flight.
 	MaxConcurrent int
-	// CallTimeout bounds one call of a peer.
+	// CallTimeout bounds one call to a peer.
 	CallTimeout time.Duration
 	// RenotifyInterval is how often peers that are still behind get a notice.
 	RenotifyInterval time.Duration
-	// Rand draws the entries; nil draws from the runtime's source.
+	// Rand selects the entries; nil selects the global source of math/rand/v2.
 	Rand *rand.Rand
 	Log  logrus.FieldLogger
 }
 
-// SpreadStats counts what a Spread did.
+// SpreadStats holds the counters of a Spread.
 type SpreadStats struct {
 	Notices        int64 `json:"notices"`
 	NoticeFailures int64 `json:"notice_failures"`
@@ -73,26 +73,27 @@
 	Rejected int64 `json:"rejected"`
 }
 
-// Spread passes versions on between our processes. After each install it sends
-// a notice, a message of some hundred bytes, to a few entries and to the
-// watched agents; a process that learns of a newer version by a notice, or by
-// the header of any other message, pulls the document once. So each process
-// receives each document once, and no one has to know all processes.
+// Spread disseminates versions between our processes by gossip. After each install it
+// sends a notice, a message of some hundred bytes, to a few random entries and to the
+// watched agents. A process that learns of a newer version from a notice, or from the
+// header of any other message, pulls the document once. So each process receives each
+// document once, and no process needs to know all others.
 type Spread struct {
 	config SpreadConfig
 	wake   chan struct{}
-	// lagging is the length of laggards, for Observe's short way.
-	lagging atomic.Int64
+	// laggardCount is the length of laggards, for the fast path of Observe without the lock.
+	laggardCount atomic.Int64
 
 	mu sync.Mutex
-	// wanted is the newest version heard of; sources have it, the latest heard last.
-	wanted   uint64
-	sources  []string
-	laggards map[string]uint64 // address to the version in force there
-	stats    SpreadStats
+	// wantedVersion is the newest version known to exist. sources are the addresses of
+	// peers that have it, the most recently seen last.
+	wantedVersion uint64
+	sources       []string
+	laggards      map[string]uint64 // by address: the version in force there
+	stats         SpreadStats
 }
 
-// NewSpread returns a Spread that does nothing until Run.
+// NewSpread returns a Spread that neither pulls nor sends notices before Run.
 func NewSpread(c SpreadConfig) *Spread {
 	setDefault(&c.Fanout, DefaultFanout)
 	setDefault(&c.MaxConcurrent, DefaultMaxConcurrent)
@@ -101,7 +102,7 @@
 	return &Spread{config: c, wake: make(chan struct{}, 1), laggards: make(map[string]uint64)}
 }
 
-// Run pulls and sends notices until ctx ends.
+// Run pulls documents and sends notices until ctx is cancelled.
 func (s *Spread) Run(ctx context.Context) {
 	var both sync.WaitGroup
 	both.Go(func() { s.runPulls(ctx) })
@@ -109,11 +110,11 @@
 	both.Wait()
 }
 
-// Observe takes note of a peer's header, of any message. It is cheap and never
-// blocks: call it for each message.
+// Observe records the table version in the header of a peer's message. It is cheap and
+// never blocks on I/O; call it for each message.
 func (s *Spread) Observe(header wire.Header) {
 	have := s.config.Holder.Version()
-	if header.Addr == "" || header.TableVersion == have && s.lagging.Load() == 0 {
+	if header.Addr == "" || header.TableVersion == have && s.laggardCount.Load() == 0 {
 		return
 	}
 	s.mu.Lock()
@@ -124,19 +125,19 @@
 	case len(s.laggards) < maxLaggards:
 		s.laggards[header.Addr] = header.TableVersion
 	}
-	s.lagging.Store(int64(len(s.laggards)))
+	s.laggardCount.Store(int64(len(s.laggards)))
 	if header.TableVersion > have {
-		s.want(header.TableVersion, header.Addr)
+		s.addSource(header.TableVersion, header.Addr)
 	}
 }
 
-// want remembers a source of a version. The caller holds the lock.
-func (s *Spread) want(version uint64, addr string) {
-	if version < s.wanted {
+// addSource records that a peer has a version. The caller holds s.mu.
+func (s *Spread) addSource(version uint64, addr string) {
+	if version < s.wantedVersion {
 		return
 	}
-	if version > s.wanted {
-		s.wanted = version
+	if version > s.wantedVersion {
+		s.wantedVersion = version
 		s.sources = nil
 	}
 	for _, known := range s.sources {
@@ -154,7 +155,7 @@
 	}
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (s *Spread) Stats() SpreadStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,7 +168,7 @@
 	f(&s.stats)
 }
 
-// runPulls pulls one document at a time.
+// runPulls pulls newer documents, one at a time.
 func (s *Spread) runPulls(ctx context.Context) {
 	for {
 		select {
@@ -187,16 +188,16 @@
 	}
 }
 
-// takeSource takes the latest heard source of a newer version.
+// takeSource removes and returns the most recently seen source of a newer version.
 func (s *Spread) takeSource() (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	last := len(s.sources) - 1
 	if last < 0 {
-		s.wanted = 0 // no one who has it answers; be content with less
+		s.wantedVersion = 0 // no source responded: accept an older version than this one
 		return "", false
 	}
-	if s.config.Holder.Version() >= s.wanted {
+	if s.config.Holder.Version() >= s.wantedVersion {
 		s.sources = nil
 		return "", false
 	}
@@ -205,7 +206,7 @@
 	return addr, true
 }
 
-// Pull asks one peer for its document and installs it if it is newer.
+// Pull requests the document of a peer and installs it if it is newer.
 func (s *Spread) Pull(ctx context.Context, addr string) error {
 	reply, err := s.call(ctx, addr, wire.Request{PullTable: &wire.PullTable{Have: s.config.Holder.Version()}})
 	s.count(func(st *SpreadStats) {
@@ -237,7 +238,8 @@
 	return nil
 }
 
-// call makes one call of a peer and returns its first reply.
+// call sends a request to a peer and returns its first reply. It returns the peer's
+// refusal as an error.
 func (s *Spread) call(ctx context.Context, addr string, req wire.Request) (wire.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
 	defer cancel()
@@ -266,17 +268,17 @@
 	return reply, nil
 }
 
-// errNoPeer says that no peer could be asked.
+// errNoPeer means that there is no peer to query.
 var errNoPeer = errors.New("no peer is known")
 
-// Bootstrap asks some of the peers at once and installs the newest document
-// among their answers. It returns an error when no peer had any.
+// Bootstrap queries some of the peers concurrently and installs the newest document
+// that they return. It returns an error if there is still no table in force.
 func (s *Spread) Bootstrap(ctx context.Context, peers []Peer) error {
-	chosen := s.choose(peers, s.config.Fanout)
-	errs := make([]error, len(chosen))
+	sampled := s.sample(peers, s.config.Fanout)
+	errs := make([]error, len(sampled))
 	var group errgroup.Group
 	group.SetLimit(s.config.MaxConcurrent)
-	for i, peer := range chosen {
+	for i, peer := range sampled {
 		group.Go(func() error {
 			errs[i] = s.Pull(ctx, peer.Addr)
 			return nil
@@ -286,7 +288,7 @@
 	if s.config.Holder.Version() > 0 {
 		return nil
 	}
-	if len(chosen) == 0 {
+	if len(sampled) == 0 {
 		return trace.Wrap(errNoPeer, "step table.bootstrap")
 	}
 	return trace.Wrap(errors.Join(append(errs, errors.New("no peer has a table"))...), "step table.bootstrap")
--- a/tablesync/spread_bench_test.go
+++ b/tablesync/spread_bench_test.go
@@ -16,12 +16,13 @@
 	"mulberryscale.example/wire"
 )
 
-// benchRows is the size of the table that is spread.
+// benchRows is the number of rows of the table.
 const benchRows = 100
 
-// missedAfter is when a node that no notice has reached counts as missed. A
-// real one would learn of the version by its own poll or by a later header.
-const missedAfter = 10 * time.Second
+// missTimeout is how long to wait for a node that got no notice before it counts as
+// missed. In production it would learn of the version by its own poll or from the header
+// of a later message.
+const missTimeout = 10 * time.Second
 
 func benchDocument(version uint64) wire.TableDocument {
 	var body bytes.Buffer
@@ -40,40 +41,41 @@
 	return float64(len(encoded))
 }
 
-// BenchmarkSpread measures, for fleets of growing size in one process with 1 ms
-// one way, how long a version takes from the install at one entry until it is
-// in force at each node, and the messages that this costs. The time includes
-// the processor's: all nodes share this machine.
+// BenchmarkSpread runs fleets of growing size in one process, with a one-way network
+// latency of 1 ms. It measures the time from the install of a version at one entry until
+// it is in force at each node, and the messages sent. The time includes CPU time, since
+// all nodes share this machine.
 func BenchmarkSpread(b *testing.B) {
 	for _, entries := range []int{8, 26, 82, 260, 820} {
 		agents := entries * 12
 		b.Run(fmt.Sprintf("entries=%d/agents=%d", entries, agents), func(b *testing.B) {
 			f := newFleet(b, entries, agents)
 			defer f.close()
-			var took []time.Duration
+			var delays []time.Duration
 			version := uint64(0)
-			before := processorTime(b)
+			before := cpuTime(b)
 			for b.Loop() {
 				version++
-				took = append(took, f.timeInstall(b, version)...)
+				delays = append(delays, f.timeInstall(b, version)...)
 			}
-			used := processorTime(b) - before
-			b.ReportMetric(used.Seconds()*1e3/float64(len(took)), "cpu-ms/node")
-			slices.Sort(took)
-			b.ReportMetric(took[len(took)/2].Seconds()*1e3, "ms-p50")
-			b.ReportMetric(took[len(took)*99/100].Seconds()*1e3, "ms-p99")
-			b.ReportMetric(took[len(took)-1].Seconds()*1e3, "ms-max")
+			used := cpuTime(b) - before
+			b.ReportMetric(used.Seconds()*1e3/float64(len(delays)), "cpu-ms/node")
+			slices.Sort(delays)
+			b.ReportMetric(delays[len(delays)/2].Seconds()*1e3, "ms-p50")
+			b.ReportMetric(delays[len(delays)*99/100].Seconds()*1e3, "ms-p99")
+			b.ReportMetric(delays[len(delays)-1].Seconds()*1e3, "ms-max")
 			f.reportMessages(b, version)
 		})
 	}
 }
 
-// timeInstall installs a version at one entry and returns when each node had it.
+// timeInstall installs a version at one entry and returns how long it took to be in
+// force at each node.
 func (f *fleet) timeInstall(b *testing.B, version uint64) []time.Duration {
 	nodes := f.all()
-	took := make([]time.Duration, len(nodes))
+	delays := make([]time.Duration, len(nodes))
 	doc := benchDocument(version)
-	missed, cancel := context.WithTimeout(context.Background(), missedAfter)
+	timeoutCtx, cancel := context.WithTimeout(context.Background(), missTimeout)
 	defer cancel()
 	var all sync.WaitGroup
 	start := time.Now()
@@ -82,22 +84,22 @@
 		all.Go(func() {
 			select {
 			case <-changed:
-			case <-missed.Done():
-				b.Logf("%s was missed", n.peer.ID)
+			case <-timeoutCtx.Done():
+				b.Logf("%s got no notice", n.peer.ID)
 				_, _ = n.holder.Install(doc)
 			}
-			took[i] = time.Since(start)
+			delays[i] = time.Since(start)
 		})
 	}
 	if _, err := f.entries[int(version)%len(f.entries)].holder.Install(doc); err != nil {
 		b.Fatal(err)
 	}
 	all.Wait()
-	return took
+	return delays
 }
 
-// processorTime is what this process has used of the processors.
-func processorTime(b *testing.B) time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		b.Fatal(err)
--- a/tablesync/spread_test.go
+++ b/tablesync/spread_test.go
@@ -19,7 +19,7 @@
 	"mulberryscale.example/wire"
 )
 
-// node is a process reduced to its table.
+// node is a process that only replicates the table.
 type node struct {
 	peer   Peer
 	holder *Holder
@@ -27,7 +27,7 @@
 	serve  func()
 }
 
-// fleet is a number of entries and of agents, each watched by some entries.
+// fleet consists of entries and of agents, each of which is watched by some entries.
 type fleet struct {
 	network *memtransport.Network
 	entries []*node
@@ -36,8 +36,8 @@
 	running sync.WaitGroup
 }
 
-// watchers is how many entries watch each agent.
-const watchers = 3
+// watchersPerAgent is the number of entries that watch each agent.
+const watchersPerAgent = 3
 
 func newFleet(t testing.TB, entries, agents int) *fleet {
 	f := &fleet{network: memtransport.NewNetworkOptions(memtransport.Options{Latency: time.Millisecond})}
@@ -66,7 +66,7 @@
 	f.running.Wait()
 }
 
-// newNode makes a node; one that knows no entries is an agent.
+// newNode returns a node. One that knows no entries is an agent.
 func (f *fleet) newNode(t testing.TB, id string, seed uint64, entries, agents int) *node {
 	listener, err := f.network.Listen(transport.PeerID(id), "127.0.0.1:0")
 	if err != nil {
@@ -95,7 +95,7 @@
 func (f *fleet) watched(entry, entries, agents int) []Peer {
 	var peers []Peer
 	for i := range agents {
-		for w := range watchers {
+		for w := range watchersPerAgent {
 			if (i+w)%entries == entry {
 				peers = append(peers, f.agents[i].peer)
 			}
@@ -112,7 +112,7 @@
 	return peers
 }
 
-// handle does what the servers of entries and agents do with table messages.
+// handle handles table messages as the servers of entries and agents do.
 func (n *node) handle(self func() wire.Header) transport.Handler {
 	return func(_ context.Context, s transport.Stream) {
 		var req wire.Request
@@ -137,8 +137,8 @@
 	}
 }
 
-// behind counts the nodes without a version.
-func (f *fleet) behind(version uint64) int {
+// countBehind counts the nodes whose table is older than a version.
+func (f *fleet) countBehind(version uint64) int {
 	count := 0
 	for _, n := range f.all() {
 		if n.holder.Version() < version {
@@ -154,8 +154,8 @@
 		defer f.close()
 		f.entries[7].install(t, 1)
 		time.Sleep(time.Second)
-		if n := f.behind(1); n > 0 {
-			t.Fatalf("%d of 120 are behind after a second", n)
+		if n := f.countBehind(1); n > 0 {
+			t.Fatalf("%d of 120 nodes are behind after a second", n)
 		}
 		for _, n := range f.all() {
 			if installs := n.spread.Stats().Installs; installs > 1 {
@@ -165,8 +165,8 @@
 	})
 }
 
-// TestSpreadAfterHeal: a node that was cut off learns of the version by the
-// next message of any kind, without the table service.
+// TestSpreadAfterHeal: a node that was partitioned from the network learns of the version
+// after its next message of any kind, without the table service.
 func TestSpreadAfterHeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4, 4)
@@ -175,20 +175,20 @@
 		f.network.CutAll(transport.PeerID(cut.peer.ID))
 		f.entries[0].install(t, 1)
 		time.Sleep(10 * time.Second)
-		if n := f.behind(1); n != 1 {
-			t.Fatalf("%d are behind, want the one that is cut off", n)
+		if n := f.countBehind(1); n != 1 {
+			t.Fatalf("%d nodes are behind, want only the partitioned one", n)
 		}
 		f.network.HealAll(transport.PeerID(cut.peer.ID))
 		f.entries[0].spread.Observe(wire.Header{From: cut.peer.ID, Addr: cut.peer.Addr})
 		time.Sleep(2 * DefaultRenotifyInterval)
-		if n := f.behind(1); n > 0 {
-			t.Fatal("the healed agent is still behind")
+		if n := f.countBehind(1); n > 0 {
+			t.Fatal("the agent is still behind after the partition healed")
 		}
 	})
 }
 
-// TestSpreadPassesOverFrozenSources: sources that hang cost their timeouts and
-// do not keep a node from the table.
+// TestSpreadPassesOverFrozenSources: pulls from sources that hang time out, and the node
+// then pulls the table from another source.
 func TestSpreadPassesOverFrozenSources(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 0, 4) // agents send no notices
@@ -212,8 +212,8 @@
 	})
 }
 
-// TestSpreadIsContentWithLess: when the one source of the newest version is
-// gone, the next newest is taken from another.
+// TestSpreadIsContentWithLess: when the only source of the newest version is gone, the
+// node pulls the next newest version from another source.
 func TestSpreadIsContentWithLess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 0, 2)
@@ -230,8 +230,8 @@
 	})
 }
 
-// TestSpreadPushesWhenItCannotBePulled: a process that does not listen pushes
-// the document itself.
+// TestSpreadPushesWhenItCannotBePulled: peers cannot pull from a process that does not
+// listen, so it pushes the document.
 func TestSpreadPushesWhenItCannotBePulled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, 0)
@@ -240,7 +240,7 @@
 		sender.spread.config.Self = func() wire.Header { return wire.Header{From: sender.peer.ID} }
 		sender.install(t, 1)
 		time.Sleep(time.Second)
-		if n := f.behind(1); n > 0 {
+		if n := f.countBehind(1); n > 0 {
 			t.Fatal("the peer is behind")
 		}
 	})
@@ -264,8 +264,8 @@
 	}
 }
 
-// TestBootstrap: a new process takes the newest of its peers' versions, and
-// says so when there is none.
+// TestBootstrap: a new process installs the newest of its peers' versions, and gets an
+// error if no peer has one.
 func TestBootstrap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4, 0)
@@ -295,9 +295,8 @@
 	})
 }
 
-// TestColdStart: a new process gets the table from its peers while the table
-// service is down, from the table service while it has no peers, and says so
-// when there is neither.
+// TestColdStart: a new process gets the table from its peers while the table service is
+// down, from the table service while it has no peers, and gets an error if it has neither.
 func TestColdStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, 0)
