--- a/results/bench_test.go
+++ b/results/bench_test.go
@@ -10,21 +10,21 @@
 	"mulberryscale.example/wire"
 )
 
-// promptBytes is the prompt of each request that the benchmarks and
-// TestCountIsTrue make.
+// promptBytes is the size of the prompt of each request that the benchmarks and
+// TestByteCountMatchesHeap make.
 const promptBytes = 1000
 
-// BenchmarkWaitingRuns is the memory of a generation that waits to be started,
-// by their number, without its request. Run it with -benchtime=1x.
+// BenchmarkWaitingRuns measures the memory of generations that wait to be started,
+// without their requests, for several numbers of them. Run it with -benchtime=1x.
 func BenchmarkWaitingRuns(b *testing.B) { benchmarkMemory(b, beginRuns) }
 
-// BenchmarkKeptResults is the memory of a running generation kept by key, by
-// their number, without its text. Run it with -benchtime=1x.
+// BenchmarkKeptResults measures the memory of running generations kept by key,
+// without their text, for several numbers of them. Run it with -benchtime=1x.
 func BenchmarkKeptResults(b *testing.B) { benchmarkMemory(b, startRuns) }
 
-// BenchmarkEndedResults is the memory of a result kept by key, by their number,
-// without its text. Run it with -benchtime=1x.
-func BenchmarkEndedResults(b *testing.B) { benchmarkMemory(b, endRuns) }
+// BenchmarkEndedResults measures the memory of results kept by key, without their
+// text, for several numbers of them. Run it with -benchtime=1x.
+func BenchmarkEndedResults(b *testing.B) { benchmarkMemory(b, finishRuns) }
 
 func benchmarkMemory(b *testing.B, fill func(testing.TB, *Store, int)) {
 	for _, n := range []int{512, 1024, 2048, 4096} {
@@ -38,8 +38,8 @@
 	}
 }
 
-// measure fills a store with n runs and returns the bytes that it takes and
-// those that it counts.
+// measure fills a store with n runs and returns the heap bytes that it takes and
+// the bytes that it counts.
 func measure(tb testing.TB, n int, fill func(testing.TB, *Store, int)) (taken, counted int64) {
 	before := heapInUse()
 	s := New(Options{})
@@ -63,8 +63,9 @@
 	}
 }
 
-// endRuns ends them as an agent does, whose job holds the request.
-func endRuns(tb testing.TB, s *Store, n int) {
+// finishRuns starts and completes n generations. As in an agent, the OnAbort function
+// references the request.
+func finishRuns(tb testing.TB, s *Store, n int) {
 	for i := range n {
 		reader, req := beginNumbered(tb, s, i)
 		run := reader.Run()
@@ -76,8 +77,8 @@
 	}
 }
 
-// endCalls ends calls of a plain service.
-func endCalls(tb testing.TB, s *Store, n int) {
+// finishCalls starts and completes n calls of a plain service.
+func finishCalls(tb testing.TB, s *Store, n int) {
 	for i := range n {
 		reader, _ := beginNumbered(tb, s, i)
 		run := reader.Run()
@@ -106,7 +107,7 @@
 	return reader, req
 }
 
-// heapInUse is the live heap in bytes.
+// heapInUse returns the size of the live heap in bytes.
 func heapInUse() int64 {
 	runtime.GC()
 	runtime.GC()
--- a/results/doc.go
+++ b/results/doc.go
@@ -1,14 +1,14 @@
-// Package results is an agent's memory of its runs by key: the running ones
-// with their text so far, the finished ones for a while, and which keys may
-// never start again. Any number of readers attach to a run, early or late.
+// Package results stores an agent's runs by key: running runs with the text
+// generated so far, finished runs for their retention time, and the keys that
+// must never start again. Any number of readers can attach to a run at any time.
 //
 // Within one incarnation of the agent:
 //
-//   - two runs of a key never go on at the same time, and a key whose run is
+//   - two runs of a key never execute at the same time, and a key whose run is
 //     done does not run again while its result is kept;
-//   - a non-idempotent key starts at most once, also after its result was
-//     dropped: its hash stays for the whole incarnation;
-//   - a key that was fenced before its start never starts.
+//   - a non-idempotent key starts at most once, even after its result was
+//     dropped: its hash is kept for the whole incarnation;
+//   - a key that was fenced before it started never starts.
 //
-// The store takes the time as an argument and starts no goroutine.
+// The store takes the current time as an argument and starts no goroutines.
 package results
--- a/results/keep.go
+++ b/results/keep.go
@@ -9,17 +9,17 @@
 	"mulberryscale.example/wire"
 )
 
-// Fence sees to it that the key does not start any more, and says whether it
-// did before. A refusal means that nothing was fenced.
+// Fence prevents the key from starting and reports whether it started before.
+// If Fence returns a refusal, nothing was fenced.
 func (s *Store) Fence(now time.Time, key string) (wire.FenceState, *api.Refusal) {
-	state, refusal, onEnd := s.fence(now, key)
-	if onEnd != nil {
-		onEnd()
+	state, refusal, onAbort := s.fence(now, key)
+	if onAbort != nil {
+		onAbort()
 	}
 	return state, refusal
 }
 
-func (s *Store) fence(now time.Time, key string) (state wire.FenceState, refusal *api.Refusal, onEnd func()) {
+func (s *Store) fence(now time.Time, key string) (state wire.FenceState, refusal *api.Refusal, onAbort func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	run := s.runs[key]
@@ -31,38 +31,39 @@
 	case run != nil && run.state == StateRunning:
 		return wire.FenceRunning, nil, nil
 	case run != nil && run.state == StateQueued:
-		onEnd = run.fence(now)
+		onAbort = run.fence(now)
 	case run != nil:
 		return wire.FenceDone, nil, nil
 	}
 	switch {
-	case s.used.has(key), s.ran.has(key):
-		return wire.FenceDone, nil, onEnd
-	case s.ran.full():
-		return 0, s.refuse(api.CodeInternal, "too many keys to know whether this one ran", api.NotRunUnknown), onEnd
+	case s.startedNonIdempotent.has(key), s.startedOther.has(key):
+		return wire.FenceDone, nil, onAbort
+	case s.startedOther.full():
+		return 0, s.refuse(api.CodeInternal, "too many keys to know whether this one ran", api.NotRunUnknown), onAbort
 	}
-	return wire.FenceNeverRan, nil, onEnd
+	return wire.FenceNeverRan, nil, onAbort
 }
 
-func (r *Run) fence(now time.Time) (onEnd func()) {
+func (r *Run) fence(now time.Time) (onAbort func()) {
 	if !r.fire(triggerFence) {
 		return nil
 	}
 	r.refusal = r.store.refuse(api.CodeFenced, "the key was fenced", r.store.notRun(r.key, r.nonIdempotent))
-	return r.ended(now)
+	return r.finalize(now)
 }
 
-// Forget drops the results of keys whose answers have arrived, and cancels
-// what still runs for them, since nobody wants it any more.
+// Forget drops the results of keys whose answers have arrived, and cancels runs
+// of these keys that are still queued or running, since their answers are no
+// longer needed. A non-idempotent run that has started goes on.
 func (s *Store) Forget(now time.Time, keys []string) {
 	for _, key := range keys {
-		if end := s.forget(now, key); end != nil {
-			end()
+		if onAbort := s.forget(now, key); onAbort != nil {
+			onAbort()
 		}
 	}
 }
 
-func (s *Store) forget(now time.Time, key string) (onEnd func()) {
+func (s *Store) forget(now time.Time, key string) (onAbort func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	run, ok := s.runs[key]
@@ -79,44 +80,44 @@
 	return run.cancel(now)
 }
 
-// Sweep drops results whose linger is over and cancels runs that nobody has
-// read for their linger. Then it drops the longest idle results until the rest
-// fits MaxBytes.
+// Sweep drops results whose retention time is over and cancels runs that have
+// had no reader for their retention time, except non-idempotent runs that have
+// started. Then it drops the longest idle results until the rest fits MaxBytes.
 func (s *Store) Sweep(now time.Time) {
-	for _, end := range s.sweep(now) {
-		end()
+	for _, onAbort := range s.sweep(now) {
+		onAbort()
 	}
 }
 
-func (s *Store) sweep(now time.Time) (onEnds []func()) {
+func (s *Store) sweep(now time.Time) (onAborts []func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var kept []*Run
+	var evictable []*Run
 	for _, run := range s.runs {
-		over := run.readers == 0 && now.Sub(run.idleSince) >= run.linger
+		expired := run.readers == 0 && now.Sub(run.idleSince) >= run.retention
 		switch {
-		case run.final && over:
+		case run.final && expired:
 			s.drop(run)
 		case run.final && run.readers == 0:
-			kept = append(kept, run)
-		case over && !(run.nonIdempotent && run.started):
-			if end := run.cancel(now); end != nil {
-				onEnds = append(onEnds, end)
+			evictable = append(evictable, run)
+		case expired && !(run.nonIdempotent && run.started):
+			if onAbort := run.cancel(now); onAbort != nil {
+				onAborts = append(onAborts, onAbort)
 			}
 		}
 	}
-	s.evict(kept)
-	return onEnds
+	s.evict(evictable)
+	return onAborts
 }
 
-func (s *Store) evict(kept []*Run) {
+func (s *Store) evict(evictable []*Run) {
 	if s.bytes <= s.opts.MaxBytes {
 		return
 	}
-	slices.SortFunc(kept, func(a, b *Run) int {
+	slices.SortFunc(evictable, func(a, b *Run) int {
 		return cmp.Or(a.idleSince.Compare(b.idleSince), cmp.Compare(a.key, b.key))
 	})
-	for _, run := range kept {
+	for _, run := range evictable {
 		if s.bytes <= s.opts.MaxBytes {
 			return
 		}
--- a/results/keys.go
+++ b/results/keys.go
@@ -2,31 +2,32 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// keySet remembers the keys of two incarnations by their 64-bit hash. Two keys
-// with one hash are taken for the same, which can only refuse a request that
-// might have run.
+// keySet stores the keys of two incarnations by their 64-bit hash. Keys whose
+// hashes collide are treated as the same key; a collision can only refuse a
+// request that could have run.
 type keySet struct {
-	hashes  map[uint64]struct{} // of the current incarnation
-	earlier map[uint64]struct{} // of the one before
-	limit   int
+	current  map[uint64]struct{} // of the current incarnation
+	previous map[uint64]struct{} // of the previous incarnation
+	limit    int
 }
 
 func newKeySet(limit int) keySet {
-	return keySet{hashes: make(map[uint64]struct{}), limit: limit}
+	return keySet{current: make(map[uint64]struct{}), limit: limit}
 }
 
-// turn begins another incarnation and forgets the keys of the one before the last.
-func (s *keySet) turn() {
-	s.earlier = s.hashes
-	s.hashes = make(map[uint64]struct{})
+// rotate starts a new incarnation. It keeps the keys of the incarnation that ends
+// and drops those of the one before it.
+func (s *keySet) rotate() {
+	s.previous = s.current
+	s.current = make(map[uint64]struct{})
 }
 
-func (s keySet) add(key string) { s.hashes[xxhash.Sum64String(key)] = struct{}{} }
+func (s keySet) add(key string) { s.current[xxhash.Sum64String(key)] = struct{}{} }
 
 func (s keySet) remove(key string) {
 	hash := xxhash.Sum64String(key)
-	delete(s.hashes, hash)
-	delete(s.earlier, hash)
+	delete(s.current, hash)
+	delete(s.previous, hash)
 }
 
 func (s keySet) has(key string) bool {
@@ -34,12 +35,12 @@
 		return false
 	}
 	hash := xxhash.Sum64String(key)
-	_, now := s.hashes[hash]
-	_, before := s.earlier[hash]
-	return now || before
+	_, inCurrent := s.current[hash]
+	_, inPrevious := s.previous[hash]
+	return inCurrent || inPrevious
 }
 
-func (s keySet) full() bool { return len(s.hashes) >= s.limit }
+func (s keySet) full() bool { return len(s.current) >= s.limit }
 
-// crowded says whether the set will soon be full.
-func (s keySet) crowded() bool { return len(s.hashes) >= s.limit/2 }
+// nearLimit reports whether the current incarnation has used half of the limit.
+func (s keySet) nearLimit() bool { return len(s.current) >= s.limit/2 }
--- a/results/pause.go
+++ b/results/pause.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// Pause returns after d, when the run ends, or when ctx ends, whichever comes
-// first. A reader that pauses between chunks gets fewer and larger ones.
+// Pause returns after d, when the run reaches a final state, or when ctx is
+// done, whichever comes first. A reader that pauses between chunks gets fewer
+// and larger chunks.
 func (r *Reader) Pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	for {
-		changed, ended := r.state()
-		if ended {
+		changed, final := r.state()
+		if final {
 			return
 		}
 		select {
@@ -25,8 +26,9 @@
 	}
 }
 
-// state returns what is closed at the run's next change, and whether it has ended.
-func (r *Reader) state() (changed <-chan struct{}, ended bool) {
+// state returns the channel that is closed at the run's next change, and whether
+// the run has a result or a refusal.
+func (r *Reader) state() (changed <-chan struct{}, final bool) {
 	run := r.run
 	run.store.mu.Lock()
 	defer run.store.mu.Unlock()
--- a/results/race_test.go
+++ b/results/race_test.go
@@ -1,4 +1,4 @@
 package results
 
-// The race detector and bubbles of testing/synctest need one processor.
+// On several processors the race detector sometimes crashes in testing/synctest bubbles.
 import _ "mulberryscale.example/internal/racelimit"
--- a/results/rapid_test.go
+++ b/results/rapid_test.go
@@ -10,21 +10,21 @@
 	"mulberryscale.example/wire"
 )
 
-// keyTruth is what the oracle knows of a key.
-type keyTruth struct {
-	starts  int // times that the key was sent to the endpoint
+// keyModel is the reference model's state of a key.
+type keyModel struct {
+	starts  int // how often the key was sent to the endpoint
 	active  int // runs of the key that are on the endpoint
 	done    bool
 	fenced  bool // fenced with the answer "never ran"
 	dropped bool // its result may be gone
 }
 
-// TestKeyRunsOnce drives a store at random beside an oracle.
+// TestKeyRunsOnce runs random operations on a store and compares it with a model.
 func TestKeyRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(Options{AnswerRetention: 30 * time.Second})
 		now := start
-		truth := map[string]*keyTruth{"n1": {}, "n2": {}, "i1": {}, "i2": {}}
+		model := map[string]*keyModel{"n1": {}, "n2": {}, "i1": {}, "i2": {}}
 		keys := []string{"n1", "n2", "i1", "i2"}
 		var queued, running []*Run
 		var readers []*Reader
@@ -32,12 +32,12 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"run": func(t *rapid.T) {
 				k := key(t)
-				req := generation(k, time.Duration(rapid.IntRange(0, 20).Draw(t, "linger"))*time.Second)
+				req := generation(k, time.Duration(rapid.IntRange(0, 20).Draw(t, "retention"))*time.Second)
 				req.NonIdempotent = k[0] == 'n'
 				r, refusal := s.Begin(now, req, nil)
 				if refusal != nil {
-					if refusal.NotRun == api.NotRunTrue && truth[k].starts > 0 {
-						t.Fatalf("%s ran and is refused as not run", k)
+					if refusal.NotRun == api.NotRunTrue && model[k].starts > 0 {
+						t.Fatalf("%s ran but was refused as not run", k)
 					}
 					return
 				}
@@ -52,7 +52,7 @@
 				}
 				run := queued[0]
 				queued = queued[1:]
-				k := truth[run.key]
+				k := model[run.key]
 				if !run.Start() {
 					return
 				}
@@ -61,7 +61,7 @@
 				running = append(running, run)
 				switch {
 				case k.fenced:
-					t.Fatalf("%s was fenced and started", run.key)
+					t.Fatalf("%s started after it was fenced", run.key)
 				case run.nonIdempotent && k.starts > 1:
 					t.Fatalf("%s started %d times", run.key, k.starts)
 				case k.done && !k.dropped:
@@ -74,7 +74,7 @@
 				}
 				run := running[0]
 				running = running[1:]
-				k := truth[run.key]
+				k := model[run.key]
 				k.active--
 				if rapid.Bool().Draw(t, "fails") {
 					run.Fail(now, &api.Refusal{Code: api.CodeEndpointFailed, NotRun: api.NotRunFalse})
@@ -82,7 +82,7 @@
 				}
 				run.FinishText(now, "stop")
 				if run.State() == StateDone {
-					k.done, k.dropped = true, run.linger == 0
+					k.done, k.dropped = true, run.retention == 0
 				}
 			},
 			"leave": func(t *rapid.T) {
@@ -97,20 +97,20 @@
 				if refusal != nil {
 					t.Fatal(refusal)
 				}
-				if (state == wire.FenceNeverRan) != (truth[k].starts == 0) {
-					t.Fatalf("fence of %s says %d, it started %d times", k, state, truth[k].starts)
+				if (state == wire.FenceNeverRan) != (model[k].starts == 0) {
+					t.Fatalf("fence of %s says %d, it started %d times", k, state, model[k].starts)
 				}
-				truth[k].fenced = state == wire.FenceNeverRan
+				model[k].fenced = state == wire.FenceNeverRan
 			},
 			"forget": func(t *rapid.T) {
 				k := key(t)
 				s.Forget(now, []string{k})
-				truth[k].dropped = true
+				model[k].dropped = true
 			},
 			"pass": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "s")) * time.Second)
 				s.Sweep(now)
-				for _, k := range truth {
+				for _, k := range model {
 					k.dropped = true
 				}
 			},
--- a/results/reader.go
+++ b/results/reader.go
@@ -8,7 +8,8 @@
 	"mulberryscale.example/wire"
 )
 
-// Event is what a reader gets next; exactly one field is set. Done and Refusal are the last.
+// Event is one item that a reader receives; exactly one field is set. Done or
+// Refusal is the last event.
 type Event struct {
 	Chunk   *wire.Chunk
 	Done    *wire.Done
@@ -18,23 +19,24 @@
 // Reader follows one run. It is used by one goroutine at a time.
 type Reader struct {
 	run *Run
-	// attached is true when the run existed before; whole is still to be sent then.
-	attached bool
-	whole    bool
-	bytes    int
-	marks    int
-	closed   bool
+	// attached is true when the run existed before the reader. Then sendWhole is
+	// true until the reader has got all the text so far.
+	attached   bool
+	sendWhole  bool
+	bytesRead  int
+	chunksRead int
+	closed     bool
 }
 
-// Run is the run that is read.
+// Run returns the run that the reader follows.
 func (r *Reader) Run() *Run { return r.run }
 
-// Attached says whether the run existed before this reader.
+// Attached reports whether the run existed before this reader.
 func (r *Reader) Attached() bool { return r.attached }
 
-// Next waits for news of the run. A reader that attached gets all the text so
-// far as its first chunk, marked Whole. A slow reader gets several appended
-// chunks as one. The error is the context's.
+// Next waits for the run's next event. A reader that attached to an existing run
+// gets all the text so far as its first chunk, marked Whole. A slow reader gets
+// several appended chunks as one. The error is that of ctx.
 func (r *Reader) Next(ctx context.Context) (Event, error) {
 	for {
 		event, changed, ok := r.poll()
@@ -56,10 +58,10 @@
 	if run.done != nil {
 		return Event{Done: run.done}, nil, true
 	}
-	if r.whole {
+	if r.sendWhole {
 		return r.takeWhole(), nil, true
 	}
-	if r.marks < len(run.marks) {
+	if r.chunksRead < len(run.chunks) {
 		return r.takeNew(), nil, true
 	}
 	if run.refusal != nil {
@@ -70,38 +72,38 @@
 
 func (r *Reader) takeWhole() Event {
 	run := r.run
-	r.whole = false
-	r.bytes, r.marks = len(run.text), len(run.marks)
+	r.sendWhole = false
+	r.bytesRead, r.chunksRead = len(run.text), len(run.chunks)
 	return Event{Chunk: &wire.Chunk{Text: string(run.text), Spans: run.spans(), Whole: true}}
 }
 
 func (r *Reader) takeNew() Event {
 	run := r.run
 	chunk := &wire.Chunk{
-		Text:  string(run.text[r.bytes:]),
-		Spans: spansOf(nil, run.marks[r.marks:]),
+		Text:  string(run.text[r.bytesRead:]),
+		Spans: spansOf(nil, run.chunks[r.chunksRead:]),
 	}
-	r.bytes, r.marks = len(run.text), len(run.marks)
+	r.bytesRead, r.chunksRead = len(run.text), len(run.chunks)
 	return Event{Chunk: chunk}
 }
 
-// MarkDelivered notes that the run's result has been passed on.
+// MarkDelivered records that the run's result has been passed on to the caller.
 func (r *Reader) MarkDelivered() {
 	r.run.store.mu.Lock()
 	defer r.run.store.mu.Unlock()
 	r.run.delivered = true
 }
 
-// Close leaves the run. When nobody reads it any more and it does not linger,
-// it is cancelled; a non-idempotent one goes on, since a cancelled call's
-// outcome would be unknown.
+// Close detaches the reader from the run. A run without readers and without a
+// retention time is cancelled, except a non-idempotent run that has started: the
+// outcome of a cancelled call would be unknown.
 func (r *Reader) Close(now time.Time) {
-	if end := r.leave(now); end != nil {
-		end()
+	if onAbort := r.detach(now); onAbort != nil {
+		onAbort()
 	}
 }
 
-func (r *Reader) leave(now time.Time) (onEnd func()) {
+func (r *Reader) detach(now time.Time) (onAbort func()) {
 	run := r.run
 	s := run.store
 	s.mu.Lock()
@@ -116,19 +118,20 @@
 	}
 	run.idleSince = now
 	if run.final {
-		if !run.keep() {
+		if !run.shouldKeep() {
 			s.drop(run)
 		}
 		return nil
 	}
-	if run.linger > 0 || (run.nonIdempotent && run.started) {
+	if run.retention > 0 || (run.nonIdempotent && run.started) {
 		return nil
 	}
 	return run.cancel(now)
 }
 
-// cancel ends an unwanted run; the caller calls what it returns without the lock.
-func (r *Run) cancel(now time.Time) (onEnd func()) {
+// cancel cancels the run. The caller holds store.mu and calls the returned
+// function, if any, after it has released the lock.
+func (r *Run) cancel(now time.Time) (onAbort func()) {
 	if !r.fire(triggerCancel) {
 		return nil
 	}
@@ -137,5 +140,5 @@
 		notRun = api.NotRunFalse
 	}
 	r.refusal = r.store.refuse(api.CodeCancelled, "nobody waits for the run any more", notRun)
-	return r.ended(now)
+	return r.finalize(now)
 }
--- a/results/run.go
+++ b/results/run.go
@@ -17,65 +17,66 @@
 	nonIdempotent bool
 	generation    bool
 
-	// All below is guarded by store.mu.
+	// The fields below are guarded by store.mu.
 	state State
-	final bool // nothing leaves state
+	final bool // no transition leaves state
 	// machine is set while the run is running.
 	machine *chart.Machine[State, trigger]
 	started bool
-	// remembered is true when this run's start made the store remember the key.
-	remembered bool
-	// freed is true when the endpoint proved that it ran nothing.
-	freed bool
-	// text begins with the prefix; marks say which tokens made up what follows it.
+	// startRecorded is true when the start of this run added the key to the store's
+	// started keys.
+	startRecorded bool
+	// provenNotRun is true when the endpoint proved that it did not start the run.
+	provenNotRun bool
+	// text begins with the prefix; chunks describe the text that follows the prefix.
 	text        []byte
 	prefixBytes int
 	prefixSpans []api.VersionSpan
-	marks       []mark
+	chunks      []chunk
 	done        *wire.Done
 	delivered   bool // a reader has passed done on
 	refusal     *api.Refusal
-	linger      time.Duration
+	retention   time.Duration
 	readers     int
-	idleSince   time.Time     // when the last reader left or the run ended, whichever was later
-	changed     chan struct{} // closed by news; nil once the run has ended
-	onEnd       func()        // nil once the run has ended, since it holds the request
-	size        int           // what store.bytes counts for the run
+	idleSince   time.Time     // when the last reader closed or the run became final, whichever was later
+	changed     chan struct{} // closed and replaced at each change; nil once the run is final
+	onAbort     func()        // nil once the run is final, since it references the request
+	size        int           // bytes that store.bytes counts for the run
 }
 
-// mark is one appended chunk.
-type mark struct {
+// chunk describes the text added by one call of Append.
+type chunk struct {
 	version uint64
 	bytes   int
 	tokens  int
 }
 
-// ID is the id of the run, that of the attempt which began it.
+// ID returns the id of the run, which is that of the attempt that created it.
 func (r *Run) ID() string { return r.id }
 
-// State is the run's state now.
+// State returns the run's current state.
 func (r *Run) State() State {
 	r.store.mu.Lock()
 	defer r.store.mu.Unlock()
 	return r.state
 }
 
-// OnAbort sets what is called, without locks held, when the run ends by a fence
-// or because nobody wants it any more. If that has come already, it is called at once.
+// OnAbort sets the function that is called, without locks held, when the run is
+// fenced or cancelled. If the run is already final, f is called at once.
 func (r *Run) OnAbort(f func()) {
 	r.store.mu.Lock()
-	ended := r.final
-	if !ended {
-		r.onEnd = f
+	final := r.final
+	if !final {
+		r.onAbort = f
 	}
 	r.store.mu.Unlock()
-	if ended {
+	if final {
 		f()
 	}
 }
 
-// Start marks the run as sent to the endpoint. When it returns false the run
-// has ended and must not be sent.
+// Start marks the run as sent to the endpoint. If it returns false, the run is not
+// queued any more and must not be sent.
 func (r *Run) Start() bool {
 	r.store.mu.Lock()
 	defer r.store.mu.Unlock()
@@ -83,12 +84,12 @@
 		return false
 	}
 	r.started = true
-	r.store.remember(r)
+	r.store.recordStart(r)
 	r.resize()
 	return true
 }
 
-// Append adds tokens that the endpoint generated. It does nothing once the run has ended.
+// Append adds tokens that the endpoint generated. It does nothing unless the run is running.
 func (r *Run) Append(text string, version uint64, tokens int) {
 	r.store.mu.Lock()
 	defer r.store.mu.Unlock()
@@ -96,12 +97,12 @@
 		return
 	}
 	r.text = append(r.text, text...)
-	r.marks = append(r.marks, mark{version, len(text), tokens})
+	r.chunks = append(r.chunks, chunk{version, len(text), tokens})
 	r.resize()
-	r.wake()
+	r.notifyReaders()
 }
 
-// FinishText ends a generation whose text was appended.
+// FinishText completes a generation whose text was appended.
 func (r *Run) FinishText(now time.Time, reason string) {
 	r.store.mu.Lock()
 	defer r.store.mu.Unlock()
@@ -109,7 +110,7 @@
 	r.finish(now, done)
 }
 
-// FinishAnswer ends a plain service's call.
+// FinishAnswer completes a plain service's call.
 func (r *Run) FinishAnswer(now time.Time, answer *wire.Answer) {
 	r.store.mu.Lock()
 	defer r.store.mu.Unlock()
@@ -122,24 +123,24 @@
 	}
 	r.done = done
 	// Readers take the whole text from done.
-	r.text, r.marks, r.prefixSpans = nil, nil, nil
-	r.ended(now)
+	r.text, r.chunks, r.prefixSpans = nil, nil, nil
+	r.finalize(now)
 }
 
-// Fail ends a started run without a whole answer. Chunks so far stay readable.
-// A refusal with not_run true frees the key: the endpoint has proven that it
-// did not start the run.
-func (r *Run) Fail(now time.Time, refusal *api.Refusal) { r.end(now, triggerFail, refusal) }
+// Fail fails a started run that has no whole answer. Readers can still read the
+// chunks so far. A refusal with not_run true allows the key to start again: the
+// endpoint has proven that it did not start the run.
+func (r *Run) Fail(now time.Time, refusal *api.Refusal) { r.endWith(now, triggerFail, refusal) }
 
-// Refuse ends a run that was not started and returns the refusal that its
+// Refuse refuses a run that was not started and returns the refusal that its
 // readers get: not_run is corrected when an earlier run of the key did start.
 func (r *Run) Refuse(now time.Time, refusal *api.Refusal) *api.Refusal {
-	refusal = r.store.lockedTruthful(r.key, r.nonIdempotent, refusal)
-	r.end(now, triggerRefuse, refusal)
+	refusal = r.store.correctNotRun(r.key, r.nonIdempotent, refusal)
+	r.endWith(now, triggerRefuse, refusal)
 	return refusal
 }
 
-func (r *Run) end(now time.Time, t trigger, refusal *api.Refusal) {
+func (r *Run) endWith(now time.Time, t trigger, refusal *api.Refusal) {
 	r.store.mu.Lock()
 	defer r.store.mu.Unlock()
 	if r.final || !r.fire(t) {
@@ -147,15 +148,15 @@
 	}
 	r.refusal = refusal
 	if t == triggerFail && refusal.NotRun == api.NotRunTrue {
-		r.freed = true
-		r.store.unremember(r)
-		r.refusal = r.store.truthful(r.key, r.nonIdempotent, refusal)
+		r.provenNotRun = true
+		r.store.unrecordStart(r)
+		r.refusal = r.store.correctNotRunLocked(r.key, r.nonIdempotent, refusal)
 	}
-	r.ended(now)
+	r.finalize(now)
 }
 
-// fire applies a trigger and says whether the chart takes it there. The
-// machine, which is large, lives no longer than it is needed.
+// fire applies a trigger and reports whether the state chart accepts it in the
+// current state. The machine is large, so it is kept only while the run is running.
 func (r *Run) fire(t trigger) bool {
 	m := r.machine
 	if r.state == StateQueued {
@@ -172,56 +173,58 @@
 	return true
 }
 
-// ended wakes the readers, lets go of what an ended run does not need, and
-// frees the key of a run that is of no more use. It returns what OnEnd set.
-func (r *Run) ended(now time.Time) (onEnd func()) {
-	onEnd = r.onEnd
-	r.onEnd = nil
+// finalize wakes the readers, releases what a final run does not need, and drops
+// the run from the store unless it is kept for late readers. It returns the
+// function that OnAbort set. The caller holds store.mu.
+func (r *Run) finalize(now time.Time) (onAbort func()) {
+	onAbort = r.onAbort
+	r.onAbort = nil
 	r.idleSince = now
 	close(r.changed)
 	r.changed = nil
 	r.resize()
-	if !r.keep() {
+	if !r.shouldKeep() {
 		r.store.drop(r)
 	}
-	return onEnd
+	return onAbort
 }
 
-// useless says whether a run ended with nothing for a request that needs minVersion.
-func (r *Run) useless(minVersion uint64) bool {
+// unusableFor reports whether the run failed, or its result is too old for a
+// request that needs minVersion.
+func (r *Run) unusableFor(minVersion uint64) bool {
 	if r.state == StateFailed {
 		return true
 	}
 	return r.done != nil && len(r.done.Spans) > 0 && api.OldestVersion(r.done.Spans) < minVersion
 }
 
-// keep says whether an ended run stays for late readers.
-func (r *Run) keep() bool {
+// shouldKeep reports whether a final run is kept for late readers.
+func (r *Run) shouldKeep() bool {
 	switch r.state {
 	case StateDone:
 	case StateFailed:
-		if r.freed {
+		if r.provenNotRun {
 			return false
 		}
 	default:
 		return false
 	}
-	return r.linger > 0 || r.readers > 0
+	return r.retention > 0 || r.readers > 0
 }
 
-func (r *Run) wake() {
+func (r *Run) notifyReaders() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// spans are the spans of the whole text, prefix included.
+// spans returns the version spans of the whole text, prefix included.
 func (r *Run) spans() []api.VersionSpan {
 	spans := append([]api.VersionSpan(nil), r.prefixSpans...)
-	return spansOf(spans, r.marks)
+	return spansOf(spans, r.chunks)
 }
 
-func spansOf(spans []api.VersionSpan, marks []mark) []api.VersionSpan {
-	for _, m := range marks {
+func spansOf(spans []api.VersionSpan, chunks []chunk) []api.VersionSpan {
+	for _, m := range chunks {
 		spans = endpoint.AddSpan(spans, m.version, m.tokens)
 	}
 	return spans
--- a/results/size.go
+++ b/results/size.go
@@ -5,22 +5,22 @@
 	"mulberryscale.example/wire"
 )
 
-// Memory in bytes, as the benchmarks of
-// this package show it; TestCountIsTrue compares their sum with the heap.
+// Sizes in bytes, as measured by the benchmarks of this package.
+// TestByteCountMatchesHeap compares their sum with the heap.
 const (
-	runSize     = 400 // a run, its place in the store and its key's hash
-	channelSize = 96  // the channel of a run that has not ended
+	runSize     = 400 // a run, its map entry in the store and its key's hash
+	channelSize = 96  // the channel of a run that is not final
 	machineSize = 6850
 	doneSize    = 96
 	refusalSize = 192
 	answerSize  = 96
-	headerSize  = 64 // a header's place in its map, and one value
-	valueSize   = 16 // a further value
-	markSize    = 24
+	headerSize  = 64 // a header's map entry and one value
+	valueSize   = 16 // each further value
+	chunkSize   = 24
 	spanSize    = 16
 )
 
-// resize brings the store's count up to date with what the run takes.
+// resize updates the store's byte count to the run's current size.
 func (r *Run) resize() {
 	size := r.memory()
 	if r.store.runs[r.key] == r {
@@ -29,10 +29,10 @@
 	r.size = size
 }
 
-// memory is what the run takes, in bytes.
+// memory returns the size of the run in bytes.
 func (r *Run) memory() int {
 	size := runSize + len(r.id) + len(r.key)
-	size += cap(r.text) + cap(r.marks)*markSize + cap(r.prefixSpans)*spanSize
+	size += cap(r.text) + cap(r.chunks)*chunkSize + cap(r.prefixSpans)*spanSize
 	if r.changed != nil {
 		size += channelSize
 	}
--- a/results/state.go
+++ b/results/state.go
@@ -6,7 +6,7 @@
 	"mulberryscale.example/chart"
 )
 
-// State is the state of a run, as the chart run.yaml has it.
+// State is the state of a run, as defined by the state chart in run.yaml.
 type State string
 
 // States of a run.
--- a/results/store_test.go
+++ b/results/store_test.go
@@ -13,8 +13,8 @@
 
 var start = time.Unix(1000, 0)
 
-func generation(key string, linger time.Duration) *wire.Run {
-	return &wire.Run{RunID: "run-" + key, Key: key, Retention: linger, Generate: &wire.Generate{}}
+func generation(key string, retention time.Duration) *wire.Run {
+	return &wire.Run{RunID: "run-" + key, Key: key, Retention: retention, Generate: &wire.Generate{}}
 }
 
 func begin(t *testing.T, s *Store, req *wire.Run) *Reader {
@@ -26,12 +26,12 @@
 	return r
 }
 
-// next reads without waiting; it fails when there is nothing to read.
+// next reads an event without waiting; it fails the test if there is none.
 func next(t *testing.T, r *Reader) Event {
 	t.Helper()
 	e, _, ok := r.poll()
 	if !ok {
-		t.Fatal("nothing to read")
+		t.Fatal("no event to read")
 	}
 	return e
 }
@@ -64,7 +64,7 @@
 	run.FinishText(start, "stop")
 	done := next(t, begin(t, s, generation("k", 0))).Done
 	if done == nil || done.Text != "zero one two three" || countTokens(done.Spans) != 4 || done.RunID != "run-k" {
-		t.Fatalf("after the end: %+v", done)
+		t.Fatalf("reader of the finished run got %+v", done)
 	}
 }
 
@@ -83,14 +83,14 @@
 	r.Run().Append("partial", 3, 1)
 	r.Run().Fail(start, &api.Refusal{Code: api.CodeEndpointFailed, NotRun: api.NotRunFalse})
 	if c := next(t, r).Chunk; c == nil || c.Text != "partial" {
-		t.Fatal("the chunk before the failure is lost")
+		t.Fatal("the chunk before the failure was not read")
 	}
 	if e := next(t, r); e.Refusal == nil || e.Refusal.Code != api.CodeEndpointFailed {
 		t.Fatalf("want the refusal, got %+v", e)
 	}
 	again := begin(t, s, generation("k", time.Minute))
 	if again.Attached() || !again.Run().Start() {
-		t.Fatal("an idempotent key may run again after a failure")
+		t.Fatal("an idempotent key did not run again after a failure")
 	}
 }
 
@@ -99,21 +99,21 @@
 	req := &wire.Run{RunID: "r", Key: "k", NonIdempotent: true, Call: &wire.Call{}}
 	r := begin(t, s, req)
 	r.Run().Start()
-	r.Close(start) // the entry goes away; the call goes on
+	r.Close(start) // the entry disconnects; the call goes on
 	if st := r.Run().State(); st != StateRunning {
 		t.Fatalf("the call is %s", st)
 	}
 	r.Run().Fail(start, &api.Refusal{Code: api.CodeOutcomeUnknown, NotRun: api.NotRunUnknown})
 	if e := next(t, begin(t, s, req)); e.Refusal == nil || e.Refusal.Code != api.CodeOutcomeUnknown {
-		t.Fatalf("a repeat got %+v", e)
+		t.Fatalf("a repeated request got %+v", e)
 	}
 	s.Forget(start, []string{"k"})
 	_, refusal := s.Begin(start, req, nil)
 	if refusal == nil || refusal.Code != api.CodeDuplicate || refusal.NotRun != api.NotRunFalse {
-		t.Fatalf("after its answer was dropped a repeat got %v", refusal)
+		t.Fatalf("after its answer was dropped, a repeated request got %v", refusal)
 	}
 	if st, _ := s.Fence(start, "k"); st != wire.FenceDone {
-		t.Fatalf("fence says %v", st)
+		t.Fatalf("fence returned %v", st)
 	}
 }
 
@@ -133,15 +133,15 @@
 	r.Run().Start()
 	r.Run().Fail(start, &api.Refusal{Code: api.CodeEndpointFailed, NotRun: api.NotRunTrue})
 	if again := begin(t, s, req); again.Attached() || !again.Run().Start() {
-		t.Fatal("a call that proved not to have started may be tried again")
+		t.Fatal("a call that was proven not to have started could not run again")
 	}
 }
 
 func TestFence(t *testing.T) {
 	s := New(Options{})
 	queued := begin(t, s, generation("queued", time.Minute))
-	ended := false
-	queued.Run().OnAbort(func() { ended = true })
+	aborted := false
+	queued.Run().OnAbort(func() { aborted = true })
 	running := begin(t, s, generation("running", time.Minute))
 	running.Run().Start()
 	forgotten := begin(t, s, generation("forgotten", time.Minute))
@@ -155,7 +155,7 @@
 			t.Errorf("fence of %s: %v %v, want %v", key, got, refusal, want)
 		}
 	}
-	if !ended || queued.Run().Start() {
+	if !aborted || queued.Run().Start() {
 		t.Fatal("a fenced run started")
 	}
 	for _, key := range []string{"queued", "unknown"} {
@@ -175,15 +175,15 @@
 	begin(t, s, req).Run().Start()
 	req.Key = "b"
 	if _, refusal := s.Begin(start, req, nil); refusal == nil || refusal.NotRun != api.NotRunTrue {
-		t.Fatalf("a key that cannot be remembered: %v", refusal)
+		t.Fatalf("begin of a key beyond MaxKeys: %v", refusal)
 	}
 	begin(t, s, generation("g", 0)).Run().Start()
 	if st, refusal := s.Fence(start, "x"); refusal == nil || refusal.NotRun != api.NotRunUnknown {
-		t.Fatalf("a fence that cannot know: %v %v", st, refusal)
+		t.Fatalf("fence of a key that may have run: %v %v", st, refusal)
 	}
 }
 
-func TestLingerAndBytes(t *testing.T) {
+func TestRetentionAndMaxBytes(t *testing.T) {
 	s := New(Options{MaxBytes: 3000})
 	finish := func(key string, now time.Time) {
 		r := begin(t, s, generation(key, 10*time.Second))
@@ -204,32 +204,32 @@
 	finish("c", start.Add(2*time.Second))
 	s.Sweep(start.Add(3 * time.Second))
 	if known("a") || !known("b") || !known("c") {
-		t.Fatalf("over its bytes the store must drop the longest idle only (bytes %d)", s.Bytes())
+		t.Fatalf("above MaxBytes the store must drop only the longest idle run (bytes %d)", s.Bytes())
 	}
 	s.Sweep(start.Add(time.Hour))
 	if known("b") || s.Bytes() != 0 {
-		t.Fatalf("after the linger %d bytes are left", s.Bytes())
+		t.Fatalf("after the retention time %d bytes are left", s.Bytes())
 	}
 }
 
 func TestUnreadRunIsCancelled(t *testing.T) {
 	s := New(Options{})
-	for _, linger := range []time.Duration{0, 5 * time.Second} {
-		ended := false
-		r := begin(t, s, generation("k", linger))
-		r.Run().OnAbort(func() { ended = true })
+	for _, retention := range []time.Duration{0, 5 * time.Second} {
+		aborted := false
+		r := begin(t, s, generation("k", retention))
+		r.Run().OnAbort(func() { aborted = true })
 		r.Run().Start()
 		r.Close(start)
-		if ended != (linger == 0) {
-			t.Fatalf("linger %s: ended %v when its reader left", linger, ended)
+		if aborted != (retention == 0) {
+			t.Fatalf("retention %s: aborted %v when its reader closed", retention, aborted)
 		}
 		s.Sweep(start.Add(4 * time.Second))
-		if ended != (linger == 0) {
-			t.Fatalf("linger %s: ended %v before its linger", linger, ended)
+		if aborted != (retention == 0) {
+			t.Fatalf("retention %s: aborted %v before its retention time", retention, aborted)
 		}
 		s.Sweep(start.Add(5 * time.Second))
-		if !ended {
-			t.Fatalf("linger %s: it still runs", linger)
+		if !aborted {
+			t.Fatalf("retention %s: the run was not cancelled", retention)
 		}
 	}
 }
@@ -252,7 +252,8 @@
 	})
 }
 
-// TestResultTooOldRunsAnew asks for newer weights than those of a kept result.
+// TestResultTooOldRunsAnew sends a request that needs newer weights than those of
+// a kept result.
 func TestResultTooOldRunsAnew(t *testing.T) {
 	s := New(Options{})
 	run := begin(t, s, generation("k", time.Minute)).Run()
@@ -266,7 +267,7 @@
 	}
 	again.MinVersion, again.AttachOnly = 4, true
 	if r := begin(t, s, again); !r.Attached() {
-		t.Error("a request that may not begin a run was not attached")
+		t.Error("a request with AttachOnly was not attached")
 	}
 	again.AttachOnly = false
 	if r := begin(t, s, again); r.Attached() {
@@ -274,8 +275,9 @@
 	}
 }
 
-// TestTurnRemembersTheIncarnationBefore ends incarnations of the memory.
-func TestTurnRemembersTheIncarnationBefore(t *testing.T) {
+// TestPreviousIncarnationIsRemembered starts new incarnations: the keys of the
+// previous one must still be refused.
+func TestPreviousIncarnationIsRemembered(t *testing.T) {
 	s := New(Options{MaxKeys: 4})
 	req := generation("k", 0)
 	req.NonIdempotent = true
@@ -297,10 +299,10 @@
 	}
 	s.NextIncarnation()
 	if refused("k") != api.CodeDuplicate || refused("f") != api.CodeFenced {
-		t.Error("a key of the incarnation before is forgotten")
+		t.Error("a key of the previous incarnation was not refused")
 	}
 	s.NextIncarnation()
 	if s.notRun("k", false) != api.NotRunUnknown {
-		t.Error("it is said of a key that may have been forgotten that it did not run")
+		t.Error("a key that may have been dropped is reported as not run")
 	}
 }
