--- a/fleet/incarnation.go
+++ b/fleet/incarnation.go
@@ -22,10 +22,10 @@
 	Slots   int
 }
 
-// LatestIncarnations tracks the latest known start of each endpoint by id, so that information
+// Incarnations tracks the latest known start of each endpoint by id, so that information
 // about a former incarnation that arrives late can be ignored. It is not safe for concurrent
 // use.
-type LatestIncarnations struct {
+type Incarnations struct {
 	latest map[string]latestStart
 }
 
@@ -39,14 +39,12 @@
 // Lists and reports lag behind by some seconds at most.
 const startRetention = 2 * time.Minute
 
-// NewLatestIncarnations returns an empty LatestIncarnations.
-func NewLatestIncarnations() *LatestIncarnations {
-	return &LatestIncarnations{latest: map[string]latestStart{}}
-}
+// NewIncarnations returns an empty Incarnations.
+func NewIncarnations() *Incarnations { return &Incarnations{latest: map[string]latestStart{}} }
 
 // Observe compares an incarnation with the latest known one of the same id, and records it
 // unless it is older or has no start time.
-func (l *LatestIncarnations) Observe(i Incarnation, now time.Time) IncarnationOrder {
+func (l *Incarnations) Observe(i Incarnation, now time.Time) IncarnationOrder {
 	known := l.latest[i.ID]
 	switch {
 	case i.StartedAt == 0 && known.startedAt > 0:
@@ -66,7 +64,7 @@
 }
 
 // prune removes starts that were last seen more than startRetention ago.
-func (l *LatestIncarnations) prune(now time.Time) {
+func (l *Incarnations) prune(now time.Time) {
 	for id, known := range l.latest {
 		if now.Sub(known.seenAt) > startRetention {
 			delete(l.latest, id)
@@ -77,7 +75,7 @@
 // IncarnationOrder is how an incarnation compares with the latest known one of its id.
 type IncarnationOrder int
 
-// Results of LatestIncarnations.Observe.
+// Results of Incarnations.Observe.
 const (
 	// IncarnationCurrent is the latest known incarnation, or the first of its id.
 	IncarnationCurrent IncarnationOrder = iota
--- a/service/node/watch.go
+++ b/service/node/watch.go
@@ -77,13 +77,13 @@
 	kept       map[string]time.Time
 	// incarnations orders the incarnations of an instance. unusable holds the reason why
 	// a row describes no usable instance, by id, so that each change is logged once.
-	incarnations *fleet.LatestIncarnations
+	incarnations *fleet.Incarnations
 	unusable     map[string]string
 }
 
 func newInstanceWatcher(view *fleet.View, log logrus.FieldLogger) *instanceWatcher {
 	return &instanceWatcher{
-		view: view, log: log, kept: map[string]time.Time{}, incarnations: fleet.NewLatestIncarnations(), unusable: map[string]string{},
+		view: view, log: log, kept: map[string]time.Time{}, incarnations: fleet.NewIncarnations(), unusable: map[string]string{},
 	}
 }
 
--- a/usage/reporter.go
+++ b/usage/reporter.go
@@ -25,17 +25,15 @@
 	Report(ctx context.Context, f duty.Fence, maySend func() bool, r *Report) error
 }
 
-// reportDelayShare is the share of the time until a report is due that entries have to write their
+// delayShare is the share of the time until a report is due that entries have to write their
 // counts. The rest is enough for a second holder if the first one crashes: the first one's term,
 // the time between two holders, and the second one's sends take less than five of the ten seconds
 // that platforms allow.
-const reportDelayShare = 0.45
+const delayShare = 0.45
 
 // ReportDelay returns the time between the end of a window and its report, if reports are due late
 // after the end of their window.
-func ReportDelay(late time.Duration) time.Duration {
-	return time.Duration(reportDelayShare * float64(late))
-}
+func ReportDelay(late time.Duration) time.Duration { return time.Duration(delayShare * float64(late)) }
 
 // maxBacklog is the age up to which windows are still reported that were missed during an outage of
 // the whole system or the platform.
