--- a/scaling/meter.go
+++ b/scaling/meter.go
@@ -11,55 +11,55 @@
 	"mulberryscale.example/transport/codec"
 )
 
-// Target is a service in an availability zone, the subject of an order.
+// Target is a service in an availability zone: the unit that is scaled.
 type Target struct {
 	Service string `cbor:"1,keyasint"`
 	Zone    string `cbor:"2,keyasint"`
 }
 
-// TableLoads holds a row for each process that sends to a service whose endpoints
-// are ordered, in a part for each availability zone: what its requests take.
+// TableLoads holds the load of each process that sends to an autoscaled service: one row
+// for each process, in a part for each availability zone.
 const TableLoads = "scaling_loads"
 
 const (
-	// sampleInterval is how often a process looks at what its requests take.
+	// sampleInterval is the time between two samples of the slots in use.
 	sampleInterval = 500 * time.Millisecond
-	// writeInterval is how often a process writes the mean of it. A start takes
-	// several times as long.
+	// writeInterval is the time between two writes of the mean of the samples. It is short
+	// compared with the start of an endpoint, which takes several times as long.
 	writeInterval = 2 * time.Second
-	// freshTime is how old a row may be that counts: a process that has written one
-	// and no further is gone, or has no path to the store.
-	freshTime = 3 * writeInterval
-	// forgetTime is how old a row is that is removed.
-	forgetTime = time.Minute
+	// maxLoadAge is the age above which a row is ignored: its process has stopped, or it
+	// cannot reach the store.
+	maxLoadAge = 3 * writeInterval
+	// removeLoadAge is the age above which a row is deleted.
+	removeLoadAge = time.Minute
 )
 
-// load is a process's row.
-type load struct {
-	// At is the store's clock when it was written.
+// loadRow is the row of a process in TableLoads.
+type loadRow struct {
+	// At is when the row was written, by the store's clock.
 	At time.Duration `cbor:"1,keyasint"`
-	// Busy are the mean places that its requests took or waited for.
-	Busy []busy `cbor:"2,keyasint"`
+	// Busy is the mean load for each target.
+	Busy []targetLoad `cbor:"2,keyasint"`
 }
 
-type busy struct {
+type targetLoad struct {
 	Target Target  `cbor:"1,keyasint"`
 	Slots  float64 `cbor:"2,keyasint"`
 }
 
-// Meter counts the places that a process's requests take or wait for. It is safe
+// Meter counts the slots that the requests of a process use or wait for. It is safe
 // for concurrent use.
 type Meter struct {
-	mu   sync.Mutex
-	now  map[Target]int
-	sums map[Target]int
-	n    int // samples
+	mu      sync.Mutex
+	current map[Target]int
+	sums    map[Target]int
+	samples int // number of samples in sums
 }
 
-// NewMeter returns a meter without requests.
-func NewMeter() *Meter { return &Meter{now: map[Target]int{}, sums: map[Target]int{}} }
+// NewMeter returns a Meter that counts no requests yet.
+func NewMeter() *Meter { return &Meter{current: map[Target]int{}, sums: map[Target]int{}} }
 
-// Begin counts a request until end is called, once.
+// Begin counts a request until end is called. end must be called exactly once.
 func (m *Meter) Begin(p Target) (end func()) {
 	m.add(p, 1)
 	return func() { m.add(p, -1) }
@@ -68,18 +68,18 @@
 func (m *Meter) add(p Target, n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.now[p] += n
-	if m.now[p] == 0 {
-		delete(m.now, p)
+	m.current[p] += n
+	if m.current[p] == 0 {
+		delete(m.current, p)
 	}
 }
 
-// sample adds what is counted now, and what extra tells besides.
+// sample takes a sample of the counted requests and of extra.
 func (m *Meter) sample(extra map[Target]int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.n++
-	for p, n := range m.now {
+	m.samples++
+	for p, n := range m.current {
 		m.sums[p] += n
 	}
 	for p, n := range extra {
@@ -87,36 +87,36 @@
 	}
 }
 
-// take returns the means since the last call.
-func (m *Meter) take() []busy {
+// take returns the means of the samples since its last call.
+func (m *Meter) take() []targetLoad {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var means []busy
+	var means []targetLoad
 	for p, sum := range m.sums {
-		means = append(means, busy{p, float64(sum) / float64(m.n)})
+		means = append(means, targetLoad{p, float64(sum) / float64(m.samples)})
 	}
-	m.n, m.sums = 0, map[Target]int{}
+	m.samples, m.sums = 0, map[Target]int{}
 	return means
 }
 
-// Writer writes a process's load while there is any.
+// Writer writes the load of a process to TableLoads while there is any.
 type Writer struct {
 	Rows  store.Rows
 	Meter *Meter
-	// Extra is what is counted elsewhere, such as items that wait; nil is nothing.
+	// Extra returns load that Meter does not count, such as queued items. It may be nil.
 	Extra func() map[Target]int
-	// Autoscaled reports whether the endpoints of a service are ordered at all.
+	// Autoscaled reports whether a service is autoscaled.
 	Autoscaled func(service string) bool
 	Now        func() (time.Duration, bool)
-	// Zone is this process's availability zone, Name is its own.
+	// Zone is the availability zone of this process, Name is the name of the process.
 	Zone, Name string
 	Log        logrus.FieldLogger
 
-	// wrote says that the last row told of a load.
-	wrote bool
+	// wroteLoad is set if the last row that was written contains a load.
+	wroteLoad bool
 }
 
-// Run writes until ctx ends.
+// Run samples and writes the load until ctx is cancelled.
 func (w *Writer) Run(ctx context.Context) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
@@ -137,20 +137,20 @@
 	}
 }
 
-// write writes the mean load since the last one. A late write of an older row does
-// no harm: it is old.
+// write writes the mean load since the last write. A delayed write that overwrites a
+// newer row is harmless: the row then counts as old.
 func (w *Writer) write(ctx context.Context) {
-	var scaled []busy
+	var scaled []targetLoad
 	for _, b := range w.Meter.take() {
 		if w.Autoscaled(b.Target.Service) {
 			scaled = append(scaled, b)
 		}
 	}
 	now, ok := w.Now()
-	if !ok || (len(scaled) == 0 && !w.wrote) {
+	if !ok || (len(scaled) == 0 && !w.wroteLoad) {
 		return
 	}
-	value, err := codec.Marshal(load{At: now, Busy: scaled})
+	value, err := codec.Marshal(loadRow{At: now, Busy: scaled})
 	if err == nil {
 		_, err = w.Rows.Commit(ctx, store.Tx{Put: []store.Row{{Key: store.Key{Table: TableLoads, Part: w.Zone, Name: w.Name}, Value: value}}})
 	}
@@ -158,5 +158,5 @@
 		w.Log.WithError(err).Warn("load not written")
 		return
 	}
-	w.wrote = len(scaled) > 0
+	w.wroteLoad = len(scaled) > 0
 }
--- a/scaling/orders.go
+++ b/scaling/orders.go
@@ -13,53 +13,53 @@
 	"mulberryscale.example/transport/codec"
 )
 
-// Order wants a number of endpoints.
+// Order sets the number of endpoints of a target.
 type Order struct {
 	Target    Target `cbor:"1,keyasint"`
 	Endpoints int    `cbor:"2,keyasint"`
-	// At is the store's clock when it was decided.
+	// At is when the order was decided, by the store's clock.
 	At time.Duration `cbor:"3,keyasint"`
 }
 
-// Scaler takes orders.
+// Scaler accepts orders.
 type Scaler interface {
-	// Scale sends an order once, unless acting says at the moment of sending that it
-	// may not be sent any more. nil means that it was accepted.
+	// Scale sends an order once, without retries, and only if acting still returns true
+	// immediately before that. It returns nil if the order was accepted.
 	Scale(ctx context.Context, f duty.Fence, acting func() bool, o *Order) error
 }
 
-// SubjectPrefix begins the subjects of orders, each of a service in an availability zone.
+// SubjectPrefix is the prefix of the subjects of orders, one for each target.
 const SubjectPrefix = "scale/"
 
-// Subject is the duty's subject of orders for a place.
+// Subject returns the subject of the duty that orders the endpoints of a target.
 func Subject(p Target) string { return SubjectPrefix + p.Service + "/" + p.Zone }
 
-// decisionTime is between two decisions on a place.
-const decisionTime = 3 * time.Second
+// decisionInterval is the time between two decisions on a target.
+const decisionInterval = 3 * time.Second
 
-// Orders is the duty.Work of the orders for one place: a piece is a moment at
-// which it is decided. What was ordered stands in the store as the work of the
-// last piece, since the platform does not tell it.
+// Orders is the duty.Work that orders endpoints for one target. A piece is one scheduled
+// decision. The last order is kept in the store as the work of the last piece, since the
+// platform does not report it.
 type Orders struct {
 	Target Target
 	Rows   store.Rows
 	View   *fleet.View
-	// Zones are the availability zones of all processes.
+	// Zones lists the availability zones of all processes.
 	Zones  []string
 	Now    func() (time.Duration, bool)
 	Scaler Scaler
 	Log    logrus.FieldLogger
 
 	policy Policy
-	// stale are rows of processes that are gone, which Decide met.
-	stale []store.Key
+	// staleRows are the keys of rows of stopped processes that Decide found.
+	staleRows []store.Key
 }
 
-func pieceAt(at time.Time) uint64 { return uint64(at.UnixNano() / int64(decisionTime)) }
+func pieceAt(at time.Time) uint64 { return uint64(at.UnixNano() / int64(decisionInterval)) }
 
-func dueOf(piece uint64) time.Time { return time.Unix(0, int64(piece)*int64(decisionTime)) }
+func dueOf(piece uint64) time.Time { return time.Unix(0, int64(piece)*int64(decisionInterval)) }
 
-// Next implements duty.Work: what was not decided in time is not decided any more.
+// Next implements duty.Work. It skips pieces that were not decided in time.
 func (o *Orders) Next(done uint64, _ bool) (uint64, time.Time) {
 	piece := max(done+1, pieceAt(time.Now()))
 	return piece, dueOf(piece)
@@ -73,9 +73,9 @@
 
 // Decide implements duty.Work.
 func (o *Orders) Decide(ctx context.Context, _ uint64, last []byte) ([]byte, error) {
-	var former Order
+	var previous Order
 	if last != nil {
-		if err := codec.Unmarshal(last, &former); err != nil {
+		if err := codec.Unmarshal(last, &previous); err != nil {
 			return nil, fmt.Errorf("the last order of %s in %s: %w", o.Target.Service, o.Target.Zone, err)
 		}
 	}
@@ -88,7 +88,7 @@
 	if service == nil || service.Autoscale == nil {
 		return nil, nil
 	}
-	busy, heard, err := o.load(ctx, now)
+	busy, known, err := o.sumLoads(ctx, now)
 	if err != nil {
 		return nil, err
 	}
@@ -99,46 +99,47 @@
 			observed.SlotsPerEndpoint = max(observed.SlotsPerEndpoint, i.Slots)
 		}
 	}
-	if !heard && observed.Serving > 0 && former.Endpoints == 0 {
-		return nil, nil // nobody has told of a load yet: what is there stays
+	if !known && observed.Serving > 0 && previous.Endpoints == 0 {
+		return nil, nil // no load is known yet: keep the existing endpoints
 	}
-	want := o.policy.Decide(*service.Autoscale, observed, LastOrder{former.Endpoints, former.At}, now)
-	if want == former.Endpoints || (former.Endpoints == 0 && want == observed.Serving) {
+	want := o.policy.Decide(*service.Autoscale, observed, LastOrder{previous.Endpoints, previous.At}, now)
+	if want == previous.Endpoints || (previous.Endpoints == 0 && want == observed.Serving) {
 		return nil, nil
 	}
 	o.Log.WithFields(logrus.Fields{
 		"service": o.Target.Service, "zone": o.Target.Zone, "busy": busy, "places": observed.SlotsPerEndpoint, "serving": observed.Serving,
-		"former": former.Endpoints, "endpoints": want,
+		"former": previous.Endpoints, "endpoints": want,
 	}).Info("endpoints to be ordered")
 	return codec.Marshal(Order{Target: o.Target, Endpoints: want, At: now})
 }
 
-// load sums what processes have written of the place; heard says that one did.
-func (o *Orders) load(ctx context.Context, now time.Duration) (sum float64, heard bool, err error) {
-	o.stale = nil
+// sumLoads sums the loads that processes have written for the target. known is false if
+// no process has written a load within maxLoadAge.
+func (o *Orders) sumLoads(ctx context.Context, now time.Duration) (sum float64, known bool, err error) {
+	o.staleRows = nil
 	for _, zone := range o.Zones {
 		s, err := store.ListAll(ctx, o.Rows, store.Range{Table: TableLoads, Part: zone})
 		if err != nil {
 			return 0, false, fmt.Errorf("loads in %s: %w", zone, err)
 		}
 		for _, row := range s.Rows {
-			var l load
+			var l loadRow
 			if err := codec.Unmarshal(row.Value, &l); err != nil {
 				return 0, false, fmt.Errorf("row %s of %s: %w", row.Name, TableLoads, err)
 			}
 			switch age := now - l.At; {
-			case age > forgetTime:
-				o.stale = append(o.stale, row.Key)
-			case age <= freshTime:
-				heard = true
-				sum += l.of(o.Target)
+			case age > removeLoadAge:
+				o.staleRows = append(o.staleRows, row.Key)
+			case age <= maxLoadAge:
+				known = true
+				sum += l.slotsOf(o.Target)
 			}
 		}
 	}
-	return sum, heard, nil
+	return sum, known, nil
 }
 
-func (l *load) of(p Target) float64 {
+func (l *loadRow) slotsOf(p Target) float64 {
 	for _, b := range l.Busy {
 		if b.Target == p {
 			return b.Slots
@@ -156,9 +157,9 @@
 	return o.Scaler.Scale(ctx, f, acting, &order)
 }
 
-// OnDone implements duty.Work: it removes the rows of processes that are gone.
+// OnDone implements duty.Work. It deletes the rows of stopped processes.
 func (o *Orders) OnDone(ctx context.Context, _ uint64) {
-	for _, key := range o.stale {
+	for _, key := range o.staleRows {
 		if _, err := o.Rows.Commit(ctx, store.Tx{Delete: []store.Key{key}}); err != nil {
 			o.Log.WithError(err).WithField("row", key.Name).Warn("old load not removed")
 			return
--- a/scaling/orders_test.go
+++ b/scaling/orders_test.go
@@ -14,7 +14,7 @@
 	"mulberryscale.example/transport/codec"
 )
 
-var here = Target{Service: "desk", Zone: "z"}
+var testTarget = Target{Service: "desk", Zone: "z"}
 
 func newOrders(s *rowstore.Store, serving int) (*Orders, *fleet.View) {
 	view := fleet.NewView()
@@ -23,10 +23,10 @@
 	view.SetConfig(config)
 	var list []fleet.Instance
 	for i := range serving {
-		list = append(list, fleet.Instance{ID: string(rune('a' + i)), Service: "desk", Zone: "z", Addr: "10.0.0.1:" + string(rune('1'+i)), Slots: testPlaces})
+		list = append(list, fleet.Instance{ID: string(rune('a' + i)), Service: "desk", Zone: "z", Addr: "10.0.0.1:" + string(rune('1'+i)), Slots: testSlots})
 	}
-	view.UpdateInstances(append(list, fleet.Instance{ID: "y", Service: "desk", Zone: "y", Addr: "10.0.1.1:1", Slots: testPlaces}), nil)
-	return &Orders{Target: here, Rows: s, View: view, Zones: []string{"y", "z"}, Now: s.Now, Log: observe.Discard()}, view
+	view.UpdateInstances(append(list, fleet.Instance{ID: "y", Service: "desk", Zone: "y", Addr: "10.0.1.1:1", Slots: testSlots}), nil)
+	return &Orders{Target: testTarget, Rows: s, View: view, Zones: []string{"y", "z"}, Now: s.Now, Log: observe.Discard()}, view
 }
 
 func startWriter(ctx context.Context, s *rowstore.Store, zone, name string) *Meter {
@@ -54,24 +54,24 @@
 	return &order
 }
 
-// TestOrdersFollowTheLoadOfAllProcesses sums two processes in two zones; requests
-// of other places and services are not counted.
+// TestOrdersFollowTheLoadOfAllProcesses sums the loads of two processes in two zones.
+// Requests to other zones and services must not count.
 func TestOrdersFollowTheLoadOfAllProcesses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
 		o, _ := newOrders(s, 3)
 		if got := decide(t, o, nil); got != nil {
-			t.Errorf("ordered %+v before anybody has told of a load", got)
+			t.Errorf("ordered %+v before any load was written", got)
 		}
 		a, b := startWriter(t.Context(), s, "y", "a"), startWriter(t.Context(), s, "z", "b")
 		var ends []func()
 		for range 10 {
-			ends = append(ends, a.Begin(here), b.Begin(here), a.Begin(Target{"desk", "y"}), b.Begin(Target{"other", "z"}))
+			ends = append(ends, a.Begin(testTarget), b.Begin(testTarget), a.Begin(Target{"desk", "y"}), b.Begin(Target{"other", "z"}))
 		}
 		time.Sleep(2*writeInterval + time.Millisecond)
 		got := decide(t, o, nil)
-		if got == nil || got.Endpoints != 5 || got.Target != here {
-			t.Fatalf("got %+v, want 5 endpoints for 20 places", got)
+		if got == nil || got.Endpoints != 5 || got.Target != testTarget {
+			t.Fatalf("got %+v, want 5 endpoints for 20 slots", got)
 		}
 		work, err := codec.Marshal(got)
 		if err != nil {
@@ -87,24 +87,24 @@
 		commits := s.Commits()
 		time.Sleep(10 * writeInterval)
 		if s.Commits() > commits+2 {
-			t.Error("idle processes write")
+			t.Error("idle processes keep writing")
 		}
 	})
 }
 
-// TestNothingIsOrderedBlindly: without the store, a configuration or a list
-// nothing is decided; a service that is no longer scaled is left alone.
+// TestNothingIsOrderedBlindly: without the store, a configuration or an instance list
+// nothing is ordered, nor for a service that is no longer autoscaled.
 func TestNothingIsOrderedBlindly(t *testing.T) {
 	s := rowstore.New()
 	o, view := newOrders(s, 3)
-	way := s.Client()
-	way.Cut(store.ErrRefused)
-	o.Rows = way
+	client := s.Client()
+	client.Cut(store.ErrRefused)
+	o.Rows = client
 	if _, err := o.Decide(t.Context(), 1, nil); err == nil {
 		t.Error("decided without the store")
 	}
 	if _, err := o.Decide(t.Context(), 1, []byte("{")); err == nil {
-		t.Error("decided after an order that is not readable")
+		t.Error("decided although the last order cannot be decoded")
 	}
 	next := &fleet.Config{Version: 2, Services: []fleet.Service{{Name: "desk"}}}
 	next.Index()
@@ -118,56 +118,57 @@
 	}
 }
 
-type fakeSink struct{ got []Order }
+type fakeScaler struct{ got []Order }
 
-func (f *fakeSink) Scale(_ context.Context, _ duty.Fence, _ func() bool, o *Order) error {
+func (f *fakeScaler) Scale(_ context.Context, _ duty.Fence, _ func() bool, o *Order) error {
 	f.got = append(f.got, *o)
 	return nil
 }
 
-// TestOrderIsSentAsDecided also removes the row of a process that is gone.
+// TestOrderIsSentAsDecided sends an order, and expects that the row of a stopped process
+// is deleted.
 func TestOrderIsSentAsDecided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, sink := rowstore.New(), &fakeSink{}
+		s, scaler := rowstore.New(), &fakeScaler{}
 		o, _ := newOrders(s, 3)
-		o.Scaler = sink
+		o.Scaler = scaler
 		ctx, stop := context.WithCancel(t.Context())
-		gone := startWriter(ctx, s, "z", "gone")
-		gone.Begin(here)
+		crashed := startWriter(ctx, s, "z", "gone")
+		crashed.Begin(testTarget)
 		time.Sleep(writeInterval + time.Millisecond)
 		stop()
-		time.Sleep(forgetTime)
+		time.Sleep(removeLoadAge)
 		m := startWriter(t.Context(), s, "z", "lives")
 		for range 30 {
-			m.Begin(here)
+			m.Begin(testTarget)
 		}
 		time.Sleep(writeInterval + time.Millisecond)
 		work, err := o.Decide(t.Context(), 1, nil)
 		if err != nil || work == nil {
 			t.Fatalf("got %v, %v", work, err)
 		}
-		if err := o.Send(t.Context(), duty.Fence{}, func() bool { return true }, work); err != nil || len(sink.got) != 1 || sink.got[0].Endpoints != 8 {
-			t.Errorf("got %+v, %v", sink.got, err)
+		if err := o.Send(t.Context(), duty.Fence{}, func() bool { return true }, work); err != nil || len(scaler.got) != 1 || scaler.got[0].Endpoints != 8 {
+			t.Errorf("got %+v, %v", scaler.got, err)
 		}
 		o.OnDone(t.Context(), 1)
 		if rows := s.Rows(TableLoads); len(rows) != 1 || rows[0].Name != "lives" {
-			t.Errorf("left are %d rows", len(rows))
+			t.Errorf("%d rows left, want only that of the live process", len(rows))
 		}
 	})
 }
 
-func TestMomentsOfDecisions(t *testing.T) {
+func TestDecisionSchedule(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := &Orders{}
 		piece, due := o.Next(0, false)
-		if due.After(time.Now()) || time.Since(due) > decisionTime {
+		if due.After(time.Now()) || time.Since(due) > decisionInterval {
 			t.Errorf("piece %d is due %s", piece, due)
 		}
 		if next, due := o.Next(piece, true); next != piece+1 || !due.After(time.Now()) {
-			t.Errorf("then %d at %s", next, due)
+			t.Errorf("next piece %d is due %s", next, due)
 		}
 		if coming, due := o.NextDue(time.Now()); coming != piece+1 || !due.After(time.Now()) {
-			t.Errorf("coming %d at %s", coming, due)
+			t.Errorf("coming piece %d is due %s", coming, due)
 		}
 	})
 }
--- a/scaling/policy.go
+++ b/scaling/policy.go
@@ -1,6 +1,6 @@
-// Package scaling decides how many endpoints a service has in an availability
-// zone, from how many places its requests take, and orders them. All processes
-// measure, the one that holds the duty decides.
+// Package scaling is the autoscaler: it decides how many endpoints a service needs in an
+// availability zone, from the number of slots that its requests use, and orders them.
+// All processes measure the load; the process that holds the duty decides.
 package scaling
 
 import (
@@ -10,86 +10,87 @@
 	"mulberryscale.example/fleet"
 )
 
-// Figures of the policy. They were chosen on the loads of policy_test.go.
+// Parameters of the policy. The tests in policy_test.go simulate the loads for which they
+// were chosen.
 const (
-	// upUse is the share of the places that may be taken before more endpoints are
-	// ordered: what is above it serves those that come while new ones start.
-	upUse = 0.7
-	// downUse is the share that must be left over after endpoints were given back.
-	// It is so far below upUse that a load which varies by a sixth orders nothing.
-	downUse = 0.6
-	// largestGrowth is how many times the endpoints that serve may be ordered at
-	// once. Requests that wait count as load beside those that run, so that the need
-	// seems larger than it is until the first new endpoints serve.
-	largestGrowth = 3
-	// calmBoots and leastCalm are how long the load must have been low before
-	// endpoints are given back, in times of a start, and at least.
-	calmBoots = 2
-	leastCalm = 20 * time.Second
-	// largestStep is the share of the endpoints that is given back at once.
-	largestStep = 0.25
+	// scaleUpUtilization is the share of the slots in use above which more endpoints are
+	// ordered. The remaining slots serve the requests that arrive while those start.
+	scaleUpUtilization = 0.7
+	// scaleDownUtilization is the highest share of the slots that may be in use after
+	// endpoints were removed. It is far enough below scaleUpUtilization that a load which
+	// varies by a sixth causes no orders.
+	scaleDownUtilization = 0.6
+	// maxGrowthFactor bounds an order, as a multiple of the serving endpoints. Queued
+	// requests count as load in addition to running ones, so that the need is
+	// overestimated until the first new endpoints serve.
+	maxGrowthFactor = 3
+	// The load must have been low for stabilizationBoots times the start time of an
+	// endpoint, and for at least minStabilization, before endpoints are removed.
+	stabilizationBoots = 2
+	minStabilization   = 20 * time.Second
+	// maxScaleDownShare is the largest share of the endpoints that is removed at once.
+	maxScaleDownShare = 0.25
 )
 
-// Observed is a service in an availability zone as it was measured.
+// Observed is the measured state of a target.
 type Observed struct {
-	// BusySlots are the places that requests take or wait for.
+	// BusySlots is the number of slots that requests use or wait for.
 	BusySlots float64
-	// SlotsPerEndpoint are those of one endpoint.
+	// SlotsPerEndpoint is the number of slots of one endpoint.
 	SlotsPerEndpoint int
-	// Serving are the endpoints that are registered and take work.
+	// Serving is the number of endpoints that are registered and accept requests.
 	Serving int
 }
 
-// LastOrder is the last order; its zero value is none.
+// LastOrder is the last order for a target; the zero value means none.
 type LastOrder struct {
 	Endpoints int
-	// At is when it was given.
+	// At is when it was decided.
 	At time.Duration
 }
 
-// Policy decides for one service in one availability zone. It is not safe for
-// concurrent use.
+// Policy is the scaling policy of one target. It is not safe for concurrent use.
 type Policy struct {
-	// low is since when fewer endpoints would do; known says that they would.
-	low   time.Duration
-	known bool
+	// lowSince is since when fewer endpoints would suffice. It is valid if isLow is set.
+	lowSince time.Duration
+	isLow    bool
 }
 
-// Decide returns how many endpoints there should be now. Times are of one clock.
+// Decide returns the desired number of endpoints. now and last.At are of the same clock.
 func (p *Policy) Decide(bounds fleet.Autoscale, o Observed, last LastOrder, now time.Duration) int {
-	have := last.Endpoints
-	if have == 0 {
-		have = o.Serving
+	current := last.Endpoints
+	if current == 0 {
+		current = o.Serving
 	}
 	if o.SlotsPerEndpoint <= 0 {
-		return have
+		return current
 	}
 	clamp := func(n int) int { return max(bounds.Min, min(bounds.Max, n)) }
-	more := clamp(min(needed(o.BusySlots, o.SlotsPerEndpoint, upUse), largestGrowth*max(1, o.Serving)))
-	fewer := clamp(needed(o.BusySlots, o.SlotsPerEndpoint, downUse))
+	scaleUp := clamp(min(needed(o.BusySlots, o.SlotsPerEndpoint, scaleUpUtilization), maxGrowthFactor*max(1, o.Serving)))
+	scaleDown := clamp(needed(o.BusySlots, o.SlotsPerEndpoint, scaleDownUtilization))
 	starting := last.Endpoints > 0 && now-last.At < bounds.Boot
 	switch {
-	case more > have:
-		p.known = false
+	case scaleUp > current:
+		p.isLow = false
 		if starting {
-			return clamp(have)
+			return clamp(current)
 		}
-		return more
-	case fewer >= have:
-		p.known = false
-		return clamp(have)
+		return scaleUp
+	case scaleDown >= current:
+		p.isLow = false
+		return clamp(current)
 	}
-	if !p.known {
-		p.low, p.known = now, true
+	if !p.isLow {
+		p.lowSince, p.isLow = now, true
 	}
-	if now-p.low < max(calmBoots*bounds.Boot, leastCalm) {
-		return clamp(have)
+	if now-p.lowSince < max(stabilizationBoots*bounds.Boot, minStabilization) {
+		return clamp(current)
 	}
-	p.known = false
-	return max(fewer, have-max(1, int(largestStep*float64(have))))
+	p.isLow = false
+	return max(scaleDown, current-max(1, int(maxScaleDownShare*float64(current))))
 }
 
-// needed is how many endpoints hold a load if only a share of their places may be taken.
-func needed(busy float64, places int, share float64) int {
-	return int(math.Ceil(busy / (float64(places) * share)))
+// needed returns how many endpoints serve a load at a utilization of their slots.
+func needed(busy float64, slots int, utilization float64) int {
+	return int(math.Ceil(busy / (float64(slots) * utilization)))
 }
