--- a/observe/counters.go
+++ b/observe/counters.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// maxRows bounds the rows that one name is counted by, since a caller may
-	// ask for any row's name.
+	// maxRows bounds the rows kept per counter name, since a caller may send any
+	// row name.
 	maxRows = 1024
-	// RowOther counts what is beyond that bound.
+	// RowOther is the key for rows beyond that bound.
 	RowOther = "other"
-	// RowNone counts what belongs to no row.
+	// RowNone is the key for events that belong to no row.
 	RowNone = "-"
 )
 
-// Counters are the counters, gauges and histograms of one process. A test may
-// hold many of them. The zero value is not usable.
+// Counters holds the counters, gauges and histograms of one process. It is not
+// registered globally, so a test may create many. The zero value is not usable.
 type Counters struct {
-	root    *expvar.Map
-	mu      sync.Mutex // guards the making of maps and histograms
-	dropped atomic.Int64
+	root       *expvar.Map
+	mu         sync.Mutex // guards the creation of maps and histograms
+	overflowed atomic.Int64
 }
 
-// NewCounters returns counters at zero, with the gauges of every process.
+// NewCounters returns counters at zero, with the gauges that every process has.
 func NewCounters() *Counters {
 	c := &Counters{root: new(expvar.Map).Init()}
 	start := time.Now()
 	c.Gauge(NameUptime, func() any { return time.Since(start).Seconds() })
 	c.Gauge(NameGoroutines, func() any { return readMetric("/sched/goroutines:goroutines") })
 	c.Gauge(NameHeap, func() any { return readMetric("/memory/classes/heap/objects:bytes") })
-	c.Gauge(NameDroppedRows, func() any { return c.dropped.Load() })
+	c.Gauge(NameDroppedRows, func() any { return c.overflowed.Load() })
 	return c
 }
 
@@ -54,27 +54,27 @@
 	c.addReason(NameRefusals, row, string(code))
 }
 
-// Retry counts one repeat of a call of a row; an empty row is RowNone.
+// Retry counts one retry of a call of a row; an empty row is RowNone.
 func (c *Counters) Retry(row string, reason string) {
 	c.addReason(NameRetries, row, reason)
 }
 
 func (c *Counters) addReason(name Name, row, reason string) {
 	byRow := c.mapOf(c.root, string(name))
-	c.mapOf(byRow, c.boundedRow(byRow, row)).Add(reason, 1)
+	c.mapOf(byRow, c.rowKey(byRow, row)).Add(reason, 1)
 }
 
-// Refusals is the number of refusals of a row, of all rows if it is empty.
+// Refusals returns the number of refusals of a row with a code; an empty row sums all rows.
 func (c *Counters) Refusals(row string, code api.Code) int64 {
-	return c.reasons(NameRefusals, row, string(code))
+	return c.sumReason(NameRefusals, row, string(code))
 }
 
-// Retries is the number of repeats for a reason of a row, of all rows if it is empty.
+// Retries returns the number of retries of a row for a reason; an empty row sums all rows.
 func (c *Counters) Retries(row, reason string) int64 {
-	return c.reasons(NameRetries, row, reason)
+	return c.sumReason(NameRetries, row, reason)
 }
 
-func (c *Counters) reasons(name Name, row, reason string) int64 {
+func (c *Counters) sumReason(name Name, row, reason string) int64 {
 	byRow, ok := c.root.Get(string(name)).(*expvar.Map)
 	if !ok {
 		return 0
@@ -92,10 +92,10 @@
 // Add adds delta to a counter of a row; an empty row is RowNone.
 func (c *Counters) Add(name Name, row string, delta int64) {
 	byRow := c.mapOf(c.root, string(name))
-	byRow.Add(c.boundedRow(byRow, row), delta)
+	byRow.Add(c.rowKey(byRow, row), delta)
 }
 
-// Value is a counter's value for a row, the sum over all rows if it is empty.
+// Value returns a counter's value for a row; an empty row sums all rows.
 func (c *Counters) Value(name Name, row string) int64 {
 	byRow, ok := c.root.Get(string(name)).(*expvar.Map)
 	if !ok {
@@ -109,7 +109,7 @@
 	return sum
 }
 
-// Rows are a counter's values by row.
+// Rows returns a counter's values by row.
 func (c *Counters) Rows(name Name) map[string]int64 {
 	rows := map[string]int64{}
 	if byRow, ok := c.root.Get(string(name)).(*expvar.Map); ok {
@@ -126,8 +126,9 @@
 	return i.Value()
 }
 
-// Gauge shows what f returns, encoded as JSON, whenever the counters are read.
-// f must be safe for concurrent use. A later gauge of the same name replaces it.
+// Gauge registers a gauge whose value, encoded as JSON, is what f returns when
+// the counters are read. f must be safe for concurrent use. A later gauge of the
+// same name replaces it.
 func (c *Counters) Gauge(name Name, f func() any) {
 	c.root.Set(string(name), expvar.Func(f))
 }
@@ -135,10 +136,10 @@
 // Observe records a duration in the histogram of a row; an empty row is RowNone.
 func (c *Counters) Observe(name Name, row string, d time.Duration) {
 	byRow := c.mapOf(c.root, string(name))
-	c.histogramOf(byRow, c.boundedRow(byRow, row)).record(d)
+	c.histogramOf(byRow, c.rowKey(byRow, row)).record(d)
 }
 
-// Quantile is a quantile, 0 to 1, of a row's histogram; 0 when nothing was recorded.
+// Quantile returns quantile q, 0 to 1, of a row's histogram; 0 when nothing was recorded.
 func (c *Counters) Quantile(name Name, row string, q float64) time.Duration {
 	byRow, ok := c.root.Get(string(name)).(*expvar.Map)
 	if !ok {
@@ -151,15 +152,15 @@
 	return h.quantile(q)
 }
 
-// Handler serves all of it as one JSON object.
+// Handler serves all counters, gauges and histograms as one JSON object.
 func (c *Counters) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json; charset=utf-8")
-		_, _ = w.Write([]byte(c.root.String())) // the reader may have gone
+		_, _ = w.Write([]byte(c.root.String())) // the client may have disconnected
 	})
 }
 
-// mapOf returns the map at key within parent and makes it when there is none.
+// mapOf returns the map at key within parent and creates it if it is missing.
 func (c *Counters) mapOf(parent *expvar.Map, key string) *expvar.Map {
 	if m, ok := parent.Get(key).(*expvar.Map); ok {
 		return m
@@ -188,8 +189,9 @@
 	return h
 }
 
-// boundedRow is the key that a row is counted by.
-func (c *Counters) boundedRow(byRow *expvar.Map, row string) string {
+// rowKey returns the key that a row is counted under: the row itself, RowNone if
+// it is empty, or RowOther once byRow holds maxRows rows.
+func (c *Counters) rowKey(byRow *expvar.Map, row string) string {
 	if row == "" {
 		return RowNone
 	}
@@ -199,7 +201,7 @@
 	if size(byRow) < maxRows {
 		return row
 	}
-	c.dropped.Add(1)
+	c.overflowed.Add(1)
 	return RowOther
 }
 
--- a/observe/doc.go
+++ b/observe/doc.go
@@ -1,4 +1,4 @@
-// Package observe is what a process shows of itself: logs by logrus with the
-// same field names everywhere, and counters, gauges and histograms that an
-// operators' listener serves as expvar JSON.
+// Package observe provides logs and metrics: logrus loggers with the same field
+// names in every process, and counters, gauges and histograms that the operators'
+// listener serves as expvar JSON.
 package observe
--- a/observe/docs_test.go
+++ b/observe/docs_test.go
@@ -41,7 +41,7 @@
 	}
 	for _, l := range listed {
 		if !slices.Contains(declared, l) {
-			t.Errorf("%s stands on the page and not in the code", l)
+			t.Errorf("%s is on the page but not in the code", l)
 		}
 	}
 }
--- a/observe/histogram.go
+++ b/observe/histogram.go
@@ -10,21 +10,21 @@
 
 // Range and precision of the histograms.
 const (
-	shortest          = time.Microsecond
-	longest           = time.Hour
+	minDuration       = time.Microsecond
+	maxDuration       = time.Hour
 	significantDigits = 2
 )
 
-// percent is the factor from a quantile to the library's percentile.
+// percent converts a quantile, 0 to 1, to the library's percentile, 0 to 100.
 const percent = 100
 
-// histogram is an expvar.Var of durations since the start of the process.
+// histogram is an expvar.Var that records durations since the start of the process.
 type histogram struct {
 	mu sync.Mutex
 	h  *hdr.Histogram // microseconds
 }
 
-// summary is a histogram in /debug/vars; times in seconds.
+// summary is the JSON form of a histogram in /debug/vars; times are in seconds.
 type summary struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean"`
@@ -35,12 +35,12 @@
 }
 
 func newHistogram() *histogram {
-	return &histogram{h: hdr.New(1, longest.Microseconds(), significantDigits)}
+	return &histogram{h: hdr.New(1, maxDuration.Microseconds(), significantDigits)}
 }
 
-// record counts d, or the nearest duration within the range.
+// record counts d, clamped to the histogram's range.
 func (h *histogram) record(d time.Duration) {
-	d = min(max(d, shortest), longest)
+	d = min(max(d, minDuration), maxDuration)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_ = h.h.RecordValue(d.Microseconds()) // fails only outside the range
@@ -66,12 +66,12 @@
 	h.mu.Unlock()
 	text, err := json.Marshal(s)
 	if err != nil {
-		return "null" // only for numbers that JSON lacks, which a histogram does not hold
+		return "null" // only for NaN and infinities, which a histogram never holds
 	}
 	return string(text)
 }
 
-// seconds is called with h.mu held.
+// seconds returns quantile q in seconds. The caller holds h.mu.
 func (h *histogram) seconds(q float64) float64 {
 	return seconds(h.h.ValueAtPercentile(q * percent))
 }
--- a/observe/logger.go
+++ b/observe/logger.go
@@ -21,20 +21,20 @@
 	DefaultRepeats = 5
 )
 
-// LogOptions are the settings of a logger.
+// LogOptions configures a logger.
 type LogOptions struct {
-	// Level is the least level written, such as "debug", "info" or "warning"; empty is DefaultLevel.
+	// Level is the lowest level written, such as "debug", "info" or "warning"; empty is DefaultLevel.
 	Level string
 	// Format is FormatText (also when empty) or FormatJSON.
 	Format string
 	// Output is where lines go; nil is standard error.
 	Output io.Writer
-	// Repeats is how many lines of the same level, message and fields are
-	// written a second; 0 is DefaultRepeats, a negative number is no bound.
+	// Repeats is how many lines with the same level, message and fields are
+	// written a second; 0 is DefaultRepeats, a negative number means no limit.
 	Repeats int
 }
 
-// NewLogger returns a logger, or an error that names the setting that is wrong.
+// NewLogger returns a logger, or an error that names the invalid option.
 func NewLogger(options LogOptions) (*logrus.Logger, error) {
 	if options.Level == "" {
 		options.Level = DefaultLevel
--- a/observe/loglimiter.go
+++ b/observe/loglimiter.go
@@ -10,30 +10,30 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of a process's log.
+// Limits on the log volume of a process.
 const (
-	// logLines is the budget of ordinary lines a second. A busy agent writes
-	// some thirty; ten times that leaves room for a burst and costs less than
-	// a hundredth of a core.
-	logLines = 300
-	// logUrgent is the budget of warnings and errors, on top of it.
-	logUrgent = 200
-	// logQueue is how many lines may wait for a reader that is slow, about
-	// half a megabyte.
-	logQueue = 2048
-	// dropReport is how often lost lines are told.
-	dropReport = time.Second
-	// closeWait is how long a stopping process waits for its last lines.
-	closeWait = 300 * time.Millisecond
+	// linesPerSecond is the rate limit of lines below warning level. A busy agent
+	// writes some thirty lines a second; ten times that allows bursts and costs
+	// less than a hundredth of a core.
+	linesPerSecond = 300
+	// urgentPerSecond is the separate rate limit of warnings and errors.
+	urgentPerSecond = 200
+	// maxQueuedLines bounds the lines that wait for a slow output, about half a
+	// megabyte.
+	maxQueuedLines = 2048
+	// dropReportInterval is how often the number of dropped lines is logged.
+	dropReportInterval = time.Second
+	// closeTimeout bounds how long Close waits for queued lines to be written.
+	closeTimeout = 300 * time.Millisecond
 )
 
-// FieldDropped is the number of lines lost since they were last told.
+// FieldDropped is the log field with the number of lines dropped since the previous report.
 const FieldDropped = "dropped"
 
-// LogLimiter keeps a logger's volume within a budget and never lets it wait for
-// who reads the log. Refusals and failures have a budget of their own, so that
-// ordinary lines do not crowd them out. What is lost is counted and told once a
-// second.
+// LogLimiter limits the rate of a logger's lines and writes them asynchronously,
+// so that a slow or stalled output never blocks the caller. Warnings and errors
+// have a rate limit of their own, so that ordinary lines do not crowd them out.
+// Dropped lines are counted and reported in the log once a second.
 type LogLimiter struct {
 	out      io.Writer
 	next     logrus.Formatter
@@ -47,20 +47,21 @@
 	once     sync.Once
 }
 
-// LimitLog puts a logger's lines under a budget; Close must be called.
+// LimitLog installs a LogLimiter as the logger's formatter and output and starts
+// its writer; Close must be called.
 func LimitLog(logger *logrus.Logger) *LogLimiter {
 	b := &LogLimiter{
 		out: logger.Out, next: logger.Formatter,
-		ordinary: rate.NewLimiter(logLines, 2*logLines), urgent: rate.NewLimiter(logUrgent, 2*logUrgent),
-		lines: make(chan []byte, logQueue), stop: make(chan struct{}), stopped: make(chan struct{}),
+		ordinary: rate.NewLimiter(linesPerSecond, 2*linesPerSecond), urgent: rate.NewLimiter(urgentPerSecond, 2*urgentPerSecond),
+		lines: make(chan []byte, maxQueuedLines), stop: make(chan struct{}), stopped: make(chan struct{}),
 	}
 	logger.SetFormatter(b)
 	logger.SetOutput(b)
-	go b.write(logger)
+	go b.writeLoop(logger)
 	return b
 }
 
-// Dropped is the number of lines lost since the start.
+// Dropped returns the number of lines dropped since LimitLog.
 func (b *LogLimiter) Dropped() int64 { return b.total.Load() }
 
 func (b *LogLimiter) drop() {
@@ -68,7 +69,7 @@
 	b.total.Add(1)
 }
 
-// Format implements logrus.Formatter; it returns nothing for a line over the budget.
+// Format implements logrus.Formatter; it returns nothing for a line over the rate limit.
 func (b *LogLimiter) Format(entry *logrus.Entry) ([]byte, error) {
 	budget := b.ordinary
 	if entry.Level <= logrus.WarnLevel {
@@ -81,7 +82,7 @@
 	return b.next.Format(entry)
 }
 
-// Write implements io.Writer; it never blocks.
+// Write implements io.Writer. It never blocks; it drops the line when the queue is full.
 func (b *LogLimiter) Write(line []byte) (int, error) {
 	if len(line) == 0 {
 		return 0, nil
@@ -94,10 +95,10 @@
 	return len(line), nil
 }
 
-// write writes what waits, all of it at once, until Close.
-func (b *LogLimiter) write(logger *logrus.Logger) {
+// writeLoop writes queued lines in batches, and reports dropped ones, until Close.
+func (b *LogLimiter) writeLoop(logger *logrus.Logger) {
 	defer close(b.stopped)
-	ticker := time.NewTicker(dropReport)
+	ticker := time.NewTicker(dropReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -114,7 +115,7 @@
 	}
 }
 
-// flush writes a line and all that waits behind it.
+// flush writes text and all queued lines in one call.
 func (b *LogLimiter) flush(text []byte) {
 	for {
 		select {
@@ -128,14 +129,15 @@
 	if len(text) == 0 {
 		return
 	}
-	_, _ = b.out.Write(text) // there is nowhere to say that the log is gone
+	_, _ = b.out.Write(text) // a failed write of the log cannot be logged
 }
 
-// Close writes what waits, unless the reader has stalled.
+// Close stops the writer and waits up to closeTimeout until queued lines are
+// written; a stalled output loses them.
 func (b *LogLimiter) Close() {
 	b.once.Do(func() { close(b.stop) })
 	select {
 	case <-b.stopped:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/observe/loglimiter_test.go
+++ b/observe/loglimiter_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// stalled is a reader of the log that has stopped reading.
-type stalled struct{ release chan struct{} }
+// stalledWriter is a log output that blocks until release is closed.
+type stalledWriter struct{ release chan struct{} }
 
-func (s stalled) Write(p []byte) (int, error) {
+func (s stalledWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
@@ -34,9 +34,9 @@
 	return l.b.String()
 }
 
-func TestStalledReaderBlocksNobody(t *testing.T) {
+func TestStalledOutputDoesNotBlockLogging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := stalled{make(chan struct{})}
+		out := stalledWriter{make(chan struct{})}
 		logger, err := NewLogger(LogOptions{Format: FormatJSON, Output: out, Repeats: -1})
 		if err != nil {
 			t.Fatal(err)
@@ -44,16 +44,16 @@
 		b := LimitLog(logger)
 		began := time.Now()
 		for range 10 {
-			for range 2 * logLines {
+			for range 2 * linesPerSecond {
 				logger.Info("line")
 			}
 			time.Sleep(time.Second)
 		}
 		if took := time.Since(began); took != 10*time.Second {
-			t.Errorf("logging took %v", took-10*time.Second)
+			t.Errorf("logging blocked for %v", took-10*time.Second)
 		}
 		if b.Dropped() == 0 {
-			t.Error("nothing was counted as lost")
+			t.Error("no dropped lines were counted")
 		}
 		close(out.release)
 		b.Close()
@@ -77,14 +77,14 @@
 		time.Sleep(2 * time.Second)
 		b.Close()
 		text := out.String()
-		if n := strings.Count(text, "ordinary"); n > 2*logLines {
-			t.Errorf("%d ordinary lines at once", n)
+		if n := strings.Count(text, "ordinary"); n > 2*linesPerSecond {
+			t.Errorf("%d ordinary lines in one burst", n)
 		}
 		if n := strings.Count(text, "urgent"); n != 50 {
-			t.Errorf("%d of 50 warnings", n)
+			t.Errorf("%d of 50 warnings written", n)
 		}
 		if !strings.Contains(text, `"dropped":`) {
-			t.Error("the loss was not told")
+			t.Error("the dropped lines were not reported")
 		}
 	})
 }
--- a/observe/names.go
+++ b/observe/names.go
@@ -5,26 +5,27 @@
 // comment that gives its kind, its unit and what it counts.
 type Name string
 
-// Counters that are kept by row and reason; see Counters.Refusal and Counters.Retry.
+// Counters by row and reason; see Counters.Refusal and Counters.Retry.
 const (
 	// NameRefusals counts refusals by row and reason code.
 	NameRefusals Name = "refusals"
-	// NameRetries counts repeats of a call by row and reason.
+	// NameRetries counts retries of calls by row and reason.
 	NameRetries Name = "retries"
 )
 
 // Gauges of every process.
 const (
-	// NameUptime is a gauge: seconds since the process's counters were made.
+	// NameUptime is a gauge: seconds since the process created its Counters.
 	NameUptime Name = "uptime_seconds"
-	// NameGoroutines is a gauge: goroutines that exist now.
+	// NameGoroutines is a gauge: current number of goroutines.
 	NameGoroutines Name = "goroutines"
 	// NameHeap is a gauge: bytes of live and not yet collected heap objects.
 	NameHeap Name = "heap_bytes"
-	// NameDroppedRows is a gauge: row names that were counted as "other"
-	// because there were too many of them.
+	// NameDroppedRows is a gauge: number of events counted under RowOther because
+	// their counter already held the maximum of rows.
 	NameDroppedRows Name = "rows_counted_as_other"
-	// NameDroppedLines is a gauge: log lines lost to the budget or to a stalled reader.
+	// NameDroppedLines is a gauge: log lines dropped because of the rate limit or a
+	// stalled output.
 	NameDroppedLines Name = "log_lines_dropped"
 )
 
@@ -34,38 +35,38 @@
 	// agent to its start on the endpoint.
 	NameQueueWait Name = "agent_queue_wait_seconds"
 	// NameRunTime is a histogram by row: seconds from a run's start on the
-	// endpoint to its end.
+	// endpoint until it finishes.
 	NameRunTime Name = "agent_run_seconds"
-	// NameOrders counts orders to load weights; the row is empty.
+	// NameOrders counts requests to an engine to load weights; the row is empty.
 	NameOrders Name = "agent_orders"
-	// NameOrdersFailed counts orders that failed or whose replies were lost;
-	// the row is empty.
+	// NameOrdersFailed counts requests to load weights that failed or whose replies
+	// were lost; the row is empty.
 	NameOrdersFailed Name = "agent_orders_failed"
-	// NamePreempted counts running samples, by row, that made room for
+	// NamePreempted counts running samples, by row, that were preempted by
 	// interactive requests.
 	NamePreempted Name = "agent_preempted"
-	// NameAgent is a gauge: the agent's report (queue depths by row, slots,
-	// versions in force), the phase of each model, the table's version and the
-	// bytes of kept results.
+	// NameAgent is a gauge: the agent's report (queue depths by row, slots, current
+	// weight versions), the phase of each model, the table's version and the bytes
+	// of kept results.
 	NameAgent Name = "agent"
 )
 
 // Measures of an entry.
 const (
-	// NameWastedTokens counts generated tokens, by row, that no answer holds:
-	// those of runs that were moved, fell behind a newer run or were too old.
+	// NameWastedTokens counts generated tokens, by row, that are in no answer: those
+	// of runs that were moved to another engine, overtaken by a newer run, or stale.
 	NameWastedTokens Name = "entry_wasted_tokens"
 	// NameCallTime is a histogram by row: seconds from the admission of an
 	// interactive request or service call to its answer or refusal.
 	NameCallTime Name = "entry_call_seconds"
-	// NameStepTime is a histogram by row: seconds that one session of a
-	// trainer's step took at this entry.
+	// NameStepTime is a histogram by row: duration in seconds of one session of a
+	// trainer's step at this entry.
 	NameStepTime Name = "entry_step_seconds"
 	// NameSamples counts the samples written to trainers, by row.
 	NameSamples Name = "entry_samples"
 	// NameTokens counts the tokens of answers and samples written, by row.
 	NameTokens Name = "entry_tokens"
-	// NameEntry is a gauge: the table version in force and its age, the watched
+	// NameEntry is a gauge: the current table version and its age, the watched
 	// agents by state, and the unfinished runs.
 	NameEntry Name = "entry"
 )
@@ -82,51 +83,51 @@
 
 // Measures of reward calls.
 const (
-	// NameRewardWait is a histogram by route: seconds that a reward call waited
-	// in its agent for its turn before it was sent.
+	// NameRewardWait is a histogram by route: seconds that a reward call waited in
+	// its agent's queue before it was sent.
 	NameRewardWait Name = "reward_wait_seconds"
 )
 
 // Measures of forwarded requests.
 const (
-	// NameForward is a histogram by route: seconds from a request's arrival to
-	// the end of its answer.
+	// NameForward is a histogram by route: seconds from a request's arrival until
+	// its answer is complete.
 	NameForward Name = "forward_seconds"
 )
 
 const (
-	// NameForwardRefusals counts forwarded requests that got an answer of our
-	// own, by reason.
+	// NameForwardRefusals counts forwarded requests that this system answered itself
+	// instead of the endpoint, by reason.
 	NameForwardRefusals Name = "forward_refusals"
 )
 
 const (
-	// NameForwardBroken counts sends of forwarded requests that endpoints broke
-	// off, by what became of the endpoint.
+	// NameForwardBroken counts sends of forwarded requests that endpoints broke off
+	// without an answer, by whether the endpoint crashed.
 	NameForwardBroken Name = "forward_broken_sends"
 )
 
 const (
-	// NameQuarantine counts what became of contents under which endpoints ended, by
-	// event.
+	// NameQuarantine counts quarantine events of request contents during which
+	// endpoints crashed, by event.
 	NameQuarantine Name = "quarantine_events"
 )
 
 const (
-	// NameIngressRefusals counts requests that were refused before they were
+	// NameIngressRefusals counts requests refused at the ingress, before they were
 	// forwarded, by reason.
 	NameIngressRefusals Name = "ingress_refusals"
 )
 
 const (
-	// NameStoreSent counts the bytes of targets and bodies that answered calls to
-	// the platform's store sent, by table, without headers.
+	// NameStoreSent counts the request bytes (target and body, without headers) of
+	// answered calls to the platform's store, by table.
 	NameStoreSent Name = "store_sent_bytes"
-	// NameStoreReceived counts the bytes of those calls' answers.
+	// NameStoreReceived counts the response bytes of answered store calls, by table.
 	NameStoreReceived Name = "store_received_bytes"
-	// NameStoreCalls counts those calls, by table.
+	// NameStoreCalls counts answered store calls, by table.
 	NameStoreCalls Name = "store_calls"
-	// NameStoreRelayed counts the calls to the platform's store that an agent made
-	// for this process, whose own path was lost.
+	// NameStoreRelayed counts the store calls that an agent relayed for this process
+	// while it could not reach the store itself.
 	NameStoreRelayed Name = "store_detours"
 )
--- a/observe/observe_test.go
+++ b/observe/observe_test.go
@@ -50,7 +50,7 @@
 		t.Fatalf("got %s, want %s", got, want)
 	}
 	if other := NewCounters(); other.Refusals("", api.CodeQueueFull) != 0 {
-		t.Fatal("counters of two processes are mixed")
+		t.Fatal("two Counters share values")
 	}
 }
 
@@ -61,7 +61,7 @@
 	for i := range 100 {
 		c.Observe(nameTime, "r", time.Duration(i+1)*time.Millisecond)
 	}
-	c.Observe(nameTime, "r", 2*longest) // counted as the longest
+	c.Observe(nameTime, "r", 2*maxDuration) // clamped to maxDuration
 	recorder := httptest.NewRecorder()
 	c.Handler().ServeHTTP(recorder, httptest.NewRequest("GET", "/debug/vars", nil))
 	var vars struct {
@@ -92,7 +92,7 @@
 	}
 	c.Refusal("row-0", api.CodeUnknownRow)
 	if got := c.Refusals("row-0", api.CodeUnknownRow); got != 2 {
-		t.Fatalf("a known row: got %d, want 2", got)
+		t.Fatalf("row counted before the bound: got %d, want 2", got)
 	}
 }
 
@@ -131,11 +131,11 @@
 
 func TestRepeatFilterForgets(t *testing.T) {
 	f := newRepeatFilter(&logrus.TextFormatter{}, 1)
-	for i := range uint64(3 * maxTracked) {
+	for i := range uint64(3 * maxTrackedLines) {
 		f.admit(i, time.Unix(0, 0))
 	}
-	if len(f.lines) > maxTracked {
-		t.Fatalf("%d lines remembered", len(f.lines))
+	if len(f.lines) > maxTrackedLines {
+		t.Fatalf("%d lines tracked", len(f.lines))
 	}
 }
 
--- a/observe/racelimit_test.go
+++ b/observe/racelimit_test.go
@@ -1,4 +1,4 @@
 package observe
 
-// The race detector and bubbles of testing/synctest need one processor.
+// The race detector and testing/synctest bubbles need a single processor.
 import _ "mulberryscale.example/internal/racelimit"
--- a/observe/repeat.go
+++ b/observe/repeat.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// repeatWindow is the time in which repeats are counted.
+	// repeatWindow is the window in which identical lines are counted.
 	repeatWindow = time.Second
-	// maxTracked bounds the lines that the filter remembers.
-	maxTracked = 4096
+	// maxTrackedLines bounds the lines that the filter tracks.
+	maxTrackedLines = 4096
 )
 
-// repeatFilter is a formatter that drops repeats of a line beyond a number a
-// second. The next line like it that is written says how many were dropped. A
-// logrus hook cannot drop a line; a formatter that returns nothing does.
+// repeatFilter is a formatter that drops identical lines beyond limit per
+// repeatWindow; the next one written carries the number dropped in FieldSuppressed.
+// It is a formatter because a logrus hook cannot drop a line, while a formatter
+// that returns nothing can.
 type repeatFilter struct {
 	next  logrus.Formatter
 	limit int
@@ -29,11 +30,11 @@
 	lines map[uint64]*repeats
 }
 
-// repeats counts one line within its window.
+// repeats counts the occurrences of one line within its window.
 type repeats struct {
-	began   time.Time
-	written int
-	dropped int
+	windowStart time.Time
+	written     int
+	dropped     int
 }
 
 func newRepeatFilter(next logrus.Formatter, limit int) *repeatFilter {
@@ -55,19 +56,20 @@
 	return f.next.Format(&counted)
 }
 
-// admit says whether a line is written and how many like it were dropped before.
+// admit reports whether to write a line, and how many identical lines were
+// dropped before it.
 func (f *repeatFilter) admit(key uint64, now time.Time) (write bool, dropped int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r, ok := f.lines[key]
 	if !ok {
-		f.makeRoom(now)
-		f.lines[key] = &repeats{began: now, written: 1}
+		f.evict(now)
+		f.lines[key] = &repeats{windowStart: now, written: 1}
 		return true, 0
 	}
-	if now.Sub(r.began) >= repeatWindow {
+	if now.Sub(r.windowStart) >= repeatWindow {
 		dropped = r.dropped
-		*r = repeats{began: now, written: 1}
+		*r = repeats{windowStart: now, written: 1}
 		return true, dropped
 	}
 	if r.written < f.limit {
@@ -78,15 +80,15 @@
 	return false, 0
 }
 
-// makeRoom forgets lines whose window is over, and all of them if that is not enough.
-func (f *repeatFilter) makeRoom(now time.Time) {
-	if len(f.lines) < maxTracked {
+// evict removes lines whose window has passed, or all lines if the filter is still full.
+func (f *repeatFilter) evict(now time.Time) {
+	if len(f.lines) < maxTrackedLines {
 		return
 	}
 	maps.DeleteFunc(f.lines, func(_ uint64, r *repeats) bool {
-		return now.Sub(r.began) >= repeatWindow
+		return now.Sub(r.windowStart) >= repeatWindow
 	})
-	if len(f.lines) >= maxTracked {
+	if len(f.lines) >= maxTrackedLines {
 		clear(f.lines)
 	}
 }
