--- a/logstory/logstory.go
+++ b/logstory/logstory.go
@@ -1,6 +1,6 @@
-// Package logstory tells the story of one id from the logs of many processes:
-// the lines of a request, a batch job or an item in order of time, what the
-// processes involved lost or regained meanwhile, and what is missing.
+// Package logstory builds the timeline of one id from the logs of many processes:
+// the lines of a request, batch job or item in order of time, the outages of
+// dependencies at the processes involved, and the expected lines that are missing.
 package logstory
 
 import (
@@ -19,69 +19,72 @@
 	"mulberryscale.example/observe"
 )
 
-// maxLine bounds a line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
-// around is how long before and after the story's lines those of lost and
-// regained dependencies are shown: an outage shows itself within seconds.
-const around = 3 * time.Second
+// outageMargin is how long before the first and after the last line of a timeline
+// the lines of dependency outages are included: an outage is logged within seconds.
+const outageMargin = 3 * time.Second
 
-// Line is one line of a log.
+// Line is one parsed line of a log.
 type Line struct {
 	Time    time.Time
 	Process string
 	Message string
 	Level   string
-	// Fields are the others, by name.
+	// Fields holds all fields of the line by name.
 	Fields map[string]any
 }
 
-// hidden are fields that a story need not repeat.
-var hidden = []string{"time", "msg", "level", "role", "incarnation", observe.FieldProcess}
+// omittedFields are fields that String does not print after the message.
+var omittedFields = []string{"time", "msg", "level", "role", "incarnation", observe.FieldProcess}
 
-// String is the line as a story shows it.
+// String formats the line as Timeline.Write prints it.
 func (l Line) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s  %-24s %s", l.Time.Format("15:04:05.000"), l.Process, l.Message)
 	for _, name := range slices.Sorted(maps.Keys(l.Fields)) {
-		if value := l.Fields[name]; value != nil && !slices.Contains(hidden, name) {
+		if value := l.Fields[name]; value != nil && !slices.Contains(omittedFields, name) {
 			fmt.Fprintf(&b, " %s=%v", name, value)
 		}
 	}
 	return b.String()
 }
 
-// Text is a field as text, empty if it is not there.
+// Text returns a string field, empty if it is missing or of another type.
 func (l Line) Text(name string) string {
 	s, _ := l.Fields[name].(string)
 	return s
 }
 
-// Number is a field as a number, 0 if it is not there.
+// Number returns a numeric field, 0 if it is missing or of another type.
 func (l Line) Number(name string) float64 {
 	n, _ := l.Fields[name].(float64)
 	return n
 }
 
-// Timeline is what the logs say of an id.
+// Timeline holds the log lines about one id, in order of time.
 type Timeline struct {
 	ID string
-	// Lines are those of the id and, for an item, of its job.
+	// Lines are the lines of the id and, for an item, of its job.
 	Lines []Line
-	// Dependencies are losses and returns at the processes involved.
+	// Dependencies are the lines about lost and regained dependencies, starts and
+	// stops at the processes in Lines, during the timeline.
 	Dependencies []Line
-	// Missing says what one would expect and did not find.
+	// Missing describes expected lines that are absent, one message each.
 	Missing []string
-	// Unreadable counts lines that are no log lines.
+	// Unreadable is the number of input lines that are not log lines.
 	Unreadable int
 }
 
-// Read reads logs. Text before a line's first brace, such as a collector's
-// prefix, is passed over; lines without one are counted.
+// Read parses logs of JSON lines and returns their lines sorted by time. Text
+// before a line's first brace, such as a log collector's prefix, is skipped; lines
+// that cannot be parsed are only counted in unreadable. The error is one of reading
+// a log, also for a line longer than maxLineBytes.
 func Read(logs ...io.Reader) (lines []Line, unreadable int, err error) {
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
-		scanner.Buffer(nil, maxLine)
+		scanner.Buffer(nil, maxLineBytes)
 		for scanner.Scan() {
 			line, ok := parse(scanner.Bytes())
 			if !ok {
@@ -114,7 +117,7 @@
 	return l, err == nil && l.Message != ""
 }
 
-// Build picks an id's story out of lines in order of time.
+// Build selects the lines that belong to id. The lines must be sorted by time.
 func Build(lines []Line, id string) Timeline {
 	s := Timeline{ID: id}
 	job := ""
@@ -127,7 +130,7 @@
 	}
 	processes := map[string]bool{}
 	for _, l := range lines {
-		if !belongs(l, id, job) && !sendOf(l, reward) {
+		if !matchesID(l, id, job) && !isRewardSend(l, reward) {
 			continue
 		}
 		s.Lines = append(s.Lines, l)
@@ -140,9 +143,9 @@
 	return s
 }
 
-// belongs reports whether a line is of the id; of an item's job only lines that
-// name no other item are.
-func belongs(l Line, id, job string) bool {
+// matchesID reports whether a line belongs to the id. Of an item's job, only lines
+// that name no item belong to it, except appends of results.
+func matchesID(l Line, id, job string) bool {
 	for _, name := range []string{observe.FieldRequest, observe.FieldItem, observe.FieldJob, observe.FieldReward} {
 		if l.Text(name) == id {
 			return true
@@ -154,19 +157,19 @@
 	return job != "" && l.Text(observe.FieldJob) == job && l.Text(observe.FieldItem) == "" && l.Message != "results appended"
 }
 
-// sendOf reports whether a line is of a send of an item's reward call.
-func sendOf(l Line, reward string) bool {
+// isRewardSend reports whether a line is about a send of an item's reward call.
+func isRewardSend(l Line, reward string) bool {
 	return reward != "" && l.Text(observe.FieldRequest) == reward
 }
 
-// dependencyWords mark the lines of lost and regained dependencies, and of
-// starts and stops.
+// dependencyWords are substrings of the messages about lost and regained
+// dependencies, and about starts and stops of a process.
 var dependencyWords = []string{"lost", "regained", "starting", "draining", "stopped", "not read", "not saved", "relayed", "order", "weights changed"}
 
 func dependencies(lines []Line, processes map[string]bool, from, to time.Time) []Line {
 	var found []Line
 	for _, l := range lines {
-		if !processes[l.Process] || l.Time.Before(from.Add(-around)) || l.Time.After(to.Add(around)) {
+		if !processes[l.Process] || l.Time.Before(from.Add(-outageMargin)) || l.Time.After(to.Add(outageMargin)) {
 			continue
 		}
 		if slices.ContainsFunc(dependencyWords, func(word string) bool { return strings.Contains(l.Message, word) }) {
@@ -176,7 +179,8 @@
 	return found
 }
 
-// expected are the lines that follow each other in a story that went well.
+// expected lists messages that follow each other when nothing fails, with the text
+// to report when the second one is missing.
 var expected = []struct{ after, want, missing string }{
 	{"job accepted", "job seen", "no agent saw the job: its feed was lost, or it has no agent for the service"},
 	{"job seen", "item sent", "no item of it was sent to an engine: versions too old, engines gone, or all busy"},
@@ -189,20 +193,20 @@
 	if len(lines) == 0 {
 		return []string{"no line has the id " + id + ": it reached no process whose log is here"}
 	}
-	said := map[string]bool{}
+	seen := map[string]bool{}
 	for _, l := range lines {
-		said[l.Message] = true
+		seen[l.Message] = true
 	}
 	var list []string
 	for _, e := range expected {
-		if said[e.after] && !said[e.want] && e.want != "results appended" {
+		if seen[e.after] && !seen[e.want] && e.want != "results appended" {
 			list = append(list, e.missing)
 		}
 	}
 	return list
 }
 
-// Write prints a story.
+// Write prints the timeline in sections; it returns the writer's error.
 func (s Timeline) Write(w io.Writer) error {
 	var b strings.Builder
 	section := func(title string, lines []Line) {
--- a/logstory/logstory_test.go
+++ b/logstory/logstory_test.go
@@ -16,7 +16,7 @@
 {"time":"2026-08-13T09:00:50.00Z","msg":"request answered","process":"front-1","request":"r1","status":200,"level":"info"}
 `
 
-func tell(t *testing.T, id string) (Timeline, string) {
+func buildTimeline(t *testing.T, id string) (Timeline, string) {
 	t.Helper()
 	lines, unreadable, err := Read(strings.NewReader(logs))
 	if err != nil {
@@ -31,8 +31,8 @@
 	return s, b.String()
 }
 
-func TestStoryOfAnItem(t *testing.T) {
-	s, text := tell(t, "i1")
+func TestTimelineOfItem(t *testing.T) {
+	s, text := buildTimeline(t, "i1")
 	var messages []string
 	for _, l := range s.Lines {
 		messages = append(messages, l.Message)
@@ -50,8 +50,9 @@
 	}
 }
 
-// TestStoryByTheClientsID asks by the id that an organisation's client knows.
-func TestStoryByTheClientsID(t *testing.T) {
+// TestTimelineByClientID uses the id that the client knows, without the
+// organisation's prefix.
+func TestTimelineByClientID(t *testing.T) {
 	lines, _, err := Read(strings.NewReader(strings.ReplaceAll(logs, `"job":"j1"`, `"job":"guthi:j1"`)))
 	if err != nil {
 		t.Fatal(err)
@@ -61,14 +62,14 @@
 	}
 }
 
-func TestStoryOfARequest(t *testing.T) {
-	if s, _ := tell(t, "r1"); len(s.Lines) != 1 || len(s.Missing) != 0 {
+func TestTimelineOfRequest(t *testing.T) {
+	if s, _ := buildTimeline(t, "r1"); len(s.Lines) != 1 || len(s.Missing) != 0 {
 		t.Errorf("got %v", s)
 	}
 }
 
-func TestNoStory(t *testing.T) {
-	if s, _ := tell(t, "other"); len(s.Lines) != 0 || len(s.Missing) != 1 {
+func TestTimelineOfUnknownID(t *testing.T) {
+	if s, _ := buildTimeline(t, "other"); len(s.Lines) != 0 || len(s.Missing) != 1 {
 		t.Errorf("got %v", s)
 	}
 }
--- a/stepprofile/stepprofile.go
+++ b/stepprofile/stepprofile.go
@@ -1,6 +1,6 @@
-// Package stepprofile says where the time of steps went, from the logs of the
-// processes that took part: for each batch job the item that its end waited for,
-// and the parts of that item's time.
+// Package stepprofile computes the critical path of trainers' steps from the logs of
+// the processes that took part: for each batch job the item that finished last, and
+// how long each phase of that item took.
 package stepprofile
 
 import (
@@ -12,53 +12,55 @@
 	"mulberryscale.example/observe"
 )
 
-// Part is a part of a step's time.
+// Part names a phase of a step's critical path.
 type Part string
 
-// Parts, in their order on the critical path.
+// Phases, in their order on the critical path.
 const (
 	// PartNotify is from a job's acceptance until the agent that first sent the item
-	// has heard of the job.
+	// has seen the job.
 	PartNotify Part = "news"
-	// PartDispatch is from then until the item was first sent to an engine.
+	// PartDispatch is from that moment until the item was first sent to an engine.
 	PartDispatch Part = "place"
-	// PartBaseline is what its events take at the quickest pace that any item of the
-	// model had in these logs: no policy is quicker.
+	// PartBaseline is the time that the item's events take at the fastest pace of any
+	// item of the model in these logs: a lower bound for every scheduling policy.
 	PartBaseline Part = "floor"
-	// PartSlowdown is what runs took beyond that: company on the engine, a slow engine,
-	// events that were made twice.
+	// PartSlowdown is the run time beyond PartBaseline: other requests on the engine,
+	// a slow engine, events that were generated twice.
 	PartSlowdown Part = "slow"
-	// PartRescheduling is the time between its runs: refusals, hand-overs, loads of weights.
+	// PartRescheduling is the time between the item's runs: refusals, moves to another
+	// engine, loads of weights.
 	PartRescheduling Part = "moves"
-	// PartAppend is from its last event until its result stands in the store.
+	// PartAppend is from the item's last event until its result is in the store.
 	PartAppend Part = "append"
-	// PartReading is from then until the trainer ends the job.
+	// PartReading is from that moment until the trainer ends the job.
 	PartReading Part = "reading"
 )
 
-// Parts are all parts in order.
+// Parts lists all phases in order.
 var Parts = []Part{PartNotify, PartDispatch, PartBaseline, PartSlowdown, PartRescheduling, PartAppend, PartReading}
 
-// Step is a batch job whose end is in the logs.
+// Step is the profile of a batch job that the trainer ended.
 type Step struct {
 	Job, Model string
 	Number     int
 	Items      int
 	Accepted   time.Time
-	// Took is from its acceptance to its end.
+	// Took is the time from the job's acceptance until the trainer ended it.
 	Took time.Duration
-	// Item is the one that was done last before the end; Runs is how often it was sent.
+	// Item is the id of the last item that was done before the trainer ended the job;
+	// Events and Runs are its events and how often it was sent.
 	Item   string
 	Events int
 	Runs   int
 	Parts  map[Part]time.Duration
 }
 
-// paceEvents is how many events an item must have for its pace to count: the
-// prompt is read in the first.
-const paceEvents = 20
+// minPaceEvents is the least number of events from which an item's pace is computed:
+// the first event includes the prefill of the prompt.
+const minPaceEvents = 20
 
-// item is what the logs say of an item.
+// item holds the log lines of one item.
 type item struct {
 	id       string
 	sent     []logstory.Line
@@ -66,7 +68,7 @@
 	finished bool
 }
 
-// job is what the logs say of a batch job.
+// job collects the log lines of one batch job.
 type job struct {
 	step     Step
 	accepted bool
@@ -76,7 +78,8 @@
 	appends  []logstory.Line
 }
 
-// Steps finds the steps in lines that are in order of time.
+// Steps returns the profiles of all steps in lines, sorted by acceptance. The lines
+// must be sorted by time. Steps whose logs are incomplete are left out.
 func Steps(lines []logstory.Line) []Step {
 	jobs := map[string]*job{}
 	for _, l := range lines {
@@ -87,9 +90,9 @@
 		if jobs[id] == nil {
 			jobs[id] = &job{step: Step{Job: id}, seen: map[string]time.Time{}, items: map[string]*item{}}
 		}
-		jobs[id].take(l)
+		jobs[id].add(l)
 	}
-	pace := paces(jobs)
+	pace := bestPaces(jobs)
 	var steps []Step
 	for _, j := range jobs {
 		if j.accepted && !j.ended.IsZero() && j.profile(pace[j.step.Model]) {
@@ -100,8 +103,8 @@
 	return steps
 }
 
-// take takes a line of the job.
-func (j *job) take(l logstory.Line) {
+// add records a line of the job.
+func (j *job) add(l logstory.Line) {
 	switch l.Message {
 	case "job accepted":
 		if j.accepted {
@@ -138,17 +141,17 @@
 	return j.items[id]
 }
 
-// paces are the quickest times between two events, by model.
-func paces(jobs map[string]*job) map[string]time.Duration {
+// bestPaces returns the shortest mean time per event of any item, by model.
+func bestPaces(jobs map[string]*job) map[string]time.Duration {
 	best := map[string]time.Duration{}
 	for _, j := range jobs {
 		for _, i := range j.items {
 			if !i.finished || len(i.sent) != 1 {
 				continue
 			}
-			// It may have gone on from text that an earlier job left.
+			// The item may have resumed from events that an earlier job generated.
 			events := i.done.Number("events") - i.sent[0].Number("events")
-			if events < paceEvents {
+			if events < minPaceEvents {
 				continue
 			}
 			pace := time.Duration(float64(i.done.Time.Sub(i.sent[0].Time)) / events)
@@ -160,7 +163,7 @@
 	return best
 }
 
-// profile fills in the step's parts; false says that the logs do not tell them.
+// profile computes the step's parts; it returns false when the logs lack the lines for it.
 func (j *job) profile(pace time.Duration) bool {
 	var last *item
 	for _, i := range j.items {
@@ -175,24 +178,24 @@
 	s.Took = j.ended.Sub(s.Accepted)
 	s.Item, s.Events, s.Runs = last.id, int(last.done.Number("events")), len(last.sent)
 	first, done := last.sent[0], last.done.Time
-	heard, ok := j.seen[first.Process]
-	if !ok || heard.After(first.Time) {
-		heard = first.Time
+	seenAt, ok := j.seen[first.Process]
+	if !ok || seenAt.After(first.Time) {
+		seenAt = first.Time
 	}
-	running := last.running()
-	floor := min(running, time.Duration(s.Events)*pace)
+	runTime := last.runTime()
+	baseline := min(runTime, time.Duration(s.Events)*pace)
 	appended := j.appendedAfter(last.done)
 	s.Parts = map[Part]time.Duration{
-		PartNotify: heard.Sub(s.Accepted), PartDispatch: first.Time.Sub(heard), PartBaseline: floor, PartSlowdown: running - floor,
-		PartRescheduling: done.Sub(first.Time) - running, PartAppend: appended.Sub(done), PartReading: j.ended.Sub(appended),
+		PartNotify: seenAt.Sub(s.Accepted), PartDispatch: first.Time.Sub(seenAt), PartBaseline: baseline, PartSlowdown: runTime - baseline,
+		PartRescheduling: done.Sub(first.Time) - runTime, PartAppend: appended.Sub(done), PartReading: j.ended.Sub(appended),
 	}
 	return true
 }
 
-// running is the time in which the item ran towards its result: of the runs that
-// followed each other, from each start to the next one that went on with more
-// events, and the last one.
-func (i *item) running() time.Duration {
+// runTime is the time of the runs that contributed to the item's result: each run
+// whose successor resumed with more events than it had itself, from its start to
+// the successor's start, and the last run until the item was done.
+func (i *item) runTime() time.Duration {
 	sum := time.Duration(0)
 	for n, l := range i.sent {
 		if l.Time.After(i.done.Time) {
@@ -209,7 +212,8 @@
 	return sum
 }
 
-// appendedAfter is when the process that finished an item had its result in the store.
+// appendedAfter returns when the process that finished an item had appended its
+// result to the store, or when the item was done if no such line is found.
 func (j *job) appendedAfter(done logstory.Line) time.Time {
 	for _, l := range j.appends {
 		if l.Process == done.Process && !l.Time.Before(done.Time) && !l.Time.After(j.ended) {
--- a/stepprofile/stepprofile_test.go
+++ b/stepprofile/stepprofile_test.go
@@ -10,7 +10,8 @@
 	"mulberryscale.example/logstory"
 )
 
-// logs are of one step whose last item was refused once, moved once, and read late.
+// logs are of one step whose last item was refused once, moved to another engine
+// once, and whose result the trainer read late.
 const logs = `
 00.000 front-1 job accepted|"model":"m","step":3,"items":3
 00.010 side-1 job seen
@@ -26,7 +27,7 @@
 06.500 side-1 item done|"item":"too late","events":20
 `
 
-func read(t *testing.T, text string) []logstory.Line {
+func parseLogs(t *testing.T, text string) []logstory.Line {
 	t.Helper()
 	var b strings.Builder
 	for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
@@ -39,13 +40,13 @@
 	}
 	lines, unreadable, err := logstory.Read(strings.NewReader(b.String()))
 	if err != nil || unreadable > 0 {
-		t.Fatalf("%d lines not readable, %v", unreadable, err)
+		t.Fatalf("%d unreadable lines, %v", unreadable, err)
 	}
 	return lines
 }
 
 func TestPartsOfAStep(t *testing.T) {
-	steps := Steps(read(t, logs))
+	steps := Steps(parseLogs(t, logs))
 	if len(steps) != 1 {
 		t.Fatalf("got %+v", steps)
 	}
@@ -65,33 +66,34 @@
 		sum += s.Parts[p]
 	}
 	if sum != s.Took {
-		t.Errorf("the parts are %s together, the step took %s", sum, s.Took)
+		t.Errorf("the parts add up to %s, the step took %s", sum, s.Took)
 	}
 }
 
-// TestResumedItemsTellNoPaceOfTheirOwn: one that went on from 80 of 100 events in
-// half a second is no measure for the floor of others.
-func TestResumedItemsTellNoPaceOfTheirOwn(t *testing.T) {
+// TestPaceOfResumedItems checks that only events after the resumption count: an item
+// that resumed at 80 of 100 events made 20 in its half second, not 100, and one that
+// resumed at 95 made too few to count.
+func TestPaceOfResumedItems(t *testing.T) {
 	const resumed = `
 00.000 side-3 item sent|"item":"resumed","events":80
 00.500 side-3 item done|"item":"resumed","events":100
 00.000 side-4 item sent|"item":"nearly whole","events":95
 00.010 side-4 item done|"item":"nearly whole","events":100
 `
-	lines := read(t, resumed+strings.TrimSpace(logs))
+	lines := parseLogs(t, resumed+strings.TrimSpace(logs))
 	slices.SortStableFunc(lines, func(a, b logstory.Line) int { return a.Time.Compare(b.Time) })
 	if steps := Steps(lines); len(steps) != 1 || steps[0].Parts[PartBaseline] != 2500*time.Millisecond {
 		t.Errorf("got %+v", steps)
 	}
 }
 
-func TestStepsThatTheLogsDoNotTell(t *testing.T) {
+func TestStepsMissingFromLogs(t *testing.T) {
 	for name, text := range map[string]string{
 		"not ended": "00.000 front-1 job accepted|\"model\":\"m\"\n00.040 side-2 item sent|\"item\":\"a\",\"events\":0",
 		"no item":   "00.000 front-1 job accepted|\"model\":\"m\"\n05.960 front-2 job's end",
 		"no start":  "00.040 side-2 item sent|\"item\":\"a\",\"events\":0\n01.540 side-1 item done|\"item\":\"a\",\"events\":10\n05.960 front-2 job's end",
 	} {
-		if steps := Steps(read(t, text)); len(steps) != 0 {
+		if steps := Steps(parseLogs(t, text)); len(steps) != 0 {
 			t.Errorf("%s: got %+v", name, steps)
 		}
 	}
@@ -99,7 +101,7 @@
 
 func TestTable(t *testing.T) {
 	var b strings.Builder
-	if err := Write(&b, Steps(read(t, logs))); err != nil {
+	if err := Write(&b, Steps(parseLogs(t, logs))); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"last", "5.960s", "floor    4.000s", "67.1%"} {
--- a/stepprofile/table.go
+++ b/stepprofile/table.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Write prints the steps, and for each part its median, its 99th percentile and
-// its share of the time of all steps.
+// Write prints a table of the steps, and for each part its median, its 99th
+// percentile and its share of the total time of all steps.
 func Write(w io.Writer, steps []Step) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(table, "JOB\tMODEL\tSTEP\tITEMS\tTOOK\tITEM\tEVENTS\tRUNS")
@@ -49,7 +49,7 @@
 
 func seconds(d time.Duration) string { return fmt.Sprintf("%.3fs", d.Seconds()) }
 
-// quantile of sorted times; 0 of none.
+// quantile returns quantile q, 0 to 1, of sorted durations; 0 if there are none.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
