--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -23,7 +23,7 @@
 	PathDrain = "/drain"
 )
 
-// Bounds of the operators' listener.
+// Limits of the operators' listener.
 const (
 	headerTimeout  = 5 * time.Second
 	readTimeout    = 10 * time.Second
@@ -39,9 +39,9 @@
 	stepAuthorize = "daemon.authorize"
 )
 
-// Route is a further route of the operators' listener.
+// Route is an additional route of the operators' listener.
 type Route struct {
-	// Pattern is one of http.ServeMux, such as "GET /status".
+	// Pattern is a pattern of http.ServeMux, such as "GET /status".
 	Pattern string
 	Handler http.Handler
 	// Public routes need no token.
@@ -54,7 +54,8 @@
 	served chan error
 }
 
-// startAdmin starts the operators' listener; without an address it does nothing.
+// startAdmin starts the operators' listener. Without an address it starts nothing
+// and returns a server whose close does nothing.
 func (r *runner) startAdmin() (*adminServer, error) {
 	if r.AdminAddr == "" {
 		return &adminServer{}, nil
@@ -65,7 +66,7 @@
 	}
 	a := &adminServer{server: r.newServer(), served: make(chan error, 1)}
 	go func() { a.served <- a.server.Serve(ln) }()
-	r.log().WithField("addr", ln.Addr().String()).Info("serving operators")
+	r.log().WithField("addr", ln.Addr().String()).Info("operators' listener open")
 	return a, nil
 }
 
@@ -87,7 +88,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if err := a.server.Shutdown(ctx); err != nil {
-		_ = a.server.Close() // slow readers are cut off; nothing of the service runs here
+		_ = a.server.Close() // cuts off slow clients; only operators' calls run here
 	}
 	if err := <-a.served; !errors.Is(err, http.ErrServerClosed) {
 		return trace.Wrap(err, "daemon: serve operators")
@@ -126,11 +127,11 @@
 	}
 }
 
-// serveDrain starts the drain and answers at once; a repeat changes nothing.
+// serveDrain starts the drain and answers at once. It is idempotent.
 func (r *runner) serveDrain(w http.ResponseWriter, _ *http.Request) {
 	r.unready.Store(true)
 	select {
-	case r.drainCalled <- struct{}{}:
+	case r.drainRequested <- struct{}{}:
 	default:
 	}
 	writeText(w, http.StatusAccepted, "draining")
@@ -139,10 +140,10 @@
 func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
-	_, _ = io.WriteString(w, text+"\n") // the reader may have gone
+	_, _ = io.WriteString(w, text+"\n") // the client may have disconnected
 }
 
-// authorized lets through calls that carry the operators' token.
+// authorized passes on requests that carry the operators' token and refuses others.
 func (r *runner) authorized(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		token, ok := strings.CutPrefix(req.Header.Get("Authorization"), bearer)
@@ -167,11 +168,10 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(refusal.Status())
-	_ = json.NewEncoder(w).Encode(api.ErrorBody{Error: refusal}) // the reader may have gone
+	_ = json.NewEncoder(w).Encode(api.ErrorBody{Error: refusal}) // the client may have disconnected
 }
 
-// SameToken compares two tokens in a time that tells nothing of them. An empty
-// token is the same as none.
+// SameToken compares two tokens in constant time. An empty token matches none.
 func SameToken(got, want string) bool {
 	a, b := sha256.Sum256([]byte(got)), sha256.Sum256([]byte(want))
 	return want != "" && subtle.ConstantTimeCompare(a[:], b[:]) == 1
--- a/daemon/command.go
+++ b/daemon/command.go
@@ -13,44 +13,44 @@
 	"mulberryscale.example/settings"
 )
 
-// Exit statuses of our programs.
+// Exit statuses of all programs.
 const (
 	ExitOK     = 0
 	ExitFailed = 1
 	ExitUsage  = settings.ExitUsage
 )
 
-// UsageError is a mistake in how a program was called; it exits with ExitUsage.
+// UsageError is an error in how a program was called; its exit status is ExitUsage.
 type UsageError struct{ Err error }
 
 // Error implements error.
 func (e *UsageError) Error() string { return e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *UsageError) Unwrap() error { return e.Err }
 
 // ExitCode implements cli.ExitCoder.
 func (e *UsageError) ExitCode() int { return ExitUsage }
 
-// Usagef makes a UsageError.
+// Usagef returns a formatted UsageError.
 func Usagef(format string, args ...any) error {
 	return &UsageError{Err: fmt.Errorf(format, args...)}
 }
 
-// CommandOptions describe a daemon's command.
+// CommandOptions describes a daemon's command.
 type CommandOptions struct {
-	// Usage is one line on what the program is.
+	// Usage is a one-line description of the program.
 	Usage string
 	// Examples are shown by --help.
 	Examples string
-	// Settings are the program's; the command is named after their program.
+	// Settings are the program's settings; the command has their program's name.
 	Settings *settings.Set
-	// Run runs the program once its settings are checked.
+	// Run runs the program after its settings have been checked.
 	Run func(ctx context.Context) error
 }
 
-// NewCommand returns the command of a daemon: it checks the settings, prints
-// them if asked, and else runs the program.
+// NewCommand returns the command of a daemon, which checks the settings and then
+// prints them if requested, or else runs the program.
 func NewCommand(options CommandOptions) *cli.Command {
 	set := options.Settings
 	return &cli.Command{
@@ -80,8 +80,8 @@
 	return "Examples:\n" + strings.TrimRight(text, "\n")
 }
 
-// Main runs a command with the habits that all our programs share and returns
-// the exit status. An error goes to stderr in one line.
+// Main prepares and runs a command and returns the exit status. An error is
+// written to stderr in one line.
 func Main(cmd *cli.Command, args []string, stderr io.Writer) int {
 	Prepare(cmd)
 	cmd.ErrWriter = stderr
@@ -92,23 +92,24 @@
 	return ExitStatus(err)
 }
 
-// Prepare adds the version, shell completion and usage errors to a command.
+// Prepare adds the version, shell completion and UsageError handling to a command.
 func Prepare(cmd *cli.Command) {
 	cmd.Version = Version()
 	cmd.EnableShellCompletion = true
 	cmd.Suggest = true
 	cmd.ExitErrHandler = func(context.Context, *cli.Command, error) {} // Main reports errors
 	cmd.Commands = append(cmd.Commands, versionCommand(cmd.Name))
-	quietUsage(cmd)
+	setUsageErrors(cmd)
 }
 
-// quietUsage makes wrong flags a one-line error of the command and all below it.
-func quietUsage(cmd *cli.Command) {
+// setUsageErrors makes the command and its subcommands return a UsageError for
+// invalid flags instead of printing the help.
+func setUsageErrors(cmd *cli.Command) {
 	cmd.OnUsageError = func(_ context.Context, _ *cli.Command, err error, _ bool) error {
 		return &UsageError{Err: err}
 	}
 	for _, sub := range cmd.Commands {
-		quietUsage(sub)
+		setUsageErrors(sub)
 	}
 }
 
@@ -123,7 +124,8 @@
 	}
 }
 
-// Version is the module's version, with the commit and whether files were changed since.
+// Version returns the module's version and commit, marked as modified if the build
+// had uncommitted changes.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -144,7 +146,7 @@
 	return version
 }
 
-// ExitStatus is the exit status for what a command returned.
+// ExitStatus returns the exit status for the error that a command returned.
 func ExitStatus(err error) int {
 	if err == nil {
 		return ExitOK
@@ -156,7 +158,7 @@
 	return ExitFailed
 }
 
-// OneLine is an error's text in one line.
+// OneLine returns an error's text in one line.
 func OneLine(err error) string {
 	return strings.Join(strings.Fields(err.Error()), " ")
 }
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -21,16 +21,16 @@
 	"mulberryscale.example/settings"
 )
 
-// trial runs a program whose Drain waits for work and records what happens.
-type trial struct {
+// testRun is the run of a program whose Drain waits for work; it records events.
+type testRun struct {
 	signals chan os.Signal
 	work    chan struct{} // closed when the requests in flight are done
 	events  []string
 	done    chan error
 }
 
-func newTrial(change func(*Program)) *trial {
-	tr := &trial{signals: make(chan os.Signal, 2), work: make(chan struct{}), done: make(chan error, 1)}
+func startTestRun(change func(*Program)) *testRun {
+	tr := &testRun{signals: make(chan os.Signal, 2), work: make(chan struct{}), done: make(chan error, 1)}
 	p := Program{
 		Name:         "test",
 		Log:          observe.Discard(),
@@ -59,7 +59,7 @@
 
 func TestFirstSignalDrainsBeforeServeEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := newTrial(nil)
+		tr := startTestRun(nil)
 		tr.signals <- syscall.SIGTERM
 		time.Sleep(30 * time.Second)
 		if len(tr.events) > 0 {
@@ -74,7 +74,7 @@
 
 func TestSecondSignalStopsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := newTrial(nil)
+		tr := startTestRun(nil)
 		start := time.Now()
 		tr.signals <- syscall.SIGTERM
 		tr.signals <- syscall.SIGINT
@@ -87,7 +87,7 @@
 
 func TestDrainIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := newTrial(func(p *Program) { p.UnreadyDelay = time.Second })
+		tr := startTestRun(func(p *Program) { p.UnreadyDelay = time.Second })
 		start := time.Now()
 		tr.signals <- syscall.SIGTERM
 		if err := <-tr.done; !errors.Is(err, ErrDrainTimeout) || time.Since(start) != 61*time.Second {
@@ -96,10 +96,10 @@
 	})
 }
 
-func TestFailedServeEndsRun(t *testing.T) {
+func TestServeErrorStopsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		broken := errors.New("broken")
-		tr := newTrial(func(p *Program) { p.Serve = func(context.Context) error { return broken } })
+		tr := startTestRun(func(p *Program) { p.Serve = func(context.Context) error { return broken } })
 		if err := <-tr.done; !errors.Is(err, broken) {
 			t.Fatalf("got %v", err)
 		}
@@ -119,7 +119,7 @@
 func TestOperatorsRoutes(t *testing.T) {
 	counters := observe.NewCounters()
 	ready := false
-	r := &runner{drainCalled: make(chan struct{}, 1), Program: Program{
+	r := &runner{drainRequested: make(chan struct{}, 1), Program: Program{
 		Name: "entry-1", Counters: counters, AdminToken: "secret",
 		Ready:  func() bool { return ready },
 		Routes: []Route{{Pattern: "GET /status", Handler: http.NotFoundHandler()}},
@@ -158,12 +158,12 @@
 	if got, body := call(h, "GET", api.PathReady, ""); got != 503 || body != "draining\n" {
 		t.Errorf("draining: got %d %s", got, body)
 	}
-	if len(r.drainCalled) != 1 {
-		t.Error("the drain was not asked for once")
+	if len(r.drainRequested) != 1 {
+		t.Error("want one requested drain")
 	}
 }
 
-func TestNoTokenRefusesAll(t *testing.T) {
+func TestEmptyTokenNeverMatches(t *testing.T) {
 	if SameToken("", "") || SameToken("a", "") || SameToken("", "a") || !SameToken("a", "a") {
 		t.Fatal("SameToken")
 	}
@@ -218,7 +218,7 @@
 	}
 }
 
-func TestOutputForms(t *testing.T) {
+func TestOutputFormats(t *testing.T) {
 	table := Table{Header: []string{"ROW", "VERSION"}, Rows: [][]string{{"guide", "3"}}}
 	value := map[string]int{"guide": 3}
 	for output, want := range map[Output]string{
--- a/daemon/doc.go
+++ b/daemon/doc.go
@@ -1,7 +1,7 @@
-// Package daemon is what the mains of our programs share: the command with its
-// settings, version and shell completion, exit statuses and one-line errors,
-// signals and the drain, the operators' HTTP listener, and output as a table
-// or JSON.
+// Package daemon holds what the main functions of all programs share: the command
+// with its settings, version and shell completion, exit statuses and one-line
+// errors, signal handling and draining, the operators' HTTP listener, and output as
+// a table or JSON.
 //
 // A main is a few lines:
 //
--- a/daemon/output.go
+++ b/daemon/output.go
@@ -10,10 +10,10 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Output is the form in which a command prints its result.
+// Output is the format in which a command prints its result.
 type Output string
 
-// Forms of output.
+// Output formats.
 const (
 	OutputTable Output = "table"
 	OutputJSON  Output = "json"
@@ -21,13 +21,13 @@
 
 const outputFlag = "output"
 
-// Table is a result for people.
+// Table is a human-readable result.
 type Table struct {
 	Header []string
 	Rows   [][]string
 }
 
-// OutputFlag is the flag --output, whose value OutputOf reads.
+// OutputFlag returns the flag --output, whose value OutputOf reads.
 func OutputFlag() cli.Flag {
 	return &cli.StringFlag{
 		Name:    outputFlag,
@@ -43,10 +43,10 @@
 	}
 }
 
-// OutputOf is the form that a command was asked for.
+// OutputOf returns the output format that a command was called with.
 func OutputOf(cmd *cli.Command) Output { return Output(cmd.String(outputFlag)) }
 
-// Write writes table, or value as one line of JSON.
+// Write writes table with aligned columns, or value as one line of JSON.
 func (o Output) Write(w io.Writer, table Table, value any) error {
 	if o == OutputJSON {
 		return json.NewEncoder(w).Encode(value)
--- a/daemon/process/process.go
+++ b/daemon/process/process.go
@@ -1,6 +1,6 @@
-// Package process is what the programs of entry instances and agents have in
-// common: the settings of identity, keys, logs and operators' listener, and the
-// process's ends of our own transport.
+// Package process holds what the programs of entry instances and agents share: the
+// settings for identity, keys, logs and the operators' listener, and the listener and
+// dialer of the internal transport.
 package process
 
 import (
@@ -18,7 +18,7 @@
 	"mulberryscale.example/transport/quictransport"
 )
 
-// Settings are the common settings; they hold once the set has been checked.
+// Settings are the common settings; their values are valid once the set has been checked.
 type Settings struct {
 	ID, Zone     *string
 	DrainTimeout *time.Duration
@@ -47,7 +47,7 @@
 	}
 }
 
-// Process is what a program runs with. Close must be called.
+// Process holds a program's logger, counters and transport. Close must be called.
 type Process struct {
 	Log      *logrus.Logger
 	Counters *observe.Counters
@@ -55,7 +55,7 @@
 	Dialer   transport.Dialer
 }
 
-// Open makes the logger and opens the transport at addr, "ip:port".
+// Open creates the logger and opens the transport at addr, "ip:port".
 func (s *Settings) Open(addr string) (*Process, error) {
 	log, err := observe.NewLogger(observe.LogOptions{Level: *s.logLevel, Format: *s.logFormat})
 	if err != nil {
@@ -76,15 +76,15 @@
 	}, nil
 }
 
-// Close lets the last answers out and tells the other processes at once that
-// this incarnation has gone.
+// Close sends pending answers and closes all connections, so that peers learn at
+// once that this incarnation has stopped.
 func (p *Process) Close() {
 	if err := errors.Join(p.Listener.Close(), p.Dialer.Close()); err != nil {
 		p.Log.WithError(err).Warn("connections not closed in order")
 	}
 }
 
-// Program is the frame of the program, without what it serves.
+// Program returns a daemon.Program without the functions Serve, Drain and Ready.
 func (s *Settings) Program(p *Process) daemon.Program {
 	return daemon.Program{
 		Name:         *s.ID,
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -15,51 +15,53 @@
 	"mulberryscale.example/observe"
 )
 
-// DefaultDrainTimeout bounds a drain whose Program names no other time. It
-// leaves time for a step in progress: trainers' deadlines are 6 minutes unless
-// their rows say otherwise.
+// DefaultDrainTimeout bounds a drain if Program.DrainTimeout is not set. It is long
+// enough for a step in progress: trainers' deadlines are 6 minutes unless their rows
+// say otherwise.
 const DefaultDrainTimeout = 10 * time.Minute
 
-// stopTimeout is how long Serve may take to return once its context has ended.
+// stopTimeout is how long Serve may take to return after its context is cancelled.
 const stopTimeout = 10 * time.Second
 
 // Errors of Run.
 var (
-	// ErrDrainTimeout says that requests were still running at the drain's bound.
+	// ErrDrainTimeout means that requests were still running at the drain timeout.
 	ErrDrainTimeout = errors.New("daemon: drain timeout: requests were cut off")
-	// ErrStoppedAtOnce says that a second signal ended the drain.
+	// ErrStoppedAtOnce means that a second signal interrupted the drain.
 	ErrStoppedAtOnce = errors.New("daemon: stopped at once by a second signal")
 	errStopTimeout   = errors.New("daemon: the program did not stop")
 )
 
 // Program is a long-running program.
 type Program struct {
-	// Name goes into log lines.
+	// Name is the process id in log lines.
 	Name string
 	Log  *logrus.Logger
 	// Counters are served to operators.
 	Counters *observe.Counters
-	// AdminAddr is the operators' listener, "ip:port"; empty for none.
+	// AdminAddr is the address of the operators' listener, "ip:port"; empty for none.
 	AdminAddr string
-	// AdminToken is the bearer token of operators' calls; empty refuses them all.
+	// AdminToken is the bearer token of operators' calls; if empty, all calls that
+	// need a token are refused.
 	AdminToken string
-	// Routes are further routes of the operators' listener.
+	// Routes are additional routes of the operators' listener.
 	Routes []Route
 	// DrainTimeout bounds the drain; 0 is DefaultDrainTimeout.
 	DrainTimeout time.Duration
-	// UnreadyDelay is how long the program shows itself unready before the
-	// drain starts, so that a balancer can notice.
+	// UnreadyDelay is how long the program reports itself unready before the drain
+	// starts, so that load balancers stop sending requests.
 	UnreadyDelay time.Duration
-	// Serve runs the program until its context ends.
+	// Serve runs the program until its context is cancelled.
 	Serve func(ctx context.Context) error
-	// Drain refuses new work and returns when nothing runs any more. It may be nil.
+	// Drain refuses new work and returns when all running work has finished. It may be nil.
 	Drain func(ctx context.Context) error
-	// Ready says whether new requests may come, besides not draining. It may be nil.
+	// Ready reports whether the program accepts new requests; a draining program is
+	// never ready. It may be nil.
 	Ready func() bool
 }
 
-// Run serves until SIGTERM, SIGINT, POST /drain or the end of ctx, then
-// drains and stops. A second signal stops at once.
+// Run serves until SIGTERM, SIGINT, POST /drain or the cancellation of ctx, then
+// drains and stops. A second signal stops the program at once.
 func Run(ctx context.Context, p Program) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -70,13 +72,13 @@
 // runner is the state of one Run.
 type runner struct {
 	Program
-	unready     atomic.Bool
-	drainCalled chan struct{} // has room for one: POST /drain came
-	signals     <-chan os.Signal
+	unready        atomic.Bool
+	drainRequested chan struct{} // buffer of one; signalled by POST /drain
+	signals        <-chan os.Signal
 }
 
 func run(ctx context.Context, p Program, signals <-chan os.Signal) error {
-	r := &runner{Program: p, drainCalled: make(chan struct{}, 1), signals: signals}
+	r := &runner{Program: p, drainRequested: make(chan struct{}, 1), signals: signals}
 	if r.DrainTimeout <= 0 {
 		r.DrainTimeout = DefaultDrainTimeout
 	}
@@ -92,14 +94,14 @@
 	return errors.Join(err, admin.close())
 }
 
-// serve waits for what ends the program and ends it.
+// serve waits until Serve returns or a stop is requested, then drains and stops the program.
 func (r *runner) serve(ctx context.Context, served <-chan error, stop context.CancelFunc) error {
 	select {
 	case err := <-served:
 		return err
 	case <-ctx.Done():
 		r.log().Info("stopping")
-	case <-r.drainCalled:
+	case <-r.drainRequested:
 		r.log().Info("draining on an operator's call")
 	case s := <-r.signals:
 		r.log().WithField("signal", s.String()).Info("draining on a signal")
@@ -117,7 +119,7 @@
 	}
 }
 
-// drain waits for the program's Drain, its bound or another signal.
+// drain waits for the program's Drain, the drain timeout or another signal.
 func (r *runner) drain() error {
 	ctx, cancel := context.WithTimeout(context.Background(), r.UnreadyDelay+r.DrainTimeout)
 	defer cancel()
--- a/settings/bytes.go
+++ b/settings/bytes.go
@@ -14,13 +14,13 @@
 	GiB int64 = 1 << 30
 )
 
-// unit is a size's unit as it is written.
+// unit is a unit suffix of a size and its factor.
 type unit struct {
 	suffix string
 	bytes  int64
 }
 
-// units lists the suffixes, the longer before those that end them.
+// units lists the suffixes; a suffix comes before any shorter one that it ends in.
 var units = []unit{
 	{"KiB", KiB}, {"MiB", MiB}, {"GiB", GiB},
 	{"kB", 1000}, {"MB", 1000 * 1000}, {"GB", 1000 * 1000 * 1000},
--- a/settings/print.go
+++ b/settings/print.go
@@ -8,18 +8,18 @@
 	"github.com/urfave/cli/v3"
 )
 
-// EffectiveSetting is one setting as --print-settings shows it.
+// EffectiveSetting is the value of one setting as --print-settings shows it.
 type EffectiveSetting struct {
 	Name   string `json:"name"`
 	Env    string `json:"env"`
-	Value  string `json:"value"` // secrets hidden
+	Value  string `json:"value"` // secrets are masked
 	Source Source `json:"source"`
 }
 
-// PrintRequested says whether the command was asked to print its settings.
+// PrintRequested reports whether the command was called with PrintFlag.
 func PrintRequested(cmd *cli.Command) bool { return cmd.Bool(PrintFlag) }
 
-// Effective lists the settings as Check found them.
+// Effective lists all settings with the values that Check read.
 func (s *Set) Effective() []EffectiveSetting {
 	list := make([]EffectiveSetting, 0, len(s.settings))
 	for _, st := range s.settings {
@@ -34,13 +34,13 @@
 }
 
 func (st *setting) printable() string {
-	if st.secret && st.inUse != "" {
-		return hidden
+	if st.secret && st.text != "" {
+		return hiddenValue
 	}
-	return st.inUse
+	return st.text
 }
 
-// Print writes the settings in force as a table of name, value and source.
+// Print writes the effective settings as a table of name, value and source.
 func (s *Set) Print(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "NAME\tVALUE\tSOURCE")
--- a/settings/set.go
+++ b/settings/set.go
@@ -8,29 +8,29 @@
 	"github.com/urfave/cli/v3"
 )
 
-// EnvPrefix begins the name of every environment variable.
+// EnvPrefix is the prefix of every environment variable's name.
 const EnvPrefix = "MULBERRY_"
 
-// PrintFlag is the flag that asks for the settings in force instead of a run.
+// PrintFlag is the flag that prints the effective settings instead of running the program.
 const PrintFlag = "print-settings"
 
-// ExitUsage is the exit status for wrong settings.
+// ExitUsage is the exit status for invalid settings.
 const ExitUsage = 2
 
-// Source says where a setting's value came from.
+// Source names where a setting's value came from.
 type Source string
 
-// Sources of values, the stronger first.
+// Sources of values, in order of precedence.
 const (
 	SourceFlag    Source = "flag"
 	SourceEnv     Source = "env"
 	SourceDefault Source = "default"
 )
 
-// hidden stands for the value of a secret.
-const hidden = "(hidden)"
+// hiddenValue is printed in place of a secret's value.
+const hiddenValue = "(hidden)"
 
-// Set is the settings of one program.
+// Set holds the declared settings of one program.
 type Set struct {
 	program   string
 	settings  []*setting
@@ -42,7 +42,7 @@
 type setting struct {
 	name     string
 	usage    string
-	fallback string // default, in the form in which it is given
+	fallback string // default, as it would be written in a flag
 	secret   bool
 	required bool
 	isBool   bool
@@ -50,7 +50,7 @@
 
 	raw    rawValue
 	source Source
-	inUse  string // text of the value in force
+	text   string // effective value before parsing
 }
 
 // Error lists every mistake in a program's settings.
@@ -59,7 +59,7 @@
 	Mistakes []string
 }
 
-// Error implements error, in one line.
+// Error implements error; all mistakes are in one line.
 func (e *Error) Error() string {
 	return fmt.Sprintf("settings of %s: %s", e.Program, strings.Join(e.Mistakes, "; "))
 }
@@ -72,10 +72,10 @@
 	return &Set{program: program, lookupEnv: os.LookupEnv}
 }
 
-// Program is the program's name.
+// Program returns the program's name.
 func (s *Set) Program() string { return s.program }
 
-// Rule adds a check over several settings, which runs when each is right by itself.
+// Rule adds a check across several settings, which runs once each setting is valid by itself.
 func (s *Set) Rule(check func() error) { s.rules = append(s.rules, check) }
 
 func (s *Set) add(added *setting) {
@@ -87,12 +87,12 @@
 	s.settings = append(s.settings, added)
 }
 
-// EnvName is the environment variable of a setting.
+// EnvName returns the name of a setting's environment variable.
 func EnvName(name string) string {
 	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 }
 
-// Flags are the settings as flags, with PrintFlag.
+// Flags returns a flag for each setting, and PrintFlag.
 func (s *Set) Flags() []cli.Flag {
 	flags := make([]cli.Flag, 0, len(s.settings)+1)
 	for _, st := range s.settings {
@@ -122,13 +122,13 @@
 	case st.fallback == "":
 		return "none"
 	case st.secret:
-		return hidden
+		return hiddenValue
 	}
 	return st.fallback
 }
 
-// Check reads every setting from the command's flags, the environment or its
-// default. The error, an *Error, lists all mistakes.
+// Check reads and parses every setting from the command's flags, the environment or
+// its default. The error, an *Error, lists all mistakes.
 func (s *Set) Check(cmd *cli.Command) error {
 	var mistakes []string
 	for _, st := range s.settings {
@@ -137,7 +137,7 @@
 		}
 	}
 	if len(mistakes) == 0 {
-		mistakes = s.brokenRules()
+		mistakes = s.checkRules()
 	}
 	if len(mistakes) > 0 {
 		return &Error{Program: s.program, Mistakes: mistakes}
@@ -145,7 +145,7 @@
 	return nil
 }
 
-func (s *Set) brokenRules() []string {
+func (s *Set) checkRules() []string {
 	var mistakes []string
 	for _, rule := range s.rules {
 		if err := rule(); err != nil {
@@ -155,7 +155,7 @@
 	return mistakes
 }
 
-// read takes one setting's text from its strongest source and parses it.
+// read takes one setting's text from the source of highest precedence and parses it.
 func (s *Set) read(cmd *cli.Command, st *setting) error {
 	text, source := st.fallback, SourceDefault
 	if env, ok := s.lookupEnv(EnvName(st.name)); ok && env != "" {
@@ -164,7 +164,7 @@
 	if cmd.IsSet(st.name) {
 		text, source = st.raw.text, SourceFlag
 	}
-	st.source, st.inUse = source, text
+	st.source, st.text = source, text
 	if text == "" && st.required {
 		return fmt.Errorf("%s is required (%s)", st.origin(), st.usage)
 	}
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// origin names the setting as the operator wrote it.
+// origin names the setting as the operator set it: as a variable or a flag.
 func (st *setting) origin() string {
 	if st.source == SourceEnv {
 		return EnvName(st.name)
@@ -182,16 +182,16 @@
 	return "--" + st.name
 }
 
-// describe says what is wrong, without the text of a secret.
+// describe formats a parse error with the offending text, which is left out for secrets.
 func (st *setting) describe(err error) string {
 	if st.secret {
 		return err.Error()
 	}
-	return fmt.Sprintf("%q: %s", st.inUse, err)
+	return fmt.Sprintf("%q: %s", st.text, err)
 }
 
-// rawValue keeps a flag's text for Check, so that a wrong one does not end the
-// parsing of the others.
+// rawValue keeps a flag's text for Check, so that an invalid one does not stop the
+// parsing of the other flags.
 type rawValue struct {
 	text   string
 	isBool bool
@@ -209,5 +209,5 @@
 // String implements cli.Value.
 func (v *rawValue) String() string { return v.text }
 
-// IsBoolFlag lets the flag stand without a value.
+// IsBoolFlag reports whether the flag may be given without a value.
 func (v *rawValue) IsBoolFlag() bool { return v.isBool }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -13,8 +13,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// program declares one setting of each type.
-func program(t *testing.T, env map[string]string) *Set {
+// newTestSet returns a set with a setting of each type and a rule.
+func newTestSet(t *testing.T, env map[string]string) *Set {
 	set := NewSet("test")
 	set.lookupEnv = func(name string) (string, bool) {
 		v, ok := env[name]
@@ -43,7 +43,8 @@
 	return set
 }
 
-// run checks the settings of a command line and returns what the operator sees.
+// run checks the settings of a command line and returns the printed settings or the
+// exit status and mistakes.
 func run(set *Set, args []string) string {
 	var out strings.Builder
 	cmd := &cli.Command{
@@ -70,7 +71,7 @@
 	return out.String()
 }
 
-// TestCheck runs testdata/check: each line of the input is a flag or VAR=value.
+// TestCheck runs testdata/check; each line of the input is a flag or VAR=value.
 func TestCheck(t *testing.T) {
 	datadriven.RunTest(t, "testdata/check", func(t *testing.T, d *datadriven.TestData) string {
 		env := make(map[string]string)
@@ -83,7 +84,7 @@
 			}
 			args = append(args, line)
 		}
-		return run(program(t, maps.Clone(env)), args)
+		return run(newTestSet(t, maps.Clone(env)), args)
 	})
 }
 
--- a/settings/types.go
+++ b/settings/types.go
@@ -17,7 +17,7 @@
 
 var zonePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// String declares a text.
+// String declares a string.
 func (s *Set) String(name, fallback, usage string) *string {
 	v := new(string)
 	s.add(&setting{name: name, usage: usage, fallback: fallback, parse: func(text string) error {
@@ -27,21 +27,21 @@
 	return v
 }
 
-// RequiredString declares a text that has no default and may not be empty.
+// RequiredString declares a string that has no default and must not be empty.
 func (s *Set) RequiredString(name, usage string) *string {
 	v := s.String(name, "", usage)
 	s.last().required = true
 	return v
 }
 
-// Secret declares a text that is never printed. It has no default.
+// Secret declares a string that is never printed. It has no default.
 func (s *Set) Secret(name, usage string) *string {
 	v := s.String(name, "", usage)
 	s.last().secret = true
 	return v
 }
 
-// Choice declares a text that is one of choices.
+// Choice declares a string that must be one of choices.
 func (s *Set) Choice(name, fallback, usage string, choices ...string) *string {
 	v := new(string)
 	usage = fmt.Sprintf("%s: %s", usage, strings.Join(choices, ", "))
@@ -71,8 +71,8 @@
 	return v
 }
 
-// IPPort declares an address "ip:port" by IP number. An empty default leaves
-// the value empty when none is given.
+// IPPort declares an address "ip:port" with an IP number, not a host name. With an
+// empty default the value is empty if the setting is not given.
 func (s *Set) IPPort(name, fallback, usage string) *string {
 	v := new(string)
 	s.add(&setting{name: name, usage: usage, fallback: fallback, parse: func(text string) (err error) {
@@ -110,8 +110,8 @@
 	return ap.String(), nil
 }
 
-// URL declares the base URL of a service, "http://ip:port" or https, by IP
-// number; a path may follow. The value has no "/" at its end.
+// URL declares the base URL of a service, "http://ip:port" or https, with an IP
+// number, not a host name, and optionally a path. Trailing slashes are removed.
 func (s *Set) URL(name, fallback, usage string) *string {
 	v := new(string)
 	s.add(&setting{name: name, usage: usage, fallback: fallback, parse: func(text string) error {
@@ -163,7 +163,7 @@
 	return v
 }
 
-// Int declares a whole number from least to most.
+// Int declares an integer from least to most.
 func (s *Set) Int(name string, fallback, least, most int, usage string) *int {
 	v := new(int)
 	usage = fmt.Sprintf("%s (%d to %d)", usage, least, most)
@@ -194,7 +194,7 @@
 	return v
 }
 
-// Bool declares a switch, off unless fallback is set.
+// Bool declares a boolean.
 func (s *Set) Bool(name string, fallback bool, usage string) *bool {
 	v := new(bool)
 	s.add(&setting{name: name, usage: usage, fallback: strconv.FormatBool(fallback), isBool: true, parse: func(text string) error {
@@ -208,7 +208,7 @@
 	return v
 }
 
-// File declares the path of a file that must be readable when it is given.
+// File declares the path of a file, which must be readable unless the path is empty.
 func (s *Set) File(name, fallback, usage string) *string {
 	v := new(string)
 	s.add(&setting{name: name, usage: usage, fallback: fallback, parse: func(text string) error {
@@ -241,7 +241,7 @@
 	return nil
 }
 
-// List declares a comma-separated list of texts.
+// List declares a comma-separated list of strings.
 func (s *Set) List(name, fallback, usage string) *[]string {
 	v := new([]string)
 	usage += " (separated by commas)"
@@ -252,7 +252,7 @@
 	return v
 }
 
-// split returns the elements of a list without empty ones and outer spaces.
+// split returns the non-empty elements of a list, with surrounding spaces trimmed.
 func split(text string) []string {
 	var elements []string
 	for element := range strings.SplitSeq(text, listSeparator) {
