--- a/batch/enginerestart_test.go
+++ b/batch/enginerestart_test.go
@@ -40,7 +40,7 @@
 		rig.engine(0, func(e *fakeEngine) { e.sequence = 5 })
 		time.Sleep(time.Second)
 		rig.engine(0, func(e *fakeEngine) { e.loseNextOrder = true })
-		rig.view.SetNamed("m", 2)
+		rig.view.SetNamedVersion("m", 2)
 		time.Sleep(stepGracePeriod + 2*idleReportInterval)
 		rig.restartEngine(0, 2000)
 		time.Sleep(orderTimeout / 2)
--- a/batch/enginestate.go
+++ b/batch/enginestate.go
@@ -259,11 +259,11 @@
 	}
 	assignment := w.assignments(snap)
 	for _, model := range service.Models {
-		version := snap.Named[model]
+		version := snap.NamedVersions[model]
 		if version <= e.versions[model] {
 			continue
 		}
-		if !w.weightChangeDue(model, version, assignment[model], time.Since(snap.NamedAt[model])) {
+		if !w.weightChangeDue(model, version, assignment[model], time.Since(snap.NamedVersionsAt[model])) {
 			continue
 		}
 		e.order = &Order{
--- a/batch/intake.go
+++ b/batch/intake.go
@@ -202,8 +202,8 @@
 // at once, and the number of these. The others load the newest version just now, or must
 // load a version first.
 func orderOwners(snap *fleet.Snapshot, service string, s Submission, assignment Assignment) (list []string, ready int) {
-	newest := snap.Named[s.Model]
-	loading := time.Since(snap.NamedAt[s.Model]) < weightLoadTime
+	newest := snap.NamedVersions[s.Model]
+	loading := time.Since(snap.NamedVersionsAt[s.Model]) < weightLoadTime
 	var late []string
 	for _, i := range snap.OfService(service) {
 		version := i.Versions[s.Model]
--- a/batch/worker_test.go
+++ b/batch/worker_test.go
@@ -260,7 +260,7 @@
 		rig := newWorkerRig(t, 1)
 		rig.submitLong("first", 1, "item-000")
 		must(t, rig.ledger.End(t.Context(), "first"))
-		rig.view.SetNamed("m", 2)
+		rig.view.SetNamedVersion("m", 2)
 		time.Sleep(time.Second)
 		rig.submit("second", 1, func(j *Job) { j.MinVersion = 2 })
 		l := rig.await("second", 1, 8*time.Second)
@@ -276,13 +276,13 @@
 func TestOrdersBearGrowingTokens(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
-		rig.view.SetNamed("m", 2)
+		rig.view.SetNamedVersion("m", 2)
 		time.Sleep(6 * time.Second)
 		rig.submit("j", 1, nil)
 		rig.await("j", 1, 3*time.Second)
 		rig.kill(0)
 		rig.start(0)
-		rig.view.SetNamed("m", 3)
+		rig.view.SetNamedVersion("m", 3)
 		time.Sleep(6 * time.Second)
 		rig.engine(0, func(e *fakeEngine) {
 			if len(e.orders) != 2 || e.version != 3 {
@@ -299,7 +299,7 @@
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
 		rig.engine(0, func(e *fakeEngine) { e.loseNextOrder = true })
-		rig.view.SetNamed("m", 2)
+		rig.view.SetNamedVersion("m", 2)
 		time.Sleep(12 * time.Second)
 		rig.engine(0, func(e *fakeEngine) {
 			if e.version != 2 {
--- a/claims/batch.go
+++ b/claims/batch.go
@@ -93,8 +93,8 @@
 }
 
 // next removes and returns the writes of the next batch, at most one per record: two conditional
-// writes of one record in the same transaction would both succeed. If there are none, the caller
-// must return from run, which next no longer counts as in flight.
+// writes of one record in the same transaction would both succeed. If there are none, it
+// decrements inFlight, and the caller must return.
 func (b *batcher) next() []*pending {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -43,10 +43,10 @@
 	Instances map[string]Instance
 	// Listed is true once the instance list has been read.
 	Listed bool
-	// Named are the newest weight versions that trainers have named, by model.
-	Named map[string]uint64
-	// NamedAt is when this process received them, by model.
-	NamedAt map[string]time.Time
+	// NamedVersions are the newest weight versions that trainers have named, by model.
+	NamedVersions map[string]uint64
+	// NamedVersionsAt is when this process received them, by model.
+	NamedVersionsAt map[string]time.Time
 
 	byService map[string][]Instance
 	byAddr    map[string]Instance
@@ -88,7 +88,7 @@
 func NewView() *View {
 	v := &View{changed: make(chan struct{})}
 	v.current.Store(&Snapshot{
-		Instances: map[string]Instance{}, Named: map[string]uint64{}, NamedAt: map[string]time.Time{},
+		Instances: map[string]Instance{}, NamedVersions: map[string]uint64{}, NamedVersionsAt: map[string]time.Time{},
 	})
 	return v
 }
@@ -148,16 +148,16 @@
 	})
 }
 
-// SetNamed records a weight version that a trainer has named, unless a version as new or newer
-// is known. It reports whether it did.
-func (v *View) SetNamed(model string, version uint64) bool {
+// SetNamedVersion records a weight version that a trainer has named, unless a version as new or
+// newer is known. It reports whether it did.
+func (v *View) SetNamedVersion(model string, version uint64) bool {
 	done := false
 	v.update(func(s *Snapshot) {
-		if s.Named[model] >= version {
+		if s.NamedVersions[model] >= version {
 			return
 		}
-		s.Named, s.NamedAt = maps.Clone(s.Named), maps.Clone(s.NamedAt)
-		s.Named[model], s.NamedAt[model] = version, time.Now()
+		s.NamedVersions, s.NamedVersionsAt = maps.Clone(s.NamedVersions), maps.Clone(s.NamedVersionsAt)
+		s.NamedVersions[model], s.NamedVersionsAt[model] = version, time.Now()
 		done = true
 	})
 	return done
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -23,8 +23,8 @@
 
 func TestNamedVersionsOnlyGrow(t *testing.T) {
 	v := NewView()
-	if !v.SetNamed("m", 3) || v.SetNamed("m", 2) || v.SetNamed("m", 3) || v.Snapshot().Named["m"] != 3 {
-		t.Errorf("got %v", v.Snapshot().Named)
+	if !v.SetNamedVersion("m", 3) || v.SetNamedVersion("m", 2) || v.SetNamedVersion("m", 3) || v.Snapshot().NamedVersions["m"] != 3 {
+		t.Errorf("got %v", v.Snapshot().NamedVersions)
 	}
 }
 
--- a/service/node/watch.go
+++ b/service/node/watch.go
@@ -43,7 +43,7 @@
 		switch {
 		case err != nil:
 			c.log.WithError(err).WithField("row", row.Name).Error("row not readable")
-		case ok && c.view.SetNamed(model, version):
+		case ok && c.view.SetNamedVersion(model, version):
 			c.log.WithFields(logrus.Fields{"model": model, "version": version}).Info("weight version named")
 		}
 	}
--- a/service/node/watch_test.go
+++ b/service/node/watch_test.go
@@ -115,8 +115,8 @@
 	w.Replace(store.Snapshot{Rows: []store.Row{row("config", `{"Version":3}`), row("version/m", `{"Model":"m","Version":2}`)}})
 	w.Apply(store.Snapshot{Rows: []store.Row{row("config", `{"Version":`), row("version/m", `[]`), row("other", "x")}})
 	w.Apply(store.Snapshot{Rows: []store.Row{row("config", `{"Version":2}`), {Key: store.Key{Name: "config"}, Deleted: true}}})
-	if s := view.Snapshot(); s.Config.Version != 3 || s.Named["m"] != 2 {
-		t.Fatalf("version %d, named %v", s.Config.Version, s.Named)
+	if s := view.Snapshot(); s.Config.Version != 3 || s.NamedVersions["m"] != 2 {
+		t.Fatalf("version %d, named %v", s.Config.Version, s.NamedVersions)
 	}
 }
 
--- a/usage/rows.go
+++ b/usage/rows.go
@@ -42,11 +42,11 @@
 	}
 	c := zoneCounts{counts: Counts{}}
 	for _, row := range s.Rows {
-		of, err := windowOf(row.Name)
+		rowWindow, err := windowOf(row.Name)
 		if err != nil {
 			return zoneCounts{}, fmt.Errorf("row %s of %s: %w", row.Name, TableCounts, err)
 		}
-		if of != window {
+		if rowWindow != window {
 			c.staleRows = append(c.staleRows, row.Key)
 			continue
 		}
