--- a/weights/call.go
+++ b/weights/call.go
@@ -10,15 +10,15 @@
 	"mulberryscale.example/wire"
 )
 
-// caller calls our other processes.
+// caller sends requests to other processes of the system.
 type caller struct {
 	header  func() wire.Header
 	dialer  transport.Dialer
 	timeout time.Duration
 }
 
-// call sends a request and gives each reply to take until that returns true.
-// A refusal is returned as an *api.Refusal within the error.
+// call sends a request and passes each reply to take until take returns true.
+// A refusal is returned as an *api.Refusal wrapped in the error.
 func (c *caller) call(ctx context.Context, step, addr string, req wire.Request, take func(*wire.Reply) (last bool)) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
--- a/weights/doc.go
+++ b/weights/doc.go
@@ -1,8 +1,8 @@
-// Package weights spreads new weights between agents, so that the weight store
-// is read by a few of them only, and decides when an engine takes them.
+// Package weights distributes new weights between agents, so that only a few of
+// them read the weight store, and decides when an engine swaps to them.
 //
-// News passes on that a version was published, Relay fetches its immutable
-// parts along a tree of agents and serves them to the agents below, and
-// PeerList knows the agents. TreePlace, Turn, SwapDue and the intervals are
-// pure functions.
+// VersionGossip spreads the versions that were published. Relay fetches the
+// immutable parts of a version along a tree of agents and serves them to the
+// agents below. PeerList lists the agents. TreePosition, SwapDelay, SwapDue and
+// the intervals are pure functions.
 package weights
--- a/weights/fetch.go
+++ b/weights/fetch.go
@@ -25,17 +25,18 @@
 	stepPart     = "weights.part"
 )
 
-// maxReplans bounds how often a place is looked for again since a source does
-// not serve the model.
+// maxReplans bounds how often one fetch looks for other sources because a source
+// does not serve the model.
 const maxReplans = 64
 
-// notYetPause is the wait before a source is asked again that waits itself.
-const notYetPause = 20 * time.Millisecond
+// pendingRetryDelay is the wait before calling a source again that is still waiting
+// for the manifest or part itself.
+const pendingRetryDelay = 20 * time.Millisecond
 
-// errBadPart says that a part did not match its manifest.
+// errBadPart reports that a part did not match its manifest.
 var errBadPart = errors.New("weights: the part does not match its manifest")
 
-// source is where parts come from: a peer, or the store.
+// source is a peer or the weight store, from which manifests and parts are fetched.
 type source struct {
 	peer  platform.Instance
 	store bool
@@ -48,7 +49,7 @@
 	return s.peer.ID
 }
 
-// fetch is one run of Fetch: its sources, the one to try first at the front.
+// fetch is the state of one call of Fetch. Its sources are in the order to try.
 type fetch struct {
 	r       *Relay
 	d       *download
@@ -62,7 +63,7 @@
 
 func (r *Relay) newFetch(d *download, model string, version uint64) *fetch {
 	f := &fetch{r: r, d: d, model: model, version: version}
-	f.sources = sourcesOf(d.place)
+	f.sources = sourcesOf(d.position)
 	return f
 }
 
@@ -80,7 +81,7 @@
 	return slices.Clone(f.sources)
 }
 
-// demote puts a source that failed behind the others.
+// demote moves a source that failed to the end of the list.
 func (f *fetch) demote(s source) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,14 +90,14 @@
 	}
 }
 
-// replan looks for other sources since one does not serve the model; false says
-// that it was done too often.
-func (f *fetch) replan(lacking source) bool {
-	f.r.cfg.Peers.MarkNotServing(time.Now(), lacking.peer.ID, f.model)
+// replan looks for other sources because one does not serve the model. It returns
+// false if it has done so maxReplans times already.
+func (f *fetch) replan(notServing source) bool {
+	f.r.cfg.Peers.MarkNotServing(time.Now(), notServing.peer.ID, f.model)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !slices.Contains(f.sources, lacking) {
-		return true // another part's fetch has done it
+	if !slices.Contains(f.sources, notServing) {
+		return true // another part's goroutine has replaced the sources
 	}
 	if f.replans++; f.replans > maxReplans {
 		return false
@@ -105,7 +106,9 @@
 	return true
 }
 
-// fromAny calls get with one source after another until one succeeds or ctx ends.
+// fromAny calls get with one source after another until one succeeds or ctx is
+// done. After all sources have failed it waits for SourceRetry, or longer if the
+// store asked for it.
 func (f *fetch) fromAny(ctx context.Context, get func(context.Context, source) error) error {
 	for {
 		wait := f.r.cfg.SourceRetry
@@ -121,8 +124,8 @@
 			if errors.As(err, &limited) {
 				wait = max(wait, limited.RetryAfter)
 			}
-			if f.failed(s, err) {
-				wait = 0 // there are new sources
+			if f.noteFailure(s, err) {
+				wait = 0 // try the new sources at once
 				break
 			}
 		}
@@ -132,8 +135,9 @@
 	}
 }
 
-// failed notes a source's failure and says whether other sources were found for it.
-func (f *fetch) failed(s source, err error) (replanned bool) {
+// noteFailure counts and logs a source's failure and reports whether other sources
+// replaced the current ones. Otherwise it demotes the source.
+func (f *fetch) noteFailure(s source, err error) (replanned bool) {
 	f.r.count(func(st *RelayStats) { st.SourceFailures++ })
 	f.r.cfg.Log.WithError(err).WithField(observe.FieldPeer, s.name()).Debug("weights not fetched from a source")
 	refusal := refusalOf(err)
@@ -152,7 +156,7 @@
 	return nil
 }
 
-// manifest fetches the list of parts.
+// manifest fetches and checks the manifest of the version.
 func (f *fetch) manifest(ctx context.Context) (*platform.WeightManifest, error) {
 	var manifest *platform.WeightManifest
 	err := f.fromAny(ctx, func(ctx context.Context, s source) (err error) {
@@ -161,7 +165,7 @@
 			return err
 		}
 		req := wire.Request{PullManifest: &wire.PullManifest{Model: f.model, Version: f.version}}
-		return f.ask(ctx, stepManifest, s, req, func(reply *wire.Reply) bool {
+		return f.callPeer(ctx, stepManifest, s, req, func(reply *wire.Reply) bool {
 			manifest = reply.Manifest
 			return true
 		})
@@ -172,10 +176,11 @@
 	return manifest, f.check(manifest)
 }
 
-// check refuses a manifest that is of another version or has too large parts.
+// check returns an error if the manifest is of another model or version, or has a
+// part with a negative size or one over MaxPart.
 func (f *fetch) check(m *platform.WeightManifest) error {
 	if m == nil || m.Model != f.model || m.Version != f.version {
-		return trace.BadParameter("the manifest is of another version")
+		return trace.BadParameter("the manifest is of another model or version")
 	}
 	for _, p := range m.Parts {
 		if p.Size < 0 || p.Size > f.r.cfg.MaxPart {
@@ -193,7 +198,7 @@
 	return &m, err
 }
 
-// part fetches one part and checks it.
+// part fetches and verifies one part.
 func (f *fetch) part(ctx context.Context, p platform.WeightPart) (body []byte, err error) {
 	err = f.fromAny(ctx, func(ctx context.Context, s source) (err error) {
 		if s.store {
@@ -215,9 +220,9 @@
 func (f *fetch) peerPart(ctx context.Context, s source, p platform.WeightPart) ([]byte, error) {
 	body := make([]byte, 0, p.Size)
 	req := wire.Request{PullPart: &wire.PullPart{Model: f.model, Version: f.version, Name: p.Name}}
-	err := f.ask(ctx, stepPart, s, req, func(reply *wire.Reply) bool {
+	err := f.callPeer(ctx, stepPart, s, req, func(reply *wire.Reply) bool {
 		if reply.Part == nil || int64(len(body)+len(reply.Part.Bytes)) > p.Size {
-			body = nil // the check finds it bad
+			body = nil // fails verify
 			return true
 		}
 		body = append(body, reply.Part.Bytes...)
@@ -240,7 +245,7 @@
 	return body, err
 }
 
-// verify checks a part's size and hash and counts it.
+// verify checks a part's size and hash and counts the part in the statistics.
 func (f *fetch) verify(p platform.WeightPart, body []byte, s source) error {
 	good := int64(len(body)) == p.Size && fmt.Sprintf("%016x", xxhash.Sum64(body)) == p.Hash
 	f.r.count(func(st *RelayStats) {
@@ -259,9 +264,9 @@
 	return nil
 }
 
-// ask calls a peer, and again for as long as it says that what is asked for is
-// on its way there, up to Patience.
-func (f *fetch) ask(ctx context.Context, step string, s source, req wire.Request, take func(*wire.Reply) bool) error {
+// callPeer calls a peer, and repeats the call for up to PendingTimeout while the
+// peer answers that the manifest or part is not there yet.
+func (f *fetch) callPeer(ctx context.Context, step string, s source, req wire.Request, take func(*wire.Reply) bool) error {
 	until := time.Now().Add(f.r.cfg.PendingTimeout)
 	for {
 		err := f.r.caller.call(ctx, step, s.peer.Addr, req, take)
@@ -269,7 +274,7 @@
 		if refusal == nil || refusal.RetryAfter == 0 || time.Now().After(until) {
 			return err
 		}
-		if !retry.Sleep(ctx, notYetPause) {
+		if !retry.Sleep(ctx, pendingRetryDelay) {
 			return context.Cause(ctx)
 		}
 	}
--- a/weights/peers.go
+++ b/weights/peers.go
@@ -11,36 +11,37 @@
 	"mulberryscale.example/retry"
 )
 
-// lackTime is how long a peer that does not serve a model is passed over for it.
-const lackTime = 10 * time.Minute
+// notServingTTL is how long a peer that does not serve a model is skipped for it.
+const notServingTTL = 10 * time.Minute
 
 // listTimeout bounds one read of the instance list.
 const listTimeout = 10 * time.Second
 
-// lack names a peer and a model that it does not serve.
-type lack struct{ peer, model string }
+// peerModel is a peer and a model that it does not serve.
+type peerModel struct{ peer, model string }
 
-// PeerList knows the other agents from sparse reads of the instance list. The
-// list does not say who serves which model; peers that refuse a model's parts
-// are passed over for that model. It is safe for concurrent use.
+// PeerList lists the other agents, from infrequent reads of the instance list. The
+// list does not say which agent serves which model; peers that refuse a model's
+// parts are skipped for that model. It is safe for concurrent use.
 type PeerList struct {
 	list platform.InstanceList
 	self string
 	log  logrus.FieldLogger
 	rand *random
 
-	mu     sync.Mutex
-	agents []platform.Instance
-	lacks  map[lack]time.Time // until when
+	mu         sync.Mutex
+	agents     []platform.Instance
+	notServing map[peerModel]time.Time // skipped until then
 }
 
 // NewPeerList returns a list that is empty until Run has read it. Seed makes
-// its jitter repeatable; 0 draws one.
+// its jitter repeatable; 0 draws a seed.
 func NewPeerList(list platform.InstanceList, self string, log logrus.FieldLogger, seed uint64) *PeerList {
-	return &PeerList{list: list, self: self, log: log, rand: newRandom(seed, 1), lacks: make(map[lack]time.Time)}
+	return &PeerList{list: list, self: self, log: log, rand: newRandom(seed, 1), notServing: make(map[peerModel]time.Time)}
 }
 
-// Run reads the list until ctx ends. When the list is down the last one stays.
+// Run reads the instance list periodically until ctx is done. If a read fails, the
+// previous list is kept.
 func (p *PeerList) Run(ctx context.Context) {
 	for {
 		p.read(ctx)
@@ -69,7 +70,7 @@
 	p.agents = agents
 }
 
-// Len is how many other agents are known.
+// Len returns the number of other agents known.
 func (p *PeerList) Len() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,16 +90,16 @@
 	defer p.mu.Unlock()
 	serving := make([]platform.Instance, 0, len(p.agents))
 	for _, in := range p.agents {
-		if now.After(p.lacks[lack{in.ID, model}]) {
+		if now.After(p.notServing[peerModel{in.ID, model}]) {
 			serving = append(serving, in)
 		}
 	}
 	return serving
 }
 
-// MarkNotServing notes that a peer does not serve a model.
+// MarkNotServing records that a peer does not serve a model, for notServingTTL.
 func (p *PeerList) MarkNotServing(now time.Time, peer, model string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lacks[lack{peer, model}] = now.Add(lackTime)
+	p.notServing[peerModel{peer, model}] = now.Add(notServingTTL)
 }
--- a/weights/random.go
+++ b/weights/random.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// random is a seeded source that goroutines share.
+// random is a seeded random source that is safe for concurrent use.
 type random struct {
 	mu sync.Mutex
 	r  *rand.Rand
 }
 
-// newRandom returns a source with that seed; 0 draws one.
+// newRandom returns a source with that seed; 0 draws a seed.
 func newRandom(seed, stream uint64) *random {
 	if seed == 0 {
 		seed = rand.Uint64()
@@ -21,14 +21,14 @@
 	return &random{r: rand.New(rand.NewPCG(seed, stream))}
 }
 
-// jitter spreads a duration over three to five quarters of itself.
+// jitter returns a random duration between three quarters and five quarters of d.
 func (r *random) jitter(d time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Duration(float64(d) * (0.75 + r.r.Float64()/2))
 }
 
-// draw returns up to count different numbers below n.
+// draw returns up to count distinct random numbers below n.
 func (r *random) draw(n, count int) []int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/weights/relay.go
+++ b/weights/relay.go
@@ -31,7 +31,7 @@
 
 // RelayConfig configures a Relay. Zero values take the defaults.
 type RelayConfig struct {
-	// Self is this process, as the instance list names it.
+	// Self is this process's entry in the instance list.
 	Self platform.Instance
 	// Header makes the header of this process's messages.
 	Header func() wire.Header
@@ -39,31 +39,31 @@
 	Store  platform.WeightStore
 	Peers  *PeerList
 	// OnRequest is called when a peer asks for a version that is not being
-	// fetched here, and begins to fetch it if it is newer.
+	// fetched here. It begins to fetch the version if it is newer.
 	OnRequest func(model string, version uint64) Availability
 	// Fanout is how many agents of the zone fetch from one agent.
 	Fanout int
-	// Window is how many parts of a model are held at a time and MaxPart the
-	// most bytes of one; InFlight parts are fetched at a time.
+	// Window is the maximum number of a model's parts in memory, MaxPart the maximum
+	// size of a part in bytes, and InFlight the number of concurrent part fetches.
 	Window   int
 	MaxPart  int64
 	InFlight int
 	// PartRetention is how long a part is kept for children that have not fetched it.
 	PartRetention time.Duration
-	// ServeWait is how long a peer's call waits for a part that is on its way.
+	// ServeWait is how long a peer's call waits for a part that is being fetched.
 	ServeWait time.Duration
-	// PullTimeout bounds one call, and Patience how long one source may say
-	// that a part is still on its way there.
+	// PullTimeout bounds one call. PendingTimeout bounds the time for which a source
+	// may answer that it is still fetching a part itself.
 	PullTimeout    time.Duration
 	PendingTimeout time.Duration
 	// SourceRetry is the wait after all sources have failed.
 	SourceRetry time.Duration
-	// Seed makes the jitter repeatable; 0 draws one.
+	// Seed makes the jitter repeatable; 0 draws a seed.
 	Seed uint64
 	Log  logrus.FieldLogger
 }
 
-// RelayStats counts what a Relay did.
+// RelayStats holds the counters of a Relay.
 type RelayStats struct {
 	PeerParts      int64 `json:"peer_parts"`  // parts fetched from peers
 	StoreParts     int64 `json:"store_parts"` // parts fetched from the store
@@ -76,8 +76,8 @@
 }
 
 // Relay fetches the parts of new weights, checks them against the manifest and
-// serves them to the agents below it in the tree of the version. It holds a
-// bounded window of parts in memory and nothing on a disk. It is safe for
+// serves them to the agents below it in the tree of the version. It keeps a
+// bounded window of parts in memory and writes nothing to disk. It is safe for
 // concurrent use.
 type Relay struct {
 	cfg    RelayConfig
@@ -86,11 +86,11 @@
 
 	mu        sync.Mutex
 	downloads map[string]*download // the newest of each model
-	news      chan struct{}        // closed and replaced when a download begins
+	begun     chan struct{}        // closed and replaced when a download begins
 	stats     RelayStats
 }
 
-// NewRelay returns a relay that has nothing.
+// NewRelay returns a relay without any downloads.
 func NewRelay(cfg RelayConfig) *Relay {
 	cfg.Fanout = cmp.Or(cfg.Fanout, DefaultFanout)
 	cfg.Window = cmp.Or(cfg.Window, DefaultWindow)
@@ -106,11 +106,11 @@
 		caller:    caller{header: cfg.Header, dialer: cfg.Dialer, timeout: cfg.PullTimeout},
 		rand:      newRandom(cfg.Seed, 3),
 		downloads: make(map[string]*download),
-		news:      make(chan struct{}),
+		begun:     make(chan struct{}),
 	}
 }
 
-// Stats returns the counts so far.
+// Stats returns the counters.
 func (r *Relay) Stats() RelayStats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,28 +123,29 @@
 	f(&r.stats)
 }
 
-// noteBuffered keeps the peak of the bytes held. The caller holds r.mu.
+// noteBuffered updates PeakBytes from the size of all windows. The caller holds r.mu.
 func (r *Relay) noteBuffered() {
-	var held int64
+	var buffered int64
 	for _, d := range r.downloads {
 		for _, p := range d.window {
-			held += int64(len(p.body))
+			buffered += int64(len(p.body))
 		}
 	}
-	r.stats.PeakBytes = max(r.stats.PeakBytes, held)
+	r.stats.PeakBytes = max(r.stats.PeakBytes, buffered)
 }
 
-// Position is where this agent stands in the tree of a version now.
+// Position returns this agent's current position in the tree of a version.
 func (r *Relay) Position(model string, version uint64) Position {
 	return TreePosition(r.cfg.Self, model, version, r.cfg.Peers.Serving(time.Now(), model), r.cfg.Fanout)
 }
 
 // Fetch fetches all parts of a version, and returns when the last one has been
-// checked. It tries until ctx ends; the error is then the context's. A manifest
-// that is of another version or has a part over MaxPart is an error at once.
+// verified. It retries until ctx is done and then returns the context's error. For
+// a manifest that is of another version or has a part over MaxPart it returns an
+// error at once.
 func (r *Relay) Fetch(ctx context.Context, model string, version uint64) error {
 	d := r.begin(model, version)
-	defer r.end(d)
+	defer r.finish(d)
 	f := r.newFetch(d, model, version)
 	manifest, err := f.manifest(ctx)
 	if err != nil {
@@ -162,7 +163,7 @@
 	group.SetLimit(r.cfg.InFlight)
 	for _, p := range manifest.Parts {
 		if err := r.reserve(groupCtx, f.d); err != nil {
-			break // ctx ended, or the group has the first error
+			break // ctx is done, or the group has the first error
 		}
 		group.Go(func() error {
 			body, err := f.part(groupCtx, p)
@@ -176,24 +177,24 @@
 	return context.Cause(ctx)
 }
 
-// begin makes the version the model's newest here; parts of the one before are dropped.
+// begin makes the version the model's current download and ends the previous one.
 func (r *Relay) begin(model string, version uint64) *download {
 	d := newDownload(version, r.Position(model, version))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if old := r.downloads[model]; old != nil {
-		old.ended = true
+		old.finished = true
 		old.broadcast()
 	}
 	r.downloads[model] = d
-	close(r.news)
-	r.news = make(chan struct{})
+	close(r.begun)
+	r.begun = make(chan struct{})
 	return d
 }
 
-func (r *Relay) end(d *download) {
+func (r *Relay) finish(d *download) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	d.ended = true
+	d.finished = true
 	d.broadcast()
 }
--- a/weights/relay_test.go
+++ b/weights/relay_test.go
@@ -20,7 +20,7 @@
 	"mulberryscale.example/wire"
 )
 
-// TestMain fixes rapid's seed; -rapid.seed on the command line wins.
+// TestMain fixes rapid's seed; -rapid.seed on the command line takes precedence.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
@@ -35,19 +35,19 @@
 	testBytes   = 1000
 )
 
-// relayRig is a relay below one peer whose answers a test writes.
+// relayRig is a relay whose parent is a fake peer that answers as a test says.
 type relayRig struct {
 	relay *Relay
 	peers *PeerList
 	store *standin.Store
-	asked int // calls of the peer
+	calls int // calls of the peer
 }
 
-// answerer answers a call of the relay as its parent.
+// answerer is the parent's handler for the relay's calls.
 type answerer func(r *relayRig, s transport.Stream, req *wire.Request)
 
-// relayTest runs f with a relay whose only peer is its parent and answers as
-// the function says; nil leaves the list empty.
+// relayTest runs f with a relay whose only peer is its parent, which answers with
+// answer. With a nil answer the relay has no peers.
 func relayTest(t *testing.T, answer answerer, f func(t *testing.T, r *relayRig)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -74,7 +74,7 @@
 		go l.Serve(ctx, func(_ context.Context, s transport.Stream) {
 			var req wire.Request
 			if s.Recv(&req) == nil {
-				r.asked++
+				r.calls++
 				answer(r, s, &req)
 			}
 		})
@@ -94,7 +94,7 @@
 	})
 }
 
-// parentOf finds two agents of which the second is the parent of the first.
+// parentOf returns two agents, the second being the parent of the first.
 func parentOf(t *testing.T) (self, parent platform.Instance) {
 	for i := range 100 {
 		self = platform.Instance{ID: "self", Role: platform.RoleAgent, Zone: "z"}
@@ -119,7 +119,7 @@
 	}
 }
 
-// refuseWith answers everything with a refusal.
+// refuseWith answers every request with a refusal.
 func refuseWith(code api.Code, retryAfter time.Duration) answerer {
 	return func(_ *relayRig, s transport.Stream, _ *wire.Request) {
 		s.Send(&wire.Reply{Refusal: &api.Refusal{Code: code, RetryAfter: retryAfter}})
@@ -149,8 +149,8 @@
 	}
 	relayTest(t, forge, func(t *testing.T, r *relayRig) {
 		r.fetch(t)
-		if s := r.relay.Stats(); s.BadParts != 1 || s.PeerParts > 0 || r.asked != 2 {
-			t.Fatalf("of forged parts: %+v", s)
+		if s := r.relay.Stats(); s.BadParts != 1 || s.PeerParts > 0 || r.calls != 2 {
+			t.Fatalf("fetch of forged parts: %+v", s)
 		}
 	})
 }
@@ -158,18 +158,18 @@
 func TestRelayPassesOverPeersWithoutTheModel(t *testing.T) {
 	relayTest(t, refuseWith(api.CodeBadRequest, 0), func(t *testing.T, r *relayRig) {
 		r.fetch(t)
-		if n := len(r.peers.Serving(time.Now(), testModel)); r.asked != 1 || n != 0 {
-			t.Fatalf("asked %d times, still counted on: %d", r.asked, n)
+		if n := len(r.peers.Serving(time.Now(), testModel)); r.calls != 1 || n != 0 {
+			t.Fatalf("the peer was called %d times; still serving: %d", r.calls, n)
 		}
-		if n := len(r.peers.Serving(time.Now().Add(lackTime+time.Second), testModel)); n != 1 {
-			t.Fatal("the peer is passed over for ever")
+		if n := len(r.peers.Serving(time.Now().Add(notServingTTL+time.Second), testModel)); n != 1 {
+			t.Fatal("the peer is skipped for longer than notServingTTL")
 		}
 	})
 }
 
-// TestRelayIsPatientOnlyForAWhile: a peer that goes on saying that the weights
-// are on their way does not hold the fetch up for ever.
-func TestRelayIsPatientOnlyForAWhile(t *testing.T) {
+// TestRelayGivesUpPendingPeer checks that a peer that keeps answering that it is
+// still fetching the weights does not block the fetch for ever.
+func TestRelayGivesUpPendingPeer(t *testing.T) {
 	relayTest(t, refuseWith(api.CodeNoEndpoint, time.Millisecond), func(t *testing.T, r *relayRig) {
 		began := time.Now()
 		r.fetch(t)
@@ -191,7 +191,7 @@
 	})
 }
 
-func TestServingWhatIsNotHeld(t *testing.T) {
+func TestServePartRefusesMissingParts(t *testing.T) {
 	relayTest(t, nil, func(t *testing.T, r *relayRig) {
 		r.fetch(t)
 		got := 0
--- a/weights/serve.go
+++ b/weights/serve.go
@@ -9,24 +9,24 @@
 	"mulberryscale.example/wire"
 )
 
-// pieceBytes is the size of the messages that a part is sent in.
+// pieceBytes is the maximum size of the messages that a part is split into.
 const pieceBytes = 256 << 10
 
-// Availability says how an agent stands to a version that a peer asks for.
+// Availability is an agent's answer about a version that a peer asks for.
 type Availability uint8
 
-// Standings.
+// Values of Availability.
 const (
 	// NotServed: the model is not served here.
 	NotServed Availability = iota
 	// Pending: the version is about to be fetched.
 	Pending
-	// Discarded: the version was fetched before, or given up, and is not held any more.
+	// Discarded: the version was fetched before, or given up, and is no longer in memory.
 	Discarded
 )
 
-// ServeManifest answers a peer's question for a manifest, waiting for a
-// version that is on its way.
+// ServeManifest returns the manifest that a peer asks for. It waits for up to
+// ServeWait if the manifest is still being fetched.
 func (r *Relay) ServeManifest(ctx context.Context, m *wire.PullManifest) (*platform.WeightManifest, *api.Refusal) {
 	var manifest *platform.WeightManifest
 	refusal := r.await(ctx, stepManifest, m.Model, m.Version, func(d *download) (bool, *api.Refusal) {
@@ -36,7 +36,8 @@
 	return manifest, refusal
 }
 
-// ServePart sends a part in pieces, waiting for one that is on its way.
+// ServePart sends a part in pieces. It waits for up to ServeWait if the part is
+// still being fetched.
 func (r *Relay) ServePart(ctx context.Context, p *wire.PullPart, send func(*wire.PartData) error) *api.Refusal {
 	var found *part
 	refusal := r.await(ctx, stepPart, p.Model, p.Version, func(d *download) (bool, *api.Refusal) {
@@ -44,9 +45,9 @@
 		switch {
 		case found != nil || d.manifest == nil:
 			return found != nil, nil
-		case d.left[p.Name]:
+		case d.dropped[p.Name]:
 			return false, r.refuse(api.CodeNoEndpoint, stepPart, "the part is not held any more")
-		case !d.lists(p.Name):
+		case !d.hasPart(p.Name):
 			return false, r.refuse(api.CodeNoEndpoint, stepPart, "the manifest names no such part")
 		}
 		return false, nil
@@ -55,7 +56,7 @@
 		return refusal
 	}
 	if r.sendPieces(found.body, send) == nil {
-		r.served(p.Model, p.Version, found)
+		r.countServed(p.Model, p.Version, found)
 	}
 	return nil
 }
@@ -72,8 +73,9 @@
 	}
 }
 
-// served counts a part that a peer has, which may make room for another.
-func (r *Relay) served(model string, version uint64, p *part) {
+// countServed counts a part that a peer has fetched, and wakes reserve, which may now
+// drop the part.
+func (r *Relay) countServed(model string, version uint64, p *part) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stats.ServedBytes += int64(len(p.body))
@@ -83,40 +85,42 @@
 	}
 }
 
-// await waits until ready says so of the version's download, for at most
-// ServeWait. A refusal with RetryAfter says that the answer is still on its way.
+// await calls ready for the version's download at each change until ready returns
+// true or a refusal, for at most ServeWait. A refusal with RetryAfter means that the
+// manifest or part is still being fetched.
 func (r *Relay) await(ctx context.Context, step, model string, version uint64, ready func(*download) (bool, *api.Refusal)) *api.Refusal {
 	until := time.Now().Add(r.cfg.ServeWait)
 	for {
 		r.mu.Lock()
-		d, changed := r.downloads[model], r.news
+		d, changed := r.downloads[model], r.begun
 		if d != nil && d.version == version {
 			done, refusal := ready(d)
-			ended := d.ended
+			finished := d.finished
 			changed = d.changed
 			r.mu.Unlock()
 			if done || refusal != nil {
 				return refusal
 			}
-			if ended {
+			if finished {
 				return r.refuse(api.CodeNoEndpoint, step, "the version was given up here")
 			}
 		} else {
 			r.mu.Unlock()
-			if refusal := r.want(step, model, version, d); refusal != nil {
+			if refusal := r.checkAvailability(step, model, version, d); refusal != nil {
 				return refusal
 			}
 		}
 		if err := awaitChange(ctx, changed, time.Until(until)); err != nil || !time.Now().Before(until) {
-			notYet := r.refuse(api.CodeNoEndpoint, step, "the weights are on their way here")
-			notYet.RetryAfter = notYetPause
-			return notYet
+			pending := r.refuse(api.CodeNoEndpoint, step, "the weights are on their way here")
+			pending.RetryAfter = pendingRetryDelay
+			return pending
 		}
 	}
 }
 
-// want refuses a version that will not come here; nil says that it will.
-func (r *Relay) want(step, model string, version uint64, d *download) *api.Refusal {
+// checkAvailability returns a refusal for a version that will not be fetched here,
+// otherwise nil.
+func (r *Relay) checkAvailability(step, model string, version uint64, d *download) *api.Refusal {
 	if d != nil && d.version > version {
 		return r.refuse(api.CodeStale, step, "a newer version is fetched here")
 	}
--- a/weights/tree_test.go
+++ b/weights/tree_test.go
@@ -24,37 +24,37 @@
 	return agents
 }
 
-// TestTree: one root; everyone else's first source counts it among its
-// children; parts cross into a zone once; the depth grows with the logarithm.
+// TestTree checks that there is one root, that every other agent is a child of its
+// first source, that parts cross into a zone once, and that sources rank lower.
 func TestTree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		agents := drawAgents(t)
 		version := rapid.Uint64().Draw(t, "version")
 		fanout := rapid.IntRange(1, 4).Draw(t, "fanout")
-		places := make(map[string]Position)
+		positions := make(map[string]Position)
 		zoneOf := make(map[string]string)
 		for _, a := range agents {
-			places[a.ID] = TreePosition(a, "guide", version, agents, fanout)
+			positions[a.ID] = TreePosition(a, "guide", version, agents, fanout)
 			zoneOf[a.ID] = a.Zone
 		}
 		roots, crossings, children := 0, make(map[string]int), 0
 		for _, a := range agents {
-			p := places[a.ID]
+			p := positions[a.ID]
 			children += len(p.Children)
 			if len(p.Sources) == 0 {
 				roots++
 				continue
 			}
 			parent := p.Sources[0]
-			if !slices.ContainsFunc(places[parent.ID].Children, func(c platform.Instance) bool { return c.ID == a.ID }) {
-				t.Fatalf("%s is no child of its first source %s", a.ID, parent.ID)
+			if !slices.ContainsFunc(positions[parent.ID].Children, func(c platform.Instance) bool { return c.ID == a.ID }) {
+				t.Fatalf("%s is not a child of its first source %s", a.ID, parent.ID)
 			}
 			if parent.Zone != a.Zone {
 				crossings[a.Zone]++
 			}
 			for _, s := range p.Sources {
-				if places[s.ID].Rank >= p.Rank {
-					t.Fatalf("%s of rank %d has source %s of rank %d", a.ID, p.Rank, s.ID, places[s.ID].Rank)
+				if positions[s.ID].Rank >= p.Rank {
+					t.Fatalf("%s of rank %d has source %s of rank %d", a.ID, p.Rank, s.ID, positions[s.ID].Rank)
 				}
 			}
 		}
@@ -69,7 +69,8 @@
 	})
 }
 
-// TestTreeWithDifferentLists: whatever the agents' lists, nobody waits in a circle.
+// TestTreeWithDifferentLists checks that agents with different lists never wait for
+// each other in a cycle.
 func TestTreeWithDifferentLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		agents := drawAgents(t)
@@ -80,7 +81,7 @@
 			})
 			for _, s := range TreePosition(a, "guide", 7, listed, 2).Sources {
 				if indexOf(all, s.ID) >= indexOf(all, a.ID) {
-					t.Fatalf("%s has the later %s as a source", a.ID, s.ID)
+					t.Fatalf("%s has source %s, which comes later in the order", a.ID, s.ID)
 				}
 			}
 		}
@@ -93,7 +94,7 @@
 		agents = append(agents, platform.Instance{ID: fmt.Sprint(i), Role: platform.RoleAgent, Zone: fmt.Sprint(i % 26)})
 	}
 	order := rank(agents[0], "guide", 1, agents)
-	heads, zone := levels(order, "0")
+	heads, zone := zoneLevels(order, "0")
 	depth := func(n int) (d int) {
 		for i := n - 1; i > 0; i = (i - 1) / DefaultFanout {
 			d++
@@ -101,25 +102,25 @@
 		return d
 	}
 	if got := depth(len(heads)) + depth(len(zone)); got > 12 {
-		t.Fatalf("10,000 agents in 26 zones stand in a tree of depth %d", got)
+		t.Fatalf("10,000 agents in 26 zones form a tree of depth %d", got)
 	}
 }
 
-// TestTurns: no more engines load at a time than the window allows.
-func TestTurns(t *testing.T) {
+// TestSwapDelays checks that no more engines load at a time than the window allows.
+func TestSwapDelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 500).Draw(t, "n")
 		window := time.Duration(rapid.Int64Range(1, int64(time.Hour)).Draw(t, "window"))
 		load := time.Duration(rapid.Int64Range(1, int64(window)).Draw(t, "load"))
 		bound := int(float64(n)*float64(load)/float64(window)) + 1
-		var turns []time.Duration
+		var delays []time.Duration
 		for rank := range n {
-			turns = append(turns, SwapDelay(rank, n, window))
+			delays = append(delays, SwapDelay(rank, n, window))
 		}
-		for i, began := range turns {
+		for i, began := range delays {
 			loading := 0
-			for _, other := range turns[:i+1] {
-				if began-other < load-2 { // but for rounding
+			for _, other := range delays[:i+1] {
+				if began-other < load-2 { // 2 ns for rounding
 					loading++
 				}
 			}
@@ -127,8 +128,8 @@
 				t.Fatalf("%d of %d engines load at a time, want at most %d", loading, n, bound)
 			}
 		}
-		if !slices.IsSorted(turns) || turns[0] != 0 || turns[n-1] >= window {
-			t.Fatalf("turns %v of a window of %s", turns, window)
+		if !slices.IsSorted(delays) || delays[0] != 0 || delays[n-1] >= window {
+			t.Fatalf("delays %v of a window of %s", delays, window)
 		}
 	})
 }
@@ -143,8 +144,8 @@
 		swap  Swap
 		want  bool
 	}{
-		{"before the turn", 4 * time.Second, rolling, false},
-		{"at the turn", 5 * time.Second, rolling, true},
+		{"before the delay", 4 * time.Second, rolling, false},
+		{"at the delay", 5 * time.Second, rolling, true},
 		{"nothing newer", time.Hour, change(func(s *Swap) { s.Latest = 3 }), false},
 		{"too old for a request", 0, change(func(s *Swap) { s.MinVersion = 4 }), true},
 		{"new enough for the requests", 0, change(func(s *Swap) { s.MinVersion = 3 }), false},
@@ -159,7 +160,8 @@
 	}
 }
 
-// TestIntervalsBoundTheTotal: what all agents ask together does not grow with them.
+// TestIntervalsBoundTheTotal checks that the load of all agents together does not
+// grow with their number.
 func TestIntervalsBoundTheTotal(t *testing.T) {
 	for _, n := range []int{1, 12, 820, 10000} {
 		if perSecond := float64(n) / PollInterval(n, DefaultStoreReads, time.Second).Seconds(); perSecond > DefaultStoreReads+0.01 {
--- a/weights/window.go
+++ b/weights/window.go
@@ -15,23 +15,23 @@
 	since  time.Time
 }
 
-// download is one version on its way through this process. The relay's lock
+// download is the fetch of one version by this process. The relay's lock
 // guards it; changed is closed and replaced at each change.
 type download struct {
 	version  uint64
 	manifest *platform.WeightManifest // nil until it is known
-	place    Position
-	// children is how many peers each part is kept for.
+	position Position
+	// children is the number of peers that each part is kept for.
 	children int
 	window   []*part // the oldest first
-	reserved int     // slots of the window for parts on their way
-	left     map[string]bool
-	ended    bool // whole or given up
+	reserved int     // slots of the window for parts being fetched
+	dropped  map[string]bool
+	finished bool // complete, failed or replaced by a newer version
 	changed  chan struct{}
 }
 
-func newDownload(version uint64, place Position) *download {
-	return &download{version: version, place: place, children: len(place.Children), left: make(map[string]bool), changed: make(chan struct{})}
+func newDownload(version uint64, position Position) *download {
+	return &download{version: version, position: position, children: len(position.Children), dropped: make(map[string]bool), changed: make(chan struct{})}
 }
 
 func (d *download) broadcast() {
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// lists says whether the manifest names the part.
-func (d *download) lists(name string) bool {
+// hasPart reports whether the manifest lists the part.
+func (d *download) hasPart(name string) bool {
 	for _, p := range d.manifest.Parts {
 		if p.Name == name {
 			return true
@@ -58,23 +58,24 @@
 	return false
 }
 
-// makeRoom drops the oldest part if that leaves a free slot: once all children
-// have it, or after hold. Children that did not come by then are no longer
-// waited for. Without room it returns how long to wait at most.
-func (d *download) makeRoom(now time.Time, slots int, hold time.Duration) (wait time.Duration, ok bool) {
+// makeRoom reports whether the window has a free slot. If it has none, makeRoom
+// drops the oldest part when all children have fetched it or the retention time is
+// over. It then no longer waits for the children that did not fetch it. Without a
+// free slot it returns the maximum time to wait.
+func (d *download) makeRoom(now time.Time, slots int, retention time.Duration) (wait time.Duration, ok bool) {
 	if len(d.window)+d.reserved < slots {
 		return 0, true
 	}
 	if len(d.window) == 0 {
-		return hold, false
+		return retention, false
 	}
 	oldest := d.window[0]
-	if left := oldest.since.Add(hold).Sub(now); oldest.served < d.children && left > 0 {
-		return left, false
+	if remaining := oldest.since.Add(retention).Sub(now); oldest.served < d.children && remaining > 0 {
+		return remaining, false
 	}
 	d.children = min(d.children, oldest.served)
 	d.window = d.window[1:]
-	d.left[oldest.name] = true
+	d.dropped[oldest.name] = true
 	return 0, true
 }
 
@@ -96,7 +97,7 @@
 	}
 }
 
-// put fills a reserved slot; a nil body gives it back.
+// put stores a part in a reserved slot; a nil body frees the slot.
 func (r *Relay) put(d *download, name string, body []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,7 +109,7 @@
 	d.broadcast()
 }
 
-// awaitChange waits for a change, but no longer than wait; the error is the context's.
+// awaitChange waits for a change for at most wait. The error is that of ctx.
 func awaitChange(ctx context.Context, changed <-chan struct{}, wait time.Duration) error {
 	t := time.NewTimer(wait)
 	defer t.Stop()
