--- a/table/check.go
+++ b/table/check.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// record is one row as read from a file, before its cells are understood.
+// record is one row as read from a file, before its cells are parsed.
 type record struct {
 	line int
 	// cells are in the order of columns; absent cells are empty.
 	cells []string
-	// broken rows are already refused; only their name and kind are read, for
+	// malformed rows already have an error; only their name and kind are read, for
 	// the rows that refer to them.
-	broken bool
+	malformed bool
 }
 
-// Check checks rows that were made by a program as Parse checks a file. The
-// error is of type Errors.
+// Check validates rows that were created by a program as Parse validates a file.
+// The error is of type Errors.
 func Check(rows []Row) error {
 	records := make([]record, len(rows))
 	for i := range rows {
@@ -23,7 +23,7 @@
 	return errs.errOrNil()
 }
 
-// cellsOf writes a row's cells in the order of columns.
+// cellsOf returns a row's cells in the order of columns.
 func cellsOf(r *Row) []string {
 	cells := make([]string, len(columns))
 	for i := range columns {
@@ -32,14 +32,14 @@
 	return cells
 }
 
-// checker gathers rows and mistakes.
+// checker collects the rows and errors of one table.
 type checker struct {
 	records []record
 	rows    []Row
 	errs    Errors
 }
 
-// fromRecords understands and checks records as a whole.
+// fromRecords parses and validates all records of a table.
 func fromRecords(records []record) ([]Row, Errors) {
 	c := &checker{records: records, rows: make([]Row, len(records))}
 	if len(records) == 0 {
@@ -61,7 +61,7 @@
 	return c.rows, nil
 }
 
-func (c *checker) fail(i int, column, format string, args ...any) {
+func (c *checker) addError(i int, column, format string, args ...any) {
 	c.errs = append(c.errs, CellError{
 		Line:    c.records[i].line,
 		Row:     c.rowName(i),
@@ -75,13 +75,14 @@
 	return c.records[i].cells[nameIndex]
 }
 
-// readRow reads the kind first, since it decides how the other cells are used.
+// readRow parses a record. It parses the kind first, since the kind decides which
+// other columns are used.
 func (c *checker) readRow(i int) {
 	row := &c.rows[i]
 	rec := &c.records[i]
 	kindIndex, _ := columnIndex(ColumnKind)
 	kindKnown := columns[kindIndex].set(row, rec.cells[kindIndex]) == nil
-	if rec.broken {
+	if rec.malformed {
 		row.Name = c.rowName(i)
 		return
 	}
@@ -94,27 +95,27 @@
 	col, row, cell := &columns[j], &c.rows[i], c.records[i].cells[j]
 	if cell != "" {
 		if kindKnown && col.use[row.Kind] == unused {
-			c.fail(i, col.name, "rows of kind %q do not use this column, got %q", row.Kind, cell)
+			c.addError(i, col.name, "rows of kind %q do not use this column, got %q", row.Kind, cell)
 			return
 		}
 		if err := col.set(row, cell); err != nil {
-			c.fail(i, col.name, "%s", err)
+			c.addError(i, col.name, "%s", err)
 		}
 		return
 	}
 	if !kindKnown {
 		if col.name == ColumnName || col.name == ColumnKind {
-			c.fail(i, col.name, "must not be empty")
+			c.addError(i, col.name, "must not be empty")
 		}
 		return
 	}
 	if col.use[row.Kind] == required {
-		c.fail(i, col.name, "rows of kind %q need a value here", row.Kind)
+		c.addError(i, col.name, "rows of kind %q need a value here", row.Kind)
 		return
 	}
 	if def := col.defaults[row.Kind]; def != "" {
 		if err := col.set(row, def); err != nil {
-			c.fail(i, col.name, "default: %s", err)
+			c.addError(i, col.name, "default: %s", err)
 		}
 	}
 }
@@ -127,7 +128,7 @@
 			continue
 		}
 		if before, ok := first[name]; ok {
-			c.fail(i, ColumnName, "the name stands twice%s", atLine(c.records[before].line))
+			c.addError(i, ColumnName, "the name stands twice%s", atLine(c.records[before].line))
 			continue
 		}
 		first[name] = i
@@ -154,15 +155,15 @@
 		kind, ok := kinds[scorer]
 		switch {
 		case !ok:
-			c.fail(i, ColumnScorer, "no row is named %q", scorer)
+			c.addError(i, ColumnScorer, "no row is named %q", scorer)
 		case kind != KindPlain:
-			c.fail(i, ColumnScorer, "row %q is of kind %q, want %q", scorer, kind, KindPlain)
+			c.addError(i, ColumnScorer, "row %q is of kind %q, want %q", scorer, kind, KindPlain)
 		}
 	}
 }
 
-// inheritSwap gives all rows of a model one swap policy: the one that some row
-// names, else the default.
+// inheritSwap sets one swap policy for all rows of a model: the one that some row
+// names, else the default. Rows that name different policies are an error.
 func (c *checker) inheritSwap() {
 	named := make(map[string]int)
 	for i := range c.rows {
@@ -176,7 +177,7 @@
 			continue
 		}
 		if other := &c.rows[before]; other.Swap != row.Swap {
-			c.fail(i, ColumnSwap, "row %q of the same model %q says %q, this one %q", other.Name, row.Model, other.Swap, row.Swap)
+			c.addError(i, ColumnSwap, "row %q of the same model %q says %q, this one %q", other.Name, row.Model, other.Swap, row.Swap)
 		}
 	}
 	for i := range c.rows {
--- a/table/column.go
+++ b/table/column.go
@@ -35,7 +35,7 @@
 	DefaultSwap            = SwapAtOnce
 )
 
-// Bounds of values.
+// Limits of values.
 const (
 	minShare      = 1e-6
 	maxShare      = 1e6
@@ -51,7 +51,7 @@
 	modelPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._/:-]*$`)
 )
 
-// usage says how rows of a kind use a column.
+// usage says whether rows of a kind may or must have a value in a column.
 type usage uint8
 
 const (
@@ -60,8 +60,8 @@
 	required
 )
 
-// column describes one column: which kinds use it, its default and how its
-// cells are read and written. An empty cell stands for the zero value.
+// column describes one column: which kinds use it, its defaults, and how its cells
+// are parsed and formatted. An empty cell stands for the zero value.
 type column struct {
 	name     string
 	use      map[Kind]usage
@@ -84,7 +84,7 @@
 
 func onlyTrainers(u usage) map[Kind]usage { return map[Kind]usage{KindTrainer: u} }
 
-// columns lists the columns in their canonical order.
+// columns lists all columns in canonical order.
 var columns = []column{
 	{
 		name: ColumnName, use: everyKind(required),
@@ -178,7 +178,7 @@
 	},
 }
 
-// ColumnNames lists the columns in the canonical order.
+// ColumnNames returns the names of all columns in canonical order.
 func ColumnNames() []string {
 	names := make([]string, len(columns))
 	for i := range columns {
@@ -302,7 +302,7 @@
 	return nil
 }
 
-// getRepeatable is empty where the kind does not use the column.
+// getRepeatable returns an empty cell where the kind does not use the column.
 func getRepeatable(r *Row) string {
 	if r.Kind != KindPlain {
 		return ""
--- a/table/diff.go
+++ b/table/diff.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// ChangeKind says what became of a row or cell.
+// ChangeKind says how a row or cell differs.
 type ChangeKind string
 
 // Kinds of changes.
 const (
 	ChangeAdded   ChangeKind = "added"   // the row is new
 	ChangeRemoved ChangeKind = "removed" // the row is gone
-	ChangeCell    ChangeKind = "changed" // one cell has another value
+	ChangeCell    ChangeKind = "changed" // one cell has a different value
 )
 
 // Change is one difference between two tables.
@@ -21,12 +21,12 @@
 	Row  string     `json:"row"`
 	// Column is empty for a whole row.
 	Column string `json:"column,omitempty"`
-	// Old and New are cells, or for a whole row its cells that are not empty.
+	// Old and New are the cell's values, or for a whole row its non-empty cells.
 	Old string `json:"old,omitempty"`
 	New string `json:"new,omitempty"`
 }
 
-// String gives the change in one line.
+// String formats the change in one line.
 func (c Change) String() string {
 	switch c.Kind {
 	case ChangeAdded:
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("~ %s.%s: %q -> %q", c.Row, c.Column, c.Old, c.New)
 }
 
-// Diff lists the differences by row and column: first the rows of old in their
-// order, then the rows that new adds. The order of rows is no difference.
+// Diff lists the differences by row and column: first for the rows of old in their
+// order, then the rows that new adds. A different order of rows is not a change.
 func Diff(old, new []Row) []Change {
 	var changes []Change
 	newByName := byName(new)
@@ -78,7 +78,7 @@
 	return changes
 }
 
-// describe gives a row's cells that are not empty, but for its name.
+// describe formats a row's non-empty cells except its name.
 func describe(r *Row) string {
 	var parts []string
 	for i, cell := range cellsOf(r) {
--- a/table/errors.go
+++ b/table/errors.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// CellError is one mistake in a table file.
+// CellError is one error in a table file.
 type CellError struct {
-	// Line is the line of the file, from 1; 0 when the mistake is in no one line.
+	// Line is the line of the file, from 1; 0 when the error is not in a single line.
 	Line int `json:"line,omitempty"`
 	// Row is the row's name, empty when it has none.
 	Row string `json:"row,omitempty"`
-	// Column is empty when the mistake is in no one column.
+	// Column is empty when the error is not in a single column.
 	Column  string `json:"column,omitempty"`
 	Message string `json:"message"`
 }
@@ -34,10 +34,10 @@
 	return strings.Join(where, ", ") + ": " + e.Message
 }
 
-// Errors are all mistakes found in one table file, in the file's order.
+// Errors are all errors found in one table file, in the order of its lines.
 type Errors []CellError
 
-// Error implements error; it gives all mistakes in one line.
+// Error implements error; all errors are in one line.
 func (es Errors) Error() string {
 	texts := make([]string, len(es))
 	for i, e := range es {
@@ -46,7 +46,7 @@
 	return strings.Join(texts, "; ")
 }
 
-// errOrNil keeps an empty list from becoming a non-nil error.
+// errOrNil returns nil for an empty list, which would otherwise be a non-nil error.
 func (es Errors) errOrNil() error {
 	if len(es) == 0 {
 		return nil
--- a/table/format.go
+++ b/table/format.go
@@ -13,9 +13,9 @@
 	yamlString = "!!str"
 )
 
-// Format writes rows as a table file in its canonical form: the columns in
-// their own order, the values as Parse understood them. Parse of the result
-// gives the same rows.
+// Format writes rows as a table file in canonical form: columns in canonical order
+// and values as Parse read them. Parse of the result returns the same rows. The
+// error says that the format is unknown or the encoding failed.
 func Format(format string, rows []Row) ([]byte, error) {
 	switch format {
 	case FormatCSV:
@@ -70,8 +70,8 @@
 	return node
 }
 
-// yamlTag is the string tag for columns of text, so that a row named "null" is
-// quoted, and none for numbers and truth values.
+// yamlTag returns the string tag for string columns, so that a row named "null" is
+// quoted, and no tag for numbers and booleans.
 func yamlTag(c *column) string {
 	switch c.name {
 	case ColumnName, ColumnKind, ColumnModel, ColumnScorer, ColumnLeftover, ColumnSwap, ColumnDeadline:
--- a/table/merge.go
+++ b/table/merge.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Conflict is a cell, or a whole row, that two edits of one base changed in
-// different ways.
+// Conflict is a cell, or a whole row, that two edits of the same base changed
+// differently.
 type Conflict struct {
 	Row string `json:"row"`
 	// Column is empty when one edit removed the row that the other changed.
@@ -13,7 +13,7 @@
 	Theirs string `json:"theirs"`
 }
 
-// String gives the conflict in one line.
+// String formats the conflict in one line.
 func (c Conflict) String() string {
 	where := c.Row
 	if c.Column != "" {
@@ -22,25 +22,25 @@
 	return fmt.Sprintf("! %s: base %q, mine %q, theirs %q", where, c.Base, c.Mine, c.Theirs)
 }
 
-// removedRow stands for a removed row in a Conflict of a whole row.
+// removedRow marks the side that removed the row in a Conflict of a whole row.
 const removedRow = "(removed)"
 
-// Merge is the three-way merge of two edits.
+// Merge is the result of a three-way merge of two edits.
 type Merge struct {
 	// Rows hold both edits; where they conflict they hold theirs. They are not
-	// checked: two edits that are each sound may not be so together.
+	// checked: two edits that are valid separately may be invalid together.
 	Rows []Row
-	// Conflicts lists what the operator has to decide.
+	// Conflicts lists what the operator must resolve.
 	Conflicts []Conflict
 }
 
 // Merge3 merges two edits of base by row and cell. The order of rows is that of
-// theirs, followed by the rows that only mine has. An error says that a cell
-// of rows that were not checked has no sound value.
+// theirs, followed by the rows that only mine has. It fails only if a cell of
+// unchecked rows has an invalid value.
 func Merge3(base, mine, theirs []Row) (Merge, error) {
 	m := merger{base: byName(base), mine: byName(mine), theirs: byName(theirs)}
 	for i := range theirs {
-		if err := m.row(theirs[i].Name); err != nil {
+		if err := m.mergeRow(theirs[i].Name); err != nil {
 			return Merge{}, err
 		}
 	}
@@ -48,7 +48,7 @@
 		if _, ok := m.theirs[mine[i].Name]; ok {
 			continue
 		}
-		if err := m.row(mine[i].Name); err != nil {
+		if err := m.mergeRow(mine[i].Name); err != nil {
 			return Merge{}, err
 		}
 	}
@@ -60,29 +60,30 @@
 	out                Merge
 }
 
-// row merges the row of one name that mine or theirs or both have.
-func (m *merger) row(name string) error {
+// mergeRow merges the rows of one name, which mine, theirs or both have.
+func (m *merger) mergeRow(name string) error {
 	base, mine, theirs := m.base[name], m.mine[name], m.theirs[name]
 	switch {
 	case mine == nil:
-		m.onlyOne(name, theirs, base, theirs)
+		m.mergeOneSided(name, theirs, base, theirs)
 	case theirs == nil:
-		m.onlyOne(name, mine, base, nil)
+		m.mergeOneSided(name, mine, base, nil)
 	default:
-		return m.cells(base, mine, theirs)
+		return m.mergeCells(base, mine, theirs)
 	}
 	return nil
 }
 
-// onlyOne handles a row that only one edit has: it is new, or the other edit
-// removed it. The row onConflict is kept when that removal meets a change.
-func (m *merger) onlyOne(name string, row, base, onConflict *Row) {
+// mergeOneSided merges a row that only one edit has: it is new, or the other edit
+// removed it. If this edit changed a row that the other removed, that is a conflict
+// and the result has onConflict, or no row if that is nil.
+func (m *merger) mergeOneSided(name string, row, base, onConflict *Row) {
 	if base == nil {
 		m.out.Rows = append(m.out.Rows, *row)
 		return
 	}
 	if len(diffCells(base, row)) == 0 {
-		return // removed by the other, untouched here
+		return // removed by the other edit, unchanged in this one
 	}
 	conflict := Conflict{Row: name, Base: describe(base), Mine: removedRow, Theirs: removedRow}
 	if onConflict != nil {
@@ -94,9 +95,9 @@
 	m.out.Conflicts = append(m.out.Conflicts, conflict)
 }
 
-// cells merges a row that both edits have. Where both added the row, every
-// cell in which they differ is a conflict.
-func (m *merger) cells(base, mine, theirs *Row) error {
+// mergeCells merges a row that both edits have. If both added the row, every cell
+// in which they differ is a conflict.
+func (m *merger) mergeCells(base, mine, theirs *Row) error {
 	baseCells := make([]string, len(columns))
 	if base != nil {
 		baseCells = cellsOf(base)
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// rowOf makes a row of cells.
+// rowOf parses cells, in the order of columns, into a row.
 func rowOf(cells []string) (Row, error) {
 	var row Row
 	for i := range columns {
--- a/table/parse.go
+++ b/table/parse.go
@@ -17,19 +17,19 @@
 	FormatYAML = "yaml"
 )
 
-// Bounds of a table file.
+// Limits of a table file.
 const (
 	MaxBytes = 1 << 20
 	MaxRows  = 10_000
 )
 
-// commentMark begins a line of a CSV file that is not read.
+// commentMark begins a comment line of a CSV file.
 const commentMark = '#'
 
 var byteOrderMark = []byte("\xef\xbb\xbf")
 
-// Parse reads and checks a table file as a whole. The error is of type Errors
-// and holds every mistake found.
+// Parse reads and validates a table file as a whole. The error is of type Errors
+// and lists every error found.
 func Parse(format string, body []byte) ([]Row, error) {
 	if len(body) > MaxBytes {
 		return nil, Errors{{Message: fmt.Sprintf("%d bytes, more than %d", len(body), MaxBytes)}}
@@ -45,8 +45,8 @@
 	return rows, errs.errOrNil()
 }
 
-// readRecords splits a file into rows and cells. Without any rows the errors
-// are all that can be said of the file.
+// readRecords splits a file into rows and cells. If it returns errors and no
+// records, the file cannot be checked any further.
 func readRecords(format string, body []byte) ([]record, Errors) {
 	switch format {
 	case FormatCSV:
@@ -57,7 +57,7 @@
 	return nil, Errors{{Message: fmt.Sprintf("format %q, want %q or %q", format, FormatCSV, FormatYAML)}}
 }
 
-// FormatOfFile tells a table file's format by its name's ending.
+// FormatOfFile returns a table file's format by its name's extension.
 func FormatOfFile(name string) (string, error) {
 	switch {
 	case strings.HasSuffix(name, ".csv"):
@@ -71,7 +71,7 @@
 func readCSV(body []byte) ([]record, Errors) {
 	reader := csv.NewReader(bytes.NewReader(body))
 	reader.Comment = commentMark
-	reader.FieldsPerRecord = -1 // checked by readCSVLine, which names the row
+	reader.FieldsPerRecord = -1 // checked by readCSVLines, which reports the line
 	header, err := reader.Read()
 	if errors.Is(err, io.EOF) {
 		return nil, Errors{{Message: "the file is empty"}}
@@ -87,7 +87,7 @@
 	return readCSVLines(reader, order)
 }
 
-// readHeader finds which column each field of the file stands for.
+// readHeader maps each field of the header to its index in columns.
 func readHeader(line int, header []string) ([]int, Errors) {
 	var errs Errors
 	order := make([]int, len(header))
@@ -129,7 +129,7 @@
 			rec.cells[order[i]] = strings.TrimSpace(fields[i])
 		}
 		if len(fields) != len(order) {
-			rec.broken = true
+			rec.malformed = true
 			message := fmt.Sprintf("%d cells, want %d", len(fields), len(order))
 			errs = append(errs, CellError{Line: line, Message: message})
 		}
--- a/table/row.go
+++ b/table/row.go
@@ -1,10 +1,10 @@
-// Package table is the operators' one table: its rows, the file forms in which
-// it is kept, its checks, the difference of two versions and their three-way merge.
+// Package table defines the operators' configuration table: its rows, its file
+// formats, its validation, the difference of two versions and their three-way merge.
 package table
 
 import "time"
 
-// Kind says what a row serves.
+// Kind says what a row configures.
 type Kind string
 
 // Kinds of rows.
@@ -13,66 +13,69 @@
 	KindService Kind = "service"
 	// KindTrainer is a trainer that takes rollout steps from model engines.
 	KindTrainer Kind = "trainer"
-	// KindPlain is a plain service that the system routes to.
+	// KindPlain is a plain service to which the system routes calls.
 	KindPlain Kind = "plain"
 )
 
-// Leftover says what becomes of the samples that a step ends without.
+// Leftover says what happens to the samples that are unfinished when a step completes.
 type Leftover string
 
-// Ways with leftovers.
+// Treatments of unfinished samples.
 const (
-	LeftoverCarry  Leftover = "carry"  // they go on for the next step
+	LeftoverCarry  Leftover = "carry"  // they continue in the next step
 	LeftoverCancel Leftover = "cancel" // they are cancelled
 )
 
-// SwapPolicy says when an engine takes new weights.
+// SwapPolicy says when an engine loads new weights.
 type SwapPolicy string
 
 // Swap policies.
 const (
-	// SwapAtOnce loads at once; running streams go on with the new weights.
+	// SwapAtOnce loads immediately; running streams continue with the new weights.
 	SwapAtOnce SwapPolicy = "at_once"
-	// SwapDrain waits for the engine's running streams, taking no new ones.
+	// SwapDrain accepts no new streams and loads when the engine's running streams
+	// have finished.
 	SwapDrain SwapPolicy = "drain"
-	// SwapRolling is SwapAtOnce by turns: the engines of a model load one
-	// after another, and earlier where a request needs newer weights.
+	// SwapRolling is a rolling SwapAtOnce: the engines of a model load one after
+	// another, and earlier where a request needs newer weights.
 	SwapRolling SwapPolicy = "rolling"
 )
 
-// Row is one row: a service or trainer with its share and limits. The zero
-// value of a limit means "no limit".
+// Row configures a service or trainer with its share and limits. The zero value of
+// a limit means "no limit".
 type Row struct {
 	Name  string `json:"name" yaml:"name"`
 	Kind  Kind   `json:"kind" yaml:"kind"`
 	Model string `json:"model,omitempty" yaml:"model,omitempty"` // model served; empty for plain services
-	// Share is the row's weight when engines are contended.
+	// Share is the row's weight in the division of contended engines.
 	Share float64 `json:"share" yaml:"share"`
-	// StalenessBound is how many versions older than the trainer's own a sample may be.
+	// StalenessBound is how many weight versions a sample may be behind the trainer.
 	StalenessBound uint64 `json:"staleness_bound" yaml:"staleness_bound"`
-	// MaxRPS bounds requests a second over all entries.
+	// MaxRPS bounds requests a second, summed over all entries.
 	MaxRPS float64 `json:"max_rps,omitempty" yaml:"max_rps,omitempty"`
-	// MaxTPS bounds generated tokens a second over all entries.
+	// MaxTPS bounds generated tokens a second, summed over all entries.
 	MaxTPS float64 `json:"max_tps,omitempty" yaml:"max_tps,omitempty"`
-	// MaxConcurrency bounds running requests over all entries.
+	// MaxConcurrency bounds running requests, summed over all entries.
 	MaxConcurrency int `json:"max_concurrency,omitempty" yaml:"max_concurrency,omitempty"`
 	// MaxQueue bounds the row's queued requests at one agent.
 	MaxQueue int `json:"max_queue" yaml:"max_queue"`
-	// Deadline applies when the caller names none.
+	// Deadline is the time limit of a call whose caller sets none.
 	Deadline time.Duration `json:"deadline" yaml:"deadline"`
 	// WaitShare is the share of a step that its trainer waits for, 0 < s <= 1.
 	WaitShare float64 `json:"wait_share,omitempty" yaml:"wait_share,omitempty"`
-	// Leftover is what becomes of the rest.
+	// Leftover says what happens to the unfinished rest.
 	Leftover Leftover `json:"leftover,omitempty" yaml:"leftover,omitempty"`
 	// Scorer names the plain row that scores this trainer's samples.
 	Scorer string `json:"scorer,omitempty" yaml:"scorer,omitempty"`
 	// Swap is the swap policy of the row's model.
 	Swap SwapPolicy `json:"swap,omitempty" yaml:"swap,omitempty"`
-	// Repeatable is false when a plain service's calls must run at most once.
+	// Repeatable says that calls are idempotent and may be retried; it is false for a
+	// plain service whose calls must run at most once.
 	Repeatable bool `json:"repeatable" yaml:"repeatable"`
 }
 
-// Snapshot is one immutable version of the table, ready for look-ups.
+// Snapshot is one immutable version of the table, indexed by row name. The methods
+// of a nil Snapshot act as on an empty table.
 type Snapshot struct {
 	Version    uint64
 	AcceptedAt time.Time
@@ -80,7 +83,7 @@
 	names      []string
 }
 
-// NewSnapshot makes a snapshot of checked rows; rows must not change afterwards.
+// NewSnapshot returns a snapshot of checked rows; rows must not change afterwards.
 func NewSnapshot(version uint64, acceptedAt time.Time, rows []Row) *Snapshot {
 	s := &Snapshot{Version: version, AcceptedAt: acceptedAt, rows: make(map[string]*Row, len(rows))}
 	for i := range rows {
@@ -99,7 +102,7 @@
 	return r, ok
 }
 
-// Names lists the rows' names in the table's order. Callers must not change it.
+// Names returns the rows' names in the table's order. Callers must not modify the slice.
 func (s *Snapshot) Names() []string {
 	if s == nil {
 		return nil
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes rapid's seed; -rapid.seed on the command line wins.
+// TestMain fixes rapid's seed; -rapid.seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -21,8 +21,8 @@
 	os.Exit(m.Run())
 }
 
-// TestDataDriven runs the files in testdata: parse, diff and merge of tables
-// that are written in the short form "name: column=value ...".
+// TestDataDriven runs the files in testdata: parse, diff and merge of tables, whose
+// rows the expected results write as "name: column=value ...".
 func TestDataDriven(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -63,7 +63,7 @@
 	return lines(Diff(nil, m.Rows)) + lines(m.Conflicts)
 }
 
-// lines prints each item on a line of its own.
+// lines formats each item on its own line.
 func lines[T any](items []T) string {
 	var b strings.Builder
 	for _, item := range items {
@@ -113,7 +113,7 @@
 }
 
 func drawRows(t *rapid.T) []Row {
-	const scorer = "null" // must not turn into YAML's null
+	const scorer = "null" // must not be read back as YAML's null
 	rows := []Row{drawRow(t, scorer, nil)}
 	rows[0] = Row{Name: scorer, Kind: KindPlain, Share: 1, MaxQueue: 1, Deadline: time.Second}
 	names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-m0-9-]{1,6}`), 0, 6, rapid.ID).Draw(t, "names")
@@ -142,9 +142,9 @@
 	})
 }
 
-// TestMergeOfOneEdit: merging an edit with an untouched base gives the edit, on
-// either side and without conflicts.
-func TestMergeOfOneEdit(t *testing.T) {
+// TestMergeWithUnchangedBase checks that merging an edit with the unchanged base
+// returns the edit, on either side and without conflicts.
+func TestMergeWithUnchangedBase(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, edit := drawRows(t), drawRows(t)
 		for _, sides := range [][2][]Row{{edit, base}, {base, edit}} {
@@ -159,9 +159,9 @@
 	})
 }
 
-// TestMergeLosesNothing: each cell that an edit changed is in the merge or
-// named in a conflict.
-func TestMergeLosesNothing(t *testing.T) {
+// TestMergeKeepsEveryEdit checks that each cell that an edit changed is in the merge
+// or in a conflict.
+func TestMergeKeepsEveryEdit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, mine, theirs := drawRows(t), drawRows(t), drawRows(t)
 		m, err := Merge3(base, mine, theirs)
--- a/table/yaml.go
+++ b/table/yaml.go
@@ -15,8 +15,8 @@
 
 const yamlNull = "!!null"
 
-// readYAML reads the form "rows: [{name: ..., kind: ...}, ...]". An absent key
-// is an empty cell.
+// readYAML reads a document of the form "rows: [{name: ..., kind: ...}, ...]". A
+// missing key is an empty cell.
 func readYAML(body []byte) ([]record, Errors) {
 	decoder := yaml.NewDecoder(bytes.NewReader(body))
 	var document yaml.Node
@@ -57,7 +57,7 @@
 func readYAMLRow(node *yaml.Node) (record, Errors) {
 	rec := record{line: node.Line, cells: make([]string, len(columns))}
 	if node.Kind != yaml.MappingNode {
-		rec.broken = true
+		rec.malformed = true
 		return rec, Errors{{Line: node.Line, Message: "want a row as a mapping of columns to values"}}
 	}
 	var errs Errors
