--- a/chart/chart.go
+++ b/chart/chart.go
@@ -11,27 +11,27 @@
 	"github.com/qmuntal/stateless"
 )
 
-// Guards are the conditions that a chart may name. They are called while a
-// trigger fires; of the transitions of one trigger, at most one guard may hold.
+// Guards maps the guard names of a chart to their conditions. They are evaluated
+// while a trigger fires; at most one guard of a trigger's transitions may be true.
 type Guards map[string]func() bool
 
-// Chart is a checked state chart with states S and triggers T.
+// Chart is a validated state chart with states S and triggers T.
 type Chart[S, T ~string] struct {
 	f *file
 }
 
-// Load reads and checks the chart in the named file: every state can be
-// reached and says once what each trigger does there. States and triggers are
-// those that the code knows; the file must have exactly these.
+// Load reads and validates the chart in the named file: every state must be
+// reachable and handle each trigger exactly once. The file must have exactly the
+// given states and triggers.
 func Load[S, T ~string](fsys fs.FS, name string, states []S, triggers []T) (*Chart[S, T], error) {
 	f, err := readFile(fsys, name)
 	if err != nil {
 		return nil, err
 	}
-	if err := sameNames(states, slices.Collect(maps.Keys(f.States))); err != nil {
+	if err := checkNames(states, slices.Collect(maps.Keys(f.States))); err != nil {
 		return nil, trace.Wrap(err, "chart %s: states", name)
 	}
-	if err := sameNames(triggers, f.Triggers); err != nil {
+	if err := checkNames(triggers, f.Triggers); err != nil {
 		return nil, trace.Wrap(err, "chart %s: triggers", name)
 	}
 	return &Chart[S, T]{f: f}, nil
@@ -46,7 +46,7 @@
 	return c
 }
 
-func sameNames[N ~string](inCode []N, inFile []string) error {
+func checkNames[N ~string](inCode []N, inFile []string) error {
 	want := make([]string, 0, len(inCode))
 	for _, n := range inCode {
 		want = append(want, string(n))
@@ -60,21 +60,21 @@
 	return nil
 }
 
-// Final says whether a state is marked as final: nothing leaves it.
+// Final reports whether a state is marked as final; a final state has no transitions.
 func (c *Chart[S, T]) Final(s S) bool {
 	return c.f.States[string(s)].Final
 }
 
-// Machine is one thing that is in a state of a chart. It is not safe for
-// concurrent use; its owner's lock guards it.
+// Machine is an instance of a chart with a current state. It is not safe for
+// concurrent use; the caller must hold a lock.
 type Machine[S, T ~string] struct {
 	chart *Chart[S, T]
 	sm    *stateless.StateMachine
 	state S
 }
 
-// NewMachine starts a machine in the chart's initial state. The guards must
-// hold all that the chart names; a missing one is an error.
+// NewMachine returns a machine in the chart's initial state. A guard that the chart
+// names and guards lacks is an error.
 func (c *Chart[S, T]) NewMachine(guards Guards) (*Machine[S, T], error) {
 	m := &Machine[S, T]{chart: c, state: S(c.f.Initial)}
 	m.sm = stateless.NewStateMachineWithExternalStorage(m.get, m.set, stateless.FiringImmediate)
@@ -118,14 +118,14 @@
 	return []stateless.GuardFunc{func(context.Context, ...any) bool { return g() }}, nil
 }
 
-// State is the current state.
+// State returns the current state.
 func (m *Machine[S, T]) State() S { return m.state }
 
-// Final says whether the current state is final.
+// Final reports whether the current state is final.
 func (m *Machine[S, T]) Final() bool { return m.chart.Final(m.state) }
 
-// Fire applies a trigger. It returns a *RejectedError when the chart rejects
-// the trigger in the current state, or when no guard of its transitions holds.
+// Fire applies a trigger. It returns a *RejectedError if the chart rejects the
+// trigger in the current state, or if no guard of its transitions is true.
 func (m *Machine[S, T]) Fire(t T) error {
 	return m.sm.Fire(t)
 }
@@ -146,10 +146,10 @@
 	}
 }
 
-// RejectedError says that a trigger is not allowed in a state.
+// RejectedError is the error of a trigger that is not allowed in a state.
 type RejectedError struct {
 	Chart, State, Trigger string
-	// Guarded is true when transitions exist but none of their guards holds.
+	// Guarded is true when transitions exist but none of their guards is true.
 	Guarded bool
 }
 
--- a/chart/chart_test.go
+++ b/chart/chart_test.go
@@ -56,7 +56,7 @@
 			t.Fatalf("%s: error %v, want rejected %v", tr, err, rejected)
 		}
 		if m.State() != want {
-			t.Fatalf("%s leads to %s, want %s", tr, m.State(), want)
+			t.Fatalf("%s: state is %s, want %s", tr, m.State(), want)
 		}
 	}
 	fire("open", "ajar", false)
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	if _, err := c.NewMachine(nil); err == nil {
-		t.Fatal("a machine without its guard was made")
+		t.Fatal("a machine was created without a guard that its chart names")
 	}
 }
 
@@ -100,7 +100,7 @@
 				t.Fatal("the change did not apply")
 			}
 			if _, err := load(text); err == nil {
-				t.Fatal("the chart was taken")
+				t.Fatal("the chart was accepted")
 			}
 		})
 	}
--- a/chart/file.go
+++ b/chart/file.go
@@ -9,7 +9,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// file is a chart as its YAML file spells it.
+// file is the decoded YAML file of a chart.
 type file struct {
 	Name     string               `yaml:"name"`
 	Initial  string               `yaml:"initial"`
@@ -24,13 +24,13 @@
 	Final  bool                   `yaml:"final"`
 }
 
-// transition leads to a state, when its guard (if it names one) holds.
+// transition leads to a state if its guard is true or it has none.
 type transition struct {
 	To    string `yaml:"to"`
 	Guard string `yaml:"guard"`
 }
 
-// transitions is written as a state's name or as a list of guarded transitions.
+// transitions is, in YAML, the name of a state or a list of guarded transitions.
 type transitions []transition
 
 // UnmarshalYAML implements yaml.Unmarshaler.
@@ -64,7 +64,7 @@
 	return &f, nil
 }
 
-// check reports everything that is wrong with the chart.
+// check validates the chart and returns all errors found as one.
 func (f *file) check() error {
 	var errs []error
 	if _, ok := f.States[f.Initial]; !ok {
@@ -85,7 +85,7 @@
 		errs = append(errs, trace.BadParameter("final state %q has transitions", name))
 	}
 	for _, t := range f.Triggers {
-		if n := s.mentions(t); n != 1 {
+		if n := s.countReactions(t); n != 1 {
 			errs = append(errs, trace.BadParameter("state %q handles trigger %q %d times, want once", name, t, n))
 		}
 	}
@@ -116,8 +116,8 @@
 	return errs
 }
 
-// mentions counts how often the state says what the trigger does.
-func (s stateSpec) mentions(trigger string) int {
+// countReactions counts how often the state handles the trigger.
+func (s stateSpec) countReactions(trigger string) int {
 	n := 0
 	if _, ok := s.On[trigger]; ok {
 		n++
@@ -130,7 +130,7 @@
 	return n
 }
 
-// unreachable lists the states that no path leads to from the initial one.
+// unreachable returns the sorted names of states that no path from the initial state reaches.
 func (f *file) unreachable() []string {
 	seen := map[string]bool{f.Initial: true}
 	next := []string{f.Initial}
--- a/keys/authority.go
+++ b/keys/authority.go
@@ -15,11 +15,11 @@
 	"github.com/gravitational/trace"
 )
 
-// Validity of what an Authority issues.
+// Validity of an authority's own certificate and of those it issues.
 const (
 	AuthorityValidity   = 10 * 365 * 24 * time.Hour
 	CertificateValidity = 365 * 24 * time.Hour
-	// clockSkew is how far a peer's clock may be behind ours.
+	// clockSkew is how far a peer's clock may be behind the issuer's.
 	clockSkew = 5 * time.Minute
 )
 
@@ -32,15 +32,15 @@
 
 var idPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
 
-// Authority signs the certificates of our processes. It is meant for
-// development and small installations that have no authority of their own.
+// Authority is a certificate authority for the processes of one deployment. It is
+// meant for development and small installations without an authority of their own.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	pair Pair
 }
 
-// Pair is a certificate and its private key, both PEM. It prints without the key.
+// Pair is a certificate and its private key, both PEM. Formatting it prints neither.
 type Pair struct {
 	CertPEM []byte
 	KeyPEM  []byte
@@ -52,7 +52,7 @@
 // GoString hides the private key from %#v.
 func (p Pair) GoString() string { return p.String() }
 
-// NewDevAuthority makes an authority with a new key.
+// NewDevAuthority creates an authority with a new key and a self-signed certificate.
 func NewDevAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return newAuthority(der, key)
 }
 
-// LoadAuthority reads an authority from the PEM that Pair returned.
+// LoadAuthority restores an authority from the result of Authority.Pair.
 func LoadAuthority(pair Pair) (*Authority, error) {
 	der, err := decodeBlock(pair.CertPEM, pemCertificate)
 	if err != nil {
@@ -119,13 +119,13 @@
 	return &Authority{cert: cert, key: key, pair: pair}, nil
 }
 
-// CertPEM is the authority's certificate, which every process gets.
+// CertPEM returns the authority's certificate, which every process needs to verify its peers.
 func (a *Authority) CertPEM() []byte { return a.pair.CertPEM }
 
-// Pair is the authority's certificate and key, to be kept by whoever issues.
+// Pair returns the authority's certificate and private key, for the issuer only.
 func (a *Authority) Pair() Pair { return a.pair }
 
-// Issue makes a key and certificate for the process id, which has 1 to 128
+// Issue creates a key and certificate for the process id, which has 1 to 128
 // letters, digits, ".", "_" or "-" and begins with a letter or digit.
 func (a *Authority) Issue(id string) (Pair, error) {
 	if !idPattern.MatchString(id) {
@@ -156,7 +156,7 @@
 	return encodePair(der, key)
 }
 
-// Source issues a pair for id and returns a Source that trusts this authority only.
+// Source issues a pair for id and returns a Source with it that trusts only this authority.
 func (a *Authority) Source(id string) (Source, error) {
 	pair, err := a.Issue(id)
 	if err != nil {
--- a/keys/doc.go
+++ b/keys/doc.go
@@ -1,10 +1,10 @@
-// Package keys gives our processes the certificates by which they prove to
-// each other who they are: a development authority that issues them, their PEM
-// files, and a Source of TLS settings that follows those files, so that keys
-// and authorities are replaced without a restart.
+// Package keys provides the certificates by which processes authenticate each other
+// over mutual TLS: a development authority that issues them, their PEM files, and a
+// Source of TLS settings that reloads those files, so that keys and authorities can
+// be rotated without a restart.
 //
-// A process is named by the URI "mulberry:<id>" in its certificate's subject
-// alternative names or, for certificates of other authorities, by their first
-// DNS name. Names of hosts and IP numbers prove nothing here: both sides of
-// every connection check the authority's signature and read the peer's id.
+// A process is identified by the URI "mulberry:<id>" in its certificate's subject
+// alternative names or, for certificates of other authorities, by their first DNS
+// name. Host names and IP numbers are not verified: both sides of every connection
+// verify the authority's signature and read the peer's id.
 package keys
--- a/keys/files.go
+++ b/keys/files.go
@@ -11,7 +11,8 @@
 	"github.com/gravitational/trace"
 )
 
-// ReloadInterval is how often, at most, handshakes look for changed files.
+// ReloadInterval is the least time between two checks for changed files, which
+// handshakes make.
 const ReloadInterval = time.Second
 
 const (
@@ -19,46 +20,46 @@
 	certFileMode = 0o644
 )
 
-// LoadFiles returns a Source that reads PEM files and, at handshakes, reads
-// them again when they have changed. caFile may hold several authorities: while
-// one replaces another, put both in it. Files that cannot be read or do not
-// belong together leave the certificates in force as they are, since a file
-// may be met half written; the first reading must succeed. Later failures are
-// told to failed, which must not block.
-func LoadFiles(caFile, certFile, keyFile string, failed func(error)) (Source, error) {
-	f := &files{paths: [...]string{caFile, certFile, keyFile}, failed: failed}
-	if err := f.reread(time.Now()); err != nil {
+// LoadFiles returns a Source that reads PEM files and, during handshakes, reloads
+// them when they have changed. caFile may hold several authorities: during the
+// rotation of an authority, put the old and the new one in it. Files that cannot be
+// read or do not match each other leave the current certificates in use, since a
+// file may be read while it is half written; only the first read must succeed. Later
+// errors are passed to onError, which must not block.
+func LoadFiles(caFile, certFile, keyFile string, onError func(error)) (Source, error) {
+	f := &files{paths: [...]string{caFile, certFile, keyFile}, onError: onError}
+	if err := f.reload(time.Now()); err != nil {
 		return nil, err
 	}
 	return &source{current: f.current}, nil
 }
 
-// files is a provider over three PEM files: authorities, certificate and key.
+// files loads credentials from three PEM files: authorities, certificate and key.
 type files struct {
-	paths  [3]string
-	failed func(error)
+	paths   [3]string
+	onError func(error)
 
-	mu       sync.Mutex
-	checked  time.Time
-	contents [3][]byte
-	inForce  *material
+	mu        sync.Mutex
+	lastCheck time.Time
+	contents  [3][]byte
+	active    *credentials
 }
 
-func (f *files) current() (*material, error) {
+func (f *files) current() (*credentials, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	if now.Sub(f.checked) >= ReloadInterval {
-		if err := f.reread(now); err != nil {
-			f.failed(err) // the certificates in force stay
+	if now.Sub(f.lastCheck) >= ReloadInterval {
+		if err := f.reload(now); err != nil {
+			f.onError(err) // the current certificates stay in use
 		}
 	}
-	return f.inForce, nil
+	return f.active, nil
 }
 
-// reread puts the files' certificates in force if they have changed and are whole.
-func (f *files) reread(now time.Time) error {
-	f.checked = now
+// reload replaces the credentials if the files have changed and are valid.
+func (f *files) reload(now time.Time) error {
+	f.lastCheck = now
 	var contents [3][]byte
 	for i, path := range f.paths {
 		body, err := os.ReadFile(path)
@@ -67,15 +68,15 @@
 		}
 		contents[i] = body
 	}
-	if f.inForce != nil && equal(contents, f.contents) {
+	if f.active != nil && equal(contents, f.contents) {
 		return nil
 	}
-	m, err := parseMaterial(contents[0], Pair{CertPEM: contents[1], KeyPEM: contents[2]})
+	m, err := parseCredentials(contents[0], Pair{CertPEM: contents[1], KeyPEM: contents[2]})
 	if err != nil {
 		return trace.Wrap(err, "keys: files %s, %s, %s", f.paths[0], f.paths[1], f.paths[2])
 	}
 	f.contents = contents
-	f.inForce = m
+	f.active = m
 	return nil
 }
 
@@ -88,8 +89,8 @@
 	return true
 }
 
-// WritePair writes a pair as PEM files, the key readable by its owner only.
-// Existing files are replaced whole.
+// WritePair writes a pair as PEM files; the key is readable by its owner only. Each
+// existing file is replaced atomically.
 func WritePair(certFile, keyFile string, pair Pair) error {
 	if err := replaceFile(keyFile, pair.KeyPEM, keyFileMode); err != nil {
 		return err
@@ -102,7 +103,7 @@
 	return replaceFile(path, bytes.Join(certPEM, nil), certFileMode)
 }
 
-// ReadPair reads what WritePair wrote.
+// ReadPair reads the files that WritePair wrote.
 func ReadPair(certFile, keyFile string) (Pair, error) {
 	cert, err := os.ReadFile(certFile)
 	if err != nil {
@@ -115,8 +116,8 @@
 	return Pair{CertPEM: cert, KeyPEM: key}, nil
 }
 
-// replaceFile writes a file beside path and renames it, so that readers see
-// the old content or the new one.
+// replaceFile replaces a file atomically: it writes a temporary file in the same
+// directory and renames it, so that readers see the old content or the new one.
 func replaceFile(path string, body []byte, mode os.FileMode) (err error) {
 	temp, err := os.CreateTemp(filepath.Dir(path), ".keys-*")
 	if err != nil {
--- a/keys/keys_test.go
+++ b/keys/keys_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func newAuthorityT(t *testing.T) *Authority {
+func newAuthorityForTest(t *testing.T) *Authority {
 	t.Helper()
 	a, err := NewDevAuthority()
 	check(t, err)
@@ -42,7 +42,7 @@
 	return pair
 }
 
-// handshake connects two sources over TLS and returns the ids that each saw.
+// handshake connects two sources over TLS and returns the peer id that each side read.
 func handshake(server, client Source) (seenByServer, seenByClient string, err error) {
 	a, b, err := loopbackPair()
 	if err != nil {
@@ -57,7 +57,7 @@
 		a.Close()
 		serverErr <- err
 	}()
-	// The client's handshake ends before the server has checked its
+	// The client's handshake completes before the server has verified its
 	// certificate; the byte shows that the server accepts it.
 	_, clientErr := c.Read(make([]byte, 1))
 	if errors.Is(clientErr, io.EOF) {
@@ -72,8 +72,8 @@
 	return seenByServer, seenByClient, errors.Join(serverIDErr, clientIDErr)
 }
 
-// loopbackPair returns two ends of a buffered connection: on net.Pipe both
-// sides of a refused handshake block in their writes.
+// loopbackPair returns two ends of a buffered connection: on an unbuffered net.Pipe
+// both sides of a refused handshake would block in their writes.
 func loopbackPair() (a, b net.Conn, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -88,8 +88,8 @@
 	return a, b, err
 }
 
-func TestBothSidesLearnTheOthersID(t *testing.T) {
-	a := newAuthorityT(t)
+func TestPeersIdentifyEachOther(t *testing.T) {
+	a := newAuthorityForTest(t)
 	server, client := sourceOf(t, a, "agent-1"), sourceOf(t, a, "entry-1")
 	s, c, err := handshake(server, client)
 	if err != nil || s != "entry-1" || c != "agent-1" {
@@ -97,62 +97,63 @@
 	}
 }
 
-func TestStrangersAreRefused(t *testing.T) {
-	ours, theirs := newAuthorityT(t), newAuthorityT(t)
+func TestPeersOfOtherAuthorityAreRefused(t *testing.T) {
+	ours, theirs := newAuthorityForTest(t), newAuthorityForTest(t)
 	known := sourceOf(t, ours, "agent-1")
 	stranger := sourceOf(t, theirs, "agent-1")
 	if _, _, err := handshake(known, stranger); err == nil {
-		t.Error("a client of another authority was let in")
+		t.Error("a client of another authority was accepted")
 	}
 	if _, _, err := handshake(stranger, known); err == nil {
-		t.Error("a server of another authority was believed")
+		t.Error("a server of another authority was accepted")
 	}
 }
 
 func TestClientWithoutCertificateIsRefused(t *testing.T) {
-	a := newAuthorityT(t)
+	a := newAuthorityForTest(t)
 	server := sourceOf(t, a, "agent-1")
-	if _, _, err := handshake(server, bare{}); err == nil {
-		t.Fatal("a client without a certificate was let in")
+	if _, _, err := handshake(server, anonymousClient{}); err == nil {
+		t.Fatal("a client without a certificate was accepted")
 	}
 }
 
-// bare is a client that shows no certificate and believes anyone.
-type bare struct{}
+// anonymousClient is a Source of a client that presents no certificate and accepts
+// any server.
+type anonymousClient struct{}
 
-func (bare) ServerConfig() *tls.Config { return nil }
-func (bare) ClientConfig() *tls.Config {
+func (anonymousClient) ServerConfig() *tls.Config { return nil }
+func (anonymousClient) ClientConfig() *tls.Config {
 	return &tls.Config{InsecureSkipVerify: true, NextProtos: []string{ALPN}}
 }
 
 func TestExpiredCertificateIsRefused(t *testing.T) {
-	a := newAuthorityT(t)
+	a := newAuthorityForTest(t)
 	pair := issue(t, a, "entry-1")
-	m, err := parseMaterial(a.CertPEM(), pair)
+	m, err := parseCredentials(a.CertPEM(), pair)
 	check(t, err)
 	state := tls.ConnectionState{}
 	state.PeerCertificates = append(state.PeerCertificates, m.cert.Leaf)
 	usage := m.cert.Leaf.ExtKeyUsage[0]
 	check(t, verifyPeer(state, m.pool, usage, time.Now()))
 	if err := verifyPeer(state, m.pool, usage, time.Now().Add(CertificateValidity+time.Hour)); err == nil {
-		t.Fatal("an expired certificate was believed")
+		t.Fatal("an expired certificate was accepted")
 	}
 }
 
 func TestBadIDs(t *testing.T) {
-	a := newAuthorityT(t)
+	a := newAuthorityForTest(t)
 	for _, id := range []string{"", "a/b", "-a", "a b", strings.Repeat("a", 129), "a\nb"} {
 		if _, err := a.Issue(id); err == nil {
-			t.Errorf("id %q was issued", id)
+			t.Errorf("a certificate for id %q was issued", id)
 		}
 	}
 }
 
-func TestAuthorityCannotBeForgedByAnIssuedPair(t *testing.T) {
-	a := newAuthorityT(t)
+func TestIssuedPairIsNoAuthority(t *testing.T) {
+	a := newAuthorityForTest(t)
 	pair := issue(t, a, "entry-1")
 	if _, err := LoadAuthority(pair); err == nil {
-		t.Fatal("an issued pair was taken for an authority")
+		t.Fatal("an issued pair was loaded as an authority")
 	}
 	again, err := LoadAuthority(a.Pair())
 	check(t, err)
@@ -163,23 +164,23 @@
 }
 
 func TestPairHidesItsKey(t *testing.T) {
-	a := newAuthorityT(t)
+	a := newAuthorityForTest(t)
 	for _, format := range []string{"%v", "%+v", "%s", "%#v", "%q"} {
 		if text := fmt.Sprintf(format, a.Pair()); strings.Contains(text, "PRIVATE") {
-			t.Errorf("%s shows the key", format)
+			t.Errorf("%s prints the key", format)
 		}
 	}
 }
 
-// dir is a directory with the three files of one process.
-type dir struct{ ca, cert, key string }
+// keyFiles holds the paths of one process's three files.
+type keyFiles struct{ ca, cert, key string }
 
-func newDir(t *testing.T) dir {
+func newKeyFiles(t *testing.T) keyFiles {
 	d := t.TempDir()
-	return dir{filepath.Join(d, "ca.pem"), filepath.Join(d, "cert.pem"), filepath.Join(d, "key.pem")}
+	return keyFiles{filepath.Join(d, "ca.pem"), filepath.Join(d, "cert.pem"), filepath.Join(d, "key.pem")}
 }
 
-func (d dir) write(t *testing.T, pair Pair, authorities ...*Authority) {
+func (d keyFiles) write(t *testing.T, pair Pair, authorities ...*Authority) {
 	t.Helper()
 	var certs [][]byte
 	for _, a := range authorities {
@@ -189,32 +190,33 @@
 	check(t, WritePair(d.cert, d.key, pair))
 }
 
-// load loads the files; failures of later readings are handed to failed.
-func (d dir) load(t *testing.T, failed func(error)) Source {
+// load returns a Source of the files; errors of later reloads are passed to onError.
+func (d keyFiles) load(t *testing.T, onError func(error)) Source {
 	t.Helper()
-	s, err := LoadFiles(d.ca, d.cert, d.key, failed)
+	s, err := LoadFiles(d.ca, d.cert, d.key, onError)
 	check(t, err)
 	return s
 }
 
-// A whole rotation of the authority: both are trusted, then the certificate is
-// replaced, then the old authority goes; the Source is loaded once.
+// TestRotationWithoutRestart rotates the authority with a Source that is loaded once:
+// both authorities are trusted, then the certificate is replaced, then the old
+// authority is removed.
 func TestRotationWithoutRestart(t *testing.T) {
-	d := newDir(t)
+	d := newKeyFiles(t)
 	synctest.Test(t, func(t *testing.T) {
-		before, after := newAuthorityT(t), newAuthorityT(t)
+		before, after := newAuthorityForTest(t), newAuthorityForTest(t)
 		oldPeer, newPeer := sourceOf(t, before, "entry-1"), sourceOf(t, after, "entry-1")
 		newPair := issue(t, after, "agent-1")
 		d.write(t, issue(t, before, "agent-1"), before)
 		s := d.load(t, func(err error) { t.Error(err) })
-		accepts := func(step string, client Source, want bool) {
+		checkAccepts := func(step string, client Source, want bool) {
 			t.Helper()
 			if _, _, err := handshake(s, client); (err == nil) != want {
 				t.Fatalf("%s: got %v, want accepted %v", step, err, want)
 			}
 		}
-		accepts("old authority only, old peer", oldPeer, true)
-		accepts("old authority only, new peer", newPeer, false)
+		checkAccepts("old authority only, old peer", oldPeer, true)
+		checkAccepts("old authority only, new peer", newPeer, false)
 		d.write(t, newPair, before, after)
 		time.Sleep(ReloadInterval)
 		if _, _, err := handshake(newPeer, s); err != nil {
@@ -222,15 +224,15 @@
 		}
 		d.write(t, newPair, after)
 		time.Sleep(ReloadInterval)
-		accepts("new authority only, old peer", oldPeer, false)
-		accepts("new authority only, new peer", newPeer, true)
+		checkAccepts("new authority only, old peer", oldPeer, false)
+		checkAccepts("new authority only, new peer", newPeer, true)
 	})
 }
 
-func TestHalfWrittenFilesLeaveTheOldOnesInForce(t *testing.T) {
-	d := newDir(t)
+func TestInvalidFilesKeepCurrentCertificates(t *testing.T) {
+	d := newKeyFiles(t)
 	synctest.Test(t, func(t *testing.T) {
-		a := newAuthorityT(t)
+		a := newAuthorityForTest(t)
 		peer := sourceOf(t, a, "entry-1")
 		d.write(t, issue(t, a, "agent-1"), a)
 		var failures []error
@@ -245,17 +247,17 @@
 		_, _, err = handshake(s, peer)
 		check(t, err)
 		if len(failures) != 2 || !strings.Contains(failures[1].Error(), d.ca) {
-			t.Errorf("told of %v, want one failure for each reading", failures)
+			t.Errorf("got errors %v, want one for each reload", failures)
 		}
 	})
 	if _, err := LoadFiles(d.ca, d.cert, d.key, nil); err == nil || !strings.Contains(err.Error(), d.ca) {
-		t.Fatalf("the first reading of a missing file: got %v", err)
+		t.Fatalf("first read of a missing file: got %v", err)
 	}
 }
 
-func TestKeyFileIsForItsOwnerOnly(t *testing.T) {
-	a := newAuthorityT(t)
-	d := newDir(t)
+func TestKeyFileMode(t *testing.T) {
+	a := newAuthorityForTest(t)
+	d := newKeyFiles(t)
 	d.write(t, a.Pair(), a)
 	info, err := os.Stat(d.key)
 	check(t, err)
@@ -265,6 +267,6 @@
 	got, err := ReadPair(d.cert, d.key)
 	check(t, err)
 	if string(got.KeyPEM) != string(a.Pair().KeyPEM) {
-		t.Fatal("the key was not read back")
+		t.Fatal("the key read back differs from the one written")
 	}
 }
--- a/keys/source.go
+++ b/keys/source.go
@@ -8,39 +8,40 @@
 	"github.com/gravitational/trace"
 )
 
-// ALPN is the protocol name that both sides of a connection must offer.
+// ALPN is the application protocol that both sides of a connection must offer.
 const ALPN = "mulberry/1"
 
-// Source gives the TLS settings of one process. Each handshake uses the
-// certificates of its moment, so the settings may be kept while keys change.
+// Source provides the TLS settings of one process. Each handshake uses the
+// certificates that are current at that time, so the settings stay valid when keys
+// are rotated.
 type Source interface {
-	// ServerConfig is for listeners. It requires and checks the peer's certificate.
+	// ServerConfig is for listeners. It requires and verifies the peer's certificate.
 	ServerConfig() *tls.Config
-	// ClientConfig is for dialers. It checks the peer's certificate by the
+	// ClientConfig is for dialers. It verifies the peer's certificate by the
 	// authority and its id, not by host name.
 	ClientConfig() *tls.Config
 }
 
-// material is one immutable state of a process's certificates.
-type material struct {
+// credentials holds a process's certificate and the authorities it trusts; it is immutable.
+type credentials struct {
 	cert tls.Certificate
 	pool *x509.CertPool
 }
 
-// provider returns the material in force. It must be safe for concurrent use.
-type provider func() (*material, error)
+// credentialsFunc returns the current credentials. It must be safe for concurrent use.
+type credentialsFunc func() (*credentials, error)
 
 // NewSource returns a Source with fixed certificates. caPEM may hold several
 // authorities, each of which is trusted.
 func NewSource(caPEM []byte, pair Pair) (Source, error) {
-	m, err := parseMaterial(caPEM, pair)
+	m, err := parseCredentials(caPEM, pair)
 	if err != nil {
 		return nil, err
 	}
-	return &source{current: func() (*material, error) { return m, nil }}, nil
+	return &source{current: func() (*credentials, error) { return m, nil }}, nil
 }
 
-func parseMaterial(caPEM []byte, pair Pair) (*material, error) {
+func parseCredentials(caPEM []byte, pair Pair) (*credentials, error) {
 	cert, err := tls.X509KeyPair(pair.CertPEM, pair.KeyPEM)
 	if err != nil {
 		return nil, trace.Wrap(err, "keys: read the certificate and key")
@@ -52,11 +53,11 @@
 	if !pool.AppendCertsFromPEM(caPEM) {
 		return nil, trace.BadParameter("keys: the authority file holds no certificate")
 	}
-	return &material{cert: cert, pool: pool}, nil
+	return &credentials{cert: cert, pool: pool}, nil
 }
 
 type source struct {
-	current provider
+	current credentialsFunc
 }
 
 func (s *source) ServerConfig() *tls.Config {
@@ -76,8 +77,8 @@
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{ALPN},
-		// Peers are known by id, not by host name: VerifyConnection below
-		// checks the chain that this option leaves unchecked.
+		// Peers are identified by id, not by host name: VerifyConnection below
+		// verifies the chain that this option leaves unverified.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return s.certificate()
@@ -125,7 +126,8 @@
 	return err
 }
 
-// PeerID returns the id in the certificate that the peer of a connection showed.
+// PeerID returns the process id in the certificate that the peer presented. It fails
+// if the peer presented none or the certificate names no id.
 func PeerID(state tls.ConnectionState) (string, error) {
 	if len(state.PeerCertificates) == 0 {
 		return "", trace.AccessDenied("keys: the peer showed no certificate")
