--- a/cmd/mulberryscale/model.go
+++ b/cmd/mulberryscale/model.go
@@ -49,7 +49,7 @@
 	var rows []loadmodel.Row
 	for _, pattern := range patterns {
 		for _, policy := range policies {
-			row, err := loadmodel.Measure(pattern, policy, seeds)
+			row, err := loadmodel.Simulate(pattern, policy, seeds)
 			if err != nil {
 				return &daemon.UsageError{Err: err}
 			}
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -116,8 +116,8 @@
 
 // Prober is an engine or service that can tell whether it has ended.
 type Prober interface {
-	// Ended reports whether it refuses connections: nothing listens there any more.
-	Ended(ctx context.Context) bool
+	// Exited reports whether it refuses connections: nothing listens there any more.
+	Exited(ctx context.Context) bool
 }
 
 // NotStartedError wraps an error that proves that the request did not run,
--- a/endpoint/httpendpoint/probe.go
+++ b/endpoint/httpendpoint/probe.go
@@ -13,11 +13,11 @@
 	_ endpoint.Prober = (*Service)(nil)
 )
 
-// Ended implements endpoint.Prober.
-func (e *Engine) Ended(ctx context.Context) bool { return ended(ctx, e.base) }
+// Exited implements endpoint.Prober.
+func (e *Engine) Exited(ctx context.Context) bool { return ended(ctx, e.base) }
 
-// Ended implements endpoint.Prober.
-func (s *Service) Ended(ctx context.Context) bool { return ended(ctx, s.base) }
+// Exited implements endpoint.Prober.
+func (s *Service) Exited(ctx context.Context) bool { return ended(ctx, s.base) }
 
 // ended asks the address of a base URL.
 func ended(ctx context.Context, base string) bool {
--- a/internal/benchmeter/benchmeter.go
+++ b/internal/benchmeter/benchmeter.go
@@ -17,8 +17,8 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// ProcessorTime is the user and system time that this process has used.
-func ProcessorTime(tb testing.TB) time.Duration {
+// CPUTime is the user and system time that this process has used.
+func CPUTime(tb testing.TB) time.Duration {
 	tb.Helper()
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -27,8 +27,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// Micros is the processor time since before for each of n things, in microseconds.
-func Micros(tb testing.TB, before time.Duration, n float64) float64 {
+// CPUMicrosPerOp is the processor time since before for each of n things, in microseconds.
+func CPUMicrosPerOp(tb testing.TB, before time.Duration, n float64) float64 {
 	tb.Helper()
-	return float64(ProcessorTime(tb)-before) / float64(time.Microsecond) / n
+	return float64(CPUTime(tb)-before) / float64(time.Microsecond) / n
 }
--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -102,7 +102,7 @@
 // cpuOfCalls is the processor time of this process for one call, in microseconds.
 func cpuOfCalls(b *testing.B, call func(i int) error) float64 {
 	var callers sync.WaitGroup
-	before := benchmeter.ProcessorTime(b)
+	before := benchmeter.CPUTime(b)
 	for c := range benchCallers {
 		callers.Go(func() {
 			for i := range benchRequests {
@@ -114,7 +114,7 @@
 		})
 	}
 	callers.Wait()
-	return benchmeter.Micros(b, before, benchCallers*benchRequests)
+	return benchmeter.CPUMicrosPerOp(b, before, benchCallers*benchRequests)
 }
 
 func callEntry(ctx context.Context, client *http.Client, url string, tokens, i int) error {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -85,8 +85,8 @@
 	if r.Total.Bytes != 15 || r.Total.Memory != 202 || r.Total.Reads != 2 || r.Total.Writes != 3 {
 		t.Errorf("total %+v", r.Total)
 	}
-	if !r.Verdicts[0].OK || !r.Verdicts[1].OK || r.Verdicts[2].OK {
-		t.Errorf("verdicts %v", r.Verdicts)
+	if !r.Checks[0].OK || !r.Checks[1].OK || r.Checks[2].OK {
+		t.Errorf("verdicts %v", r.Checks)
 	}
 }
 
--- a/internal/capacity/markdown.go
+++ b/internal/capacity/markdown.go
@@ -34,7 +34,7 @@
 		fmt.Fprintf(&b, "### One %s of %d: control\n\n", role.Name, role.Nodes)
 		g := roleGrid(&role)
 		g.markdown(&b)
-		verdictGrid("budget of a node", role.Verdicts).markdown(&b)
+		verdictGrid("budget of a node", role.Checks).markdown(&b)
 	}
 	b.WriteString("### The platform and the goals\n\n")
 	verdictGrid("bound", append(r.Platform, r.Goals...)).markdown(&b)
@@ -53,7 +53,7 @@
 	return g
 }
 
-func verdictGrid(head string, verdicts []Verdict) *grid {
+func verdictGrid(head string, verdicts []LimitCheck) *grid {
 	g := &grid{head: []string{head, "worked out", "bound", "verdict"}}
 	for _, v := range verdicts {
 		g.add(v.What, number(v.Value), number(v.Bound), v.String())
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -12,12 +12,12 @@
 	Nodes int    `json:"nodes"`
 	Lines []Line `json:"lines"`
 	Total Line   `json:"total"`
-	// Verdicts say for each bound of the budget whether the total keeps it.
-	Verdicts []Verdict `json:"verdicts"`
+	// Checks say for each bound of the budget whether the total keeps it.
+	Checks []LimitCheck `json:"verdicts"`
 }
 
-// Verdict compares a sum with its bound.
-type Verdict struct {
+// LimitCheck compares a sum with its bound.
+type LimitCheck struct {
 	What  string  `json:"what"`
 	Value float64 `json:"value"`
 	Bound float64 `json:"bound"`
@@ -25,15 +25,15 @@
 }
 
 // String says how the value stands to its bound.
-func (v Verdict) String() string {
+func (v LimitCheck) String() string {
 	if v.OK {
 		return fmt.Sprintf("OK, %.0f%% of it", 100*v.Value/v.Bound)
 	}
 	return fmt.Sprintf("EXCEEDS by %.0f%%", 100*(v.Value/v.Bound-1))
 }
 
-func verdict(what string, value, bound float64) Verdict {
-	return Verdict{What: what, Value: value, Bound: bound, OK: value <= bound}
+func verdict(what string, value, bound float64) LimitCheck {
+	return LimitCheck{What: what, Value: value, Bound: bound, OK: value <= bound}
 }
 
 // Figure is one figure of the data path or of the platform, with its explanation.
@@ -46,13 +46,13 @@
 
 // Report is all that the program works out.
 type Report struct {
-	Design   Design    `json:"design"`
-	Budget   Budget    `json:"budget"`
-	Roles    []Role    `json:"roles"`
-	Platform []Verdict `json:"platform"`
-	Goals    []Verdict `json:"goals"`
-	Data     []Figure  `json:"data_path"`
-	Slopes   []*Slope  `json:"slopes"`
+	Design   Design       `json:"design"`
+	Budget   Budget       `json:"budget"`
+	Roles    []Role       `json:"roles"`
+	Platform []LimitCheck `json:"platform"`
+	Goals    []LimitCheck `json:"goals"`
+	Data     []Figure     `json:"data_path"`
+	Slopes   []*Slope     `json:"slopes"`
 }
 
 // Compute works the costs of a size out of the measured slopes.
@@ -66,12 +66,12 @@
 	writes := entry.Total.Writes*float64(d.Entries) + agent.Total.Writes*float64(d.Agents)
 	return &Report{
 		Design: d, Budget: b, Roles: []Role{entry, agent}, Slopes: s.All(), Data: m.dataPath(),
-		Platform: []Verdict{
+		Platform: []LimitCheck{
 			verdict("table service, reads a second", reads, p.Reads),
 			verdict("table service, writes a second", writes, p.Writes),
 			verdict("table service, reads a second while all engines swap, for engines that check no fencing number", reads+float64(d.Agents)/d.SwapTime.Seconds(), p.Reads),
 		},
-		Goals: []Verdict{
+		Goals: []LimitCheck{
 			verdict("bytes a second of the entry that watches most agents", most.Total.Bytes, b.Bytes),
 			verdict("share of a core of the entry that watches most agents", most.Total.CPU, b.CPU),
 			verdict("seconds until a table version is in force everywhere", s.at("spread_time", float64(d.Entries)), d.TableTime.Seconds()),
@@ -95,7 +95,7 @@
 	headroom := Line{What: "collector's headroom", Mechanism: "as much again as what lives (GOGC=100)", Memory: total.Memory}
 	lines = append(lines, headroom)
 	total.Memory += headroom.Memory
-	return Role{Name: name, Nodes: nodes, Lines: lines, Total: total, Verdicts: []Verdict{
+	return Role{Name: name, Nodes: nodes, Lines: lines, Total: total, Checks: []LimitCheck{
 		verdict("bytes a second", total.Bytes, b.Bytes),
 		verdict("share of a core", total.CPU, b.CPU),
 		verdict("bytes of memory", total.Memory, b.Memory),
--- a/internal/capacity/text.go
+++ b/internal/capacity/text.go
@@ -13,7 +13,7 @@
 	for _, role := range r.Roles {
 		fmt.Fprintf(w, "ONE %s OF %d\n", strings.ToUpper(role.Name), role.Nodes)
 		roleGrid(&role).text(w)
-		verdictGrid("budget of a node", role.Verdicts).text(w)
+		verdictGrid("budget of a node", role.Checks).text(w)
 	}
 	verdictGrid("bound", append(r.Platform, r.Goals...)).text(w)
 	dataGrid(r.Data).text(w)
--- a/internal/loadmodel/experiment.go
+++ b/internal/loadmodel/experiment.go
@@ -43,8 +43,8 @@
 	Work, Jain Figure
 }
 
-// Measure plays a pattern under a policy with so many seeds.
-func Measure(pattern, policy string, seeds int) (Row, error) {
+// Simulate plays a pattern under a policy with so many seeds.
+func Simulate(pattern, policy string, seeds int) (Row, error) {
 	p, known := Patterns()[pattern]
 	if !known {
 		return Row{}, fmt.Errorf("no pattern %q, there are %v", pattern, Names(Patterns()))
@@ -55,7 +55,7 @@
 	}
 	var p99, alone, late, background50, background99, work, jain []float64
 	for seed := range uint64(seeds) {
-		r, a := Run(p, bound, seed+1), Run(Alone(p), bound, seed+1)
+		r, a := Run(p, bound, seed+1), Run(WithoutBackground(p), bound, seed+1)
 		p99 = append(p99, ms(r.Interactive.Quantile(0.99)))
 		alone = append(alone, ms(a.Interactive.Quantile(0.99)))
 		late = append(late, r.Interactive.Over(lateAfter))
--- a/internal/loadmodel/model.go
+++ b/internal/loadmodel/model.go
@@ -17,13 +17,13 @@
 	"mulberryscale.example/picker"
 )
 
-// Work is how long requests work, without waiting: lognormal, with a few that
+// ServiceTime is how long requests work, without waiting: lognormal, with a few that
 // take several times as long.
-type Work struct {
-	Mean   time.Duration
-	Spread float64 // of the logarithm
-	Tail   float64 // share of the long ones
-	TailX  float64 // how many times as long
+type ServiceTime struct {
+	Mean       time.Duration
+	Sigma      float64 // of the logarithm
+	TailShare  float64 // share of the long ones
+	TailFactor float64 // how many times as long
 }
 
 // Traffic is requests of one kind.
@@ -34,30 +34,30 @@
 	PerSecond float64
 	// Burst is a number of requests that become due within Over of each other,
 	// each Every; 0 is none. Senders share them unevenly, by chance.
-	Burst       int
-	Every, Over time.Duration
-	// Active is how many of the senders share a burst; 0 is all.
-	Active int
-	Work   Work
+	Burst                      int
+	BurstInterval, BurstSpread time.Duration
+	// ActiveSenders is how many of the senders share a burst; 0 is all.
+	ActiveSenders int
+	ServiceTime   ServiceTime
 }
 
 // Pattern is a load: a service, interactive requests and background calls.
 type Pattern struct {
 	Name      string
 	Endpoints int
-	Places    int // of each endpoint
-	// Slow is how many of the endpoints work SlowX times as long.
-	Slow        int
-	SlowX       float64
-	Interactive Traffic
-	Background  Traffic
-	// Hop is the time that a message is under way.
-	Hop    time.Duration
-	Length time.Duration
+	Slots     int // of each endpoint
+	// SlowEndpoints is how many of the endpoints work SlowX times as long.
+	SlowEndpoints int
+	SlowFactor    float64
+	Interactive   Traffic
+	Background    Traffic
+	// NetworkDelay is the time that a message is under way.
+	NetworkDelay time.Duration
+	Length       time.Duration
 }
 
-// Bound limits a sender's open background calls.
-type Bound interface {
+// Limiter limits a sender's open background calls.
+type Limiter interface {
 	// Size is how many may be open while so many are.
 	Size(open int, now time.Time) int
 	// ObserveLoad takes the load that came with an answer.
@@ -86,7 +86,7 @@
 
 type sender struct {
 	picker *picker.Picker
-	bound  Bound // nil for interactive senders
+	bound  Limiter // nil for interactive senders
 	queue  []*request
 	open   int
 	index  int
@@ -139,15 +139,15 @@
 func (d *day) clock() time.Time { return epoch.Add(d.now) }
 
 // Run plays a pattern with a seed; bound makes the limit of each background sender.
-func Run(p Pattern, bound func(Pattern) Bound, seed uint64) Result {
+func Run(p Pattern, bound func(Pattern) Limiter, seed uint64) Result {
 	d := &day{pattern: p, random: rand.New(rand.NewPCG(seed, 1))}
 	for i := range p.Endpoints {
 		slow := 1.0
-		if i < p.Slow {
-			slow = p.SlowX
+		if i < p.SlowEndpoints {
+			slow = p.SlowFactor
 		}
 		d.endpoints = append(d.endpoints, &endpoint{slow: slow, instance: fleet.Instance{
-			ID: fmt.Sprint("e", i), Addr: fmt.Sprintf("10.0.0.%d:80", i+1), Slots: p.Places,
+			ID: fmt.Sprint("e", i), Addr: fmt.Sprintf("10.0.0.%d:80", i+1), Slots: p.Slots,
 		}})
 	}
 	d.result.Finished = make([]float64, p.Background.Senders)
@@ -172,7 +172,7 @@
 }
 
 // arrivals makes the senders of one kind of traffic and its requests.
-func (d *day) arrivals(t Traffic, interactive bool, bound func(Pattern) Bound) {
+func (d *day) arrivals(t Traffic, interactive bool, bound func(Pattern) Limiter) {
 	var senders []*sender
 	for i := range t.Senders {
 		s := &sender{picker: picker.New(), index: i}
@@ -182,7 +182,7 @@
 		senders = append(senders, s)
 	}
 	arrive := func(at time.Duration, from []*sender) {
-		r := &request{due: at, work: d.work(t.Work), interactive: interactive, sender: from[d.random.IntN(len(from))]}
+		r := &request{due: at, work: d.work(t.ServiceTime), interactive: interactive, sender: from[d.random.IntN(len(from))]}
 		d.after(at, func() { d.enter(r) })
 	}
 	if t.PerSecond > 0 {
@@ -191,23 +191,23 @@
 			arrive(at, senders)
 		}
 	}
-	for at := time.Duration(0); t.Burst > 0 && at < d.pattern.Length; at += t.Every {
+	for at := time.Duration(0); t.Burst > 0 && at < d.pattern.Length; at += t.BurstInterval {
 		active := senders
-		if t.Active > 0 {
-			from := d.random.IntN(len(senders) - t.Active + 1)
-			active = senders[from : from+t.Active]
+		if t.ActiveSenders > 0 {
+			from := d.random.IntN(len(senders) - t.ActiveSenders + 1)
+			active = senders[from : from+t.ActiveSenders]
 		}
 		for range t.Burst {
-			arrive(at+time.Duration(d.random.Float64()*float64(t.Over)), active)
+			arrive(at+time.Duration(d.random.Float64()*float64(t.BurstSpread)), active)
 		}
 	}
 }
 
-func (d *day) work(w Work) time.Duration {
-	mu := math.Log(w.Mean.Seconds()) - w.Spread*w.Spread/2
-	work := distuv.LogNormal{Mu: mu, Sigma: w.Spread, Src: d.random}.Rand()
-	if d.random.Float64() < w.Tail {
-		work *= w.TailX
+func (d *day) work(w ServiceTime) time.Duration {
+	mu := math.Log(w.Mean.Seconds()) - w.Sigma*w.Sigma/2
+	work := distuv.LogNormal{Mu: mu, Sigma: w.Sigma, Src: d.random}.Rand()
+	if d.random.Float64() < w.TailShare {
+		work *= w.TailFactor
 	}
 	return seconds(work)
 }
@@ -234,7 +234,7 @@
 		s.picker.Begin(to.Incarnation(), false)
 		for _, e := range d.endpoints {
 			if e.instance.ID == to.ID {
-				d.after(d.pattern.Hop, func() { d.admit(e, r) })
+				d.after(d.pattern.NetworkDelay, func() { d.admit(e, r) })
 			}
 		}
 	}
@@ -242,7 +242,7 @@
 
 // admit lets a request run, or wait behind those that came before it.
 func (d *day) admit(e *endpoint, r *request) {
-	if e.running == d.pattern.Places {
+	if e.running == d.pattern.Slots {
 		e.queue = append(e.queue, r)
 		return
 	}
@@ -252,7 +252,7 @@
 }
 
 func (d *day) finish(e *endpoint, r *request) {
-	load := fleet.Load{Running: e.running - 1, Waiting: len(e.queue), Slots: d.pattern.Places}
+	load := fleet.Load{Running: e.running - 1, Waiting: len(e.queue), Slots: d.pattern.Slots}
 	e.running--
 	if len(e.queue) > 0 {
 		next := e.queue[0]
@@ -260,7 +260,7 @@
 		d.admit(e, next)
 	}
 	d.result.Work += r.work.Seconds()
-	d.after(d.pattern.Hop, func() { d.answered(e, r, load) })
+	d.after(d.pattern.NetworkDelay, func() { d.answered(e, r, load) })
 }
 
 // answered is the arrival of an answer at the sender.
--- a/internal/loadmodel/model_test.go
+++ b/internal/loadmodel/model_test.go
@@ -14,7 +14,7 @@
 
 func measure(t *testing.T, pattern, policy string) Row {
 	t.Helper()
-	row, err := Measure(pattern, policy, seeds)
+	row, err := Simulate(pattern, policy, seeds)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 func TestSaturation(t *testing.T) {
 	p := saturated()
 	r := measure(t, p.Name, "window")
-	places := float64(p.Endpoints * p.Places)
+	places := float64(p.Endpoints * p.Slots)
 	if r.Work.Mean < 0.7*places {
 		t.Errorf("%.1f of %.0f places busy", r.Work.Mean, places)
 	}
@@ -103,7 +103,7 @@
 	if err := Plot(rows, t.TempDir()+"/p.png"); err != nil {
 		t.Error(err)
 	}
-	if _, err := Measure("nowhere", "one", 1); err == nil {
+	if _, err := Simulate("nowhere", "one", 1); err == nil {
 		t.Error("an unknown pattern was measured")
 	}
 }
--- a/internal/loadmodel/patterns.go
+++ b/internal/loadmodel/patterns.go
@@ -14,11 +14,11 @@
 // each scored by a call of 200 ms, beside lookups of 25 ms.
 func shortDesk() Pattern {
 	return Pattern{
-		Name: "short-desk", Endpoints: 4, Places: 6, Hop: time.Millisecond, Length: 60 * time.Second,
-		Interactive: Traffic{Senders: 8, PerSecond: 6, Work: Work{Mean: 25 * time.Millisecond, Spread: 0.5, Tail: 0.01, TailX: 5}},
+		Name: "short-desk", Endpoints: 4, Slots: 6, NetworkDelay: time.Millisecond, Length: 60 * time.Second,
+		Interactive: Traffic{Senders: 8, PerSecond: 6, ServiceTime: ServiceTime{Mean: 25 * time.Millisecond, Sigma: 0.5, TailShare: 0.01, TailFactor: 5}},
 		Background: Traffic{
-			Senders: 9, Burst: 112, Every: 4 * time.Second, Over: 400 * time.Millisecond,
-			Work: Work{Mean: 200 * time.Millisecond, Spread: 0.5, Tail: 0.01, TailX: 5},
+			Senders: 9, Burst: 112, BurstInterval: 4 * time.Second, BurstSpread: 400 * time.Millisecond,
+			ServiceTime: ServiceTime{Mean: 200 * time.Millisecond, Sigma: 0.5, TailShare: 0.01, TailFactor: 5},
 		},
 	}
 }
@@ -37,7 +37,7 @@
 func fewSenders() Pattern {
 	p := manySenders()
 	p.Name = "few-senders"
-	p.Background.Burst, p.Background.Every, p.Background.Active = 104, time.Second, 4
+	p.Background.Burst, p.Background.BurstInterval, p.Background.ActiveSenders = 104, time.Second, 4
 	return p
 }
 
@@ -45,14 +45,14 @@
 func saturated() Pattern {
 	p := shortDesk()
 	p.Name = "saturated"
-	p.Background.Burst, p.Background.Every, p.Background.Over = 1440, 4*time.Second, 4*time.Second
+	p.Background.Burst, p.Background.BurstInterval, p.Background.BurstSpread = 1440, 4*time.Second, 4*time.Second
 	return p
 }
 
 // slowEndpoint is the short desk with one endpoint five times as slow.
 func slowEndpoint() Pattern {
 	p := shortDesk()
-	p.Name, p.Slow, p.SlowX = "slow-endpoint", 1, 5
+	p.Name, p.SlowEndpoints, p.SlowFactor = "slow-endpoint", 1, 5
 	return p
 }
 
@@ -65,20 +65,20 @@
 	return all
 }
 
-// Alone is a pattern's interactive traffic without its background calls.
-func Alone(p Pattern) Pattern {
+// WithoutBackground is a pattern's interactive traffic without its background calls.
+func WithoutBackground(p Pattern) Pattern {
 	p.Background.Burst, p.Background.PerSecond = 0, 0
 	return p
 }
 
 // Policies are the bounds on a sender's open background calls, by name.
-func Policies() map[string]func(Pattern) Bound {
-	return map[string]func(Pattern) Bound{
-		"none": func(Pattern) Bound { return fixed(1 << 20) },
-		"one":  func(Pattern) Bound { return fixed(1) },
-		"two":  func(Pattern) Bound { return fixed(2) },
-		"window": func(p Pattern) Bound {
-			return &window{share: background.ServiceCapacity{Slots: p.Endpoints * p.Places, Senders: p.Background.Senders}}
+func Policies() map[string]func(Pattern) Limiter {
+	return map[string]func(Pattern) Limiter{
+		"none": func(Pattern) Limiter { return fixed(1 << 20) },
+		"one":  func(Pattern) Limiter { return fixed(1) },
+		"two":  func(Pattern) Limiter { return fixed(2) },
+		"window": func(p Pattern) Limiter {
+			return &window{share: background.ServiceCapacity{Slots: p.Endpoints * p.Slots, Senders: p.Background.Senders}}
 		},
 	}
 }
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -59,8 +59,8 @@
 	e.faults.endsUnder[prompt] = down
 }
 
-// Ended implements endpoint.Prober.
-func (e *Engine) Ended(context.Context) bool {
+// Exited implements endpoint.Prober.
+func (e *Engine) Exited(context.Context) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults.refuse
--- a/membership/watcher_bench_test.go
+++ b/membership/watcher_bench_test.go
@@ -97,10 +97,10 @@
 	running.Go(func() { w.Run(ctx) })
 	time.Sleep(time.Second)
 	b.ReportMetric(float64(benchmeter.MemoryInUse()-before)/float64(n), "B/watch")
-	cpu := benchmeter.ProcessorTime(b)
+	cpu := benchmeter.CPUTime(b)
 	time.Sleep(benchWatchTime)
 	reports := float64(n) * benchWatchTime.Seconds() / benchReportInterval.Seconds()
-	b.ReportMetric(benchmeter.Micros(b, cpu, reports), "cpu-us/report")
+	b.ReportMetric(benchmeter.CPUMicrosPerOp(b, cpu, reports), "cpu-us/report")
 	for _, a := range cfg.View.Snapshot().Agents {
 		if a.State != StateLive {
 			b.Errorf("%s is %s", a.ID, a.State)
--- a/service/agent/endpointrun.go
+++ b/service/agent/endpointrun.go
@@ -127,7 +127,7 @@
 		client = a.cfg.Engine
 	}
 	prober, ok := client.(endpoint.Prober)
-	return ok && prober.Ended(ctx)
+	return ok && prober.Exited(ctx)
 }
 
 func (a *Agent) failureRefusal(j *job, err error, notRun api.NotRun) *api.Refusal {
--- a/transport/memtransport/end.go
+++ b/transport/memtransport/end.go
@@ -266,7 +266,7 @@
 	if !e.beginFinish() {
 		return
 	}
-	timer := time.AfterFunc(LingerTimeout, e.endFinish)
+	timer := time.AfterFunc(PeerCloseTimeout, e.endFinish)
 	defer timer.Stop()
 	for {
 		if _, err := e.dequeue(); err != nil {
--- a/transport/memtransport/network.go
+++ b/transport/memtransport/network.go
@@ -20,9 +20,9 @@
 const (
 	DefaultHandshakeTimeout = time.Second
 	DefaultIdleTimeout      = 3 * time.Second
-	// LingerTimeout is how long a stream whose handler has returned waits
+	// PeerCloseTimeout is how long a stream whose handler has returned waits
 	// for its peer to end it too.
-	LingerTimeout = time.Second
+	PeerCloseTimeout = time.Second
 )
 
 // firstPort is the first of the ports given to listeners that ask for port 0.
--- a/transport/quictransport/doc.go
+++ b/transport/quictransport/doc.go
@@ -11,7 +11,7 @@
 //
 // A connection that is closed takes with it what its peer has not read yet. So
 // a stream whose handler has returned counts as served when its opener has
-// ended it too, by Close or CloseSend, at the latest after LingerTimeout. Those
+// ended it too, by Close or CloseSend, at the latest after PeerCloseTimeout. Those
 // who open streams should therefore Close them once they have read all, and
 // CloseSend before that only where the last answer may be lost in a stop.
 package quictransport
@@ -30,9 +30,9 @@
 	IdleTimeout = 3 * time.Second
 	// KeepAlive is how often a dialer shows that it lives.
 	KeepAlive = time.Second
-	// LingerTimeout is how long a stream whose handler has returned waits
+	// PeerCloseTimeout is how long a stream whose handler has returned waits
 	// for its opener to end it too.
-	LingerTimeout = time.Second
+	PeerCloseTimeout = time.Second
 	// FlushGrace is how long Close leaves the messages of the handlers that
 	// returned last to reach their peers.
 	FlushGrace = 200 * time.Millisecond
--- a/transport/quictransport/idle_bench_test.go
+++ b/transport/quictransport/idle_bench_test.go
@@ -34,10 +34,10 @@
 		benchOpen(ctx, b, d, addr)
 	}
 	time.Sleep(8 * time.Second) // path MTU discovery is over
-	sent, cpu := d.bytes(), benchmeter.ProcessorTime(b)
+	sent, cpu := d.bytes(), benchmeter.CPUTime(b)
 	time.Sleep(watched)
 	b.ReportMetric(float64(d.bytes()-sent)/watched.Seconds(), "B/s")
-	b.ReportMetric(benchmeter.Micros(b, cpu, watched.Seconds()), "cpu-us/s")
+	b.ReportMetric(benchmeter.CPUMicrosPerOp(b, cpu, watched.Seconds()), "cpu-us/s")
 }
 
 // BenchmarkHandshake is one new connection with one exchange, both ends.
@@ -52,7 +52,7 @@
 		b.Fatal(err)
 	}
 	var sent uint64
-	cpu := benchmeter.ProcessorTime(b)
+	cpu := benchmeter.CPUTime(b)
 	for b.Loop() {
 		d := NewDialer(source).(*dialer)
 		benchOpen(ctx, b, d, addr)
@@ -60,7 +60,7 @@
 		d.Close()
 	}
 	b.ReportMetric(float64(sent)/float64(b.N), "B/handshake")
-	b.ReportMetric(benchmeter.Micros(b, cpu, float64(b.N)), "cpu-us/handshake")
+	b.ReportMetric(benchmeter.CPUMicrosPerOp(b, cpu, float64(b.N)), "cpu-us/handshake")
 }
 
 func benchDialer(b *testing.B) (*keys.Authority, *dialer) {
--- a/transport/quictransport/quictransport_test.go
+++ b/transport/quictransport/quictransport_test.go
@@ -324,7 +324,7 @@
 	check(t, s.Send(ping{1}))
 	<-sent
 	stop()
-	time.Sleep(LingerTimeout/2 + FlushGrace)
+	time.Sleep(PeerCloseTimeout/2 + FlushGrace)
 	var m ping
 	if err := s.Recv(&m); err != nil || m.N != 7 {
 		t.Fatalf("got %d, %v", m.N, err)
--- a/transport/quictransport/stream.go
+++ b/transport/quictransport/stream.go
@@ -113,7 +113,7 @@
 		s.qs.CancelWrite(streamGivenUp) // gives the stream's place back to the peer
 	}
 	s.cancel(errClosed)
-	s.setReadDeadline(time.Now().Add(LingerTimeout), true)
+	s.setReadDeadline(time.Now().Add(PeerCloseTimeout), true)
 	_, _ = io.Copy(io.Discard, s.qs) // any error ends the wait
 	s.qs.CancelRead(streamDone)
 }
--- a/transport/quictransport/watch_bench_test.go
+++ b/transport/quictransport/watch_bench_test.go
@@ -52,11 +52,11 @@
 	}
 	time.Sleep(2 * time.Second) // path MTU discovery is over
 	b.ReportMetric(float64(benchmeter.MemoryInUse()-memory)/float64(n), "B/connection")
-	sent, cpu := d.bytes(), benchmeter.ProcessorTime(b)
+	sent, cpu := d.bytes(), benchmeter.CPUTime(b)
 	time.Sleep(reportTime)
 	reports := float64(n) * reportTime.Seconds() / reportInterval.Seconds()
 	b.ReportMetric(float64(d.bytes()-sent)/reports, "B/report")
-	b.ReportMetric(benchmeter.Micros(b, cpu, reports), "cpu-us/report")
+	b.ReportMetric(benchmeter.CPUMicrosPerOp(b, cpu, reports), "cpu-us/report")
 }
 
 func drain(s transport.Stream) {
