--- a/cmd/mulberryscale/demo.go
+++ b/cmd/mulberryscale/demo.go
@@ -52,7 +52,7 @@
 	}
 	fmt.Print(result.Table())
 	fmt.Println(string(line))
-	if !result.Kept() {
+	if !result.Passed() {
 		return errBroken
 	}
 	return nil
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -144,7 +144,7 @@
 	records := s.f.engineRecords()
 	for i := range s.requests {
 		req := &s.requests[i]
-		if err := records.CheckScored(req, s.got[req.ID], 1); err != nil {
+		if err := records.CheckScoredSample(req, s.got[req.ID], 1); err != nil {
 			t.Errorf("sample %s: %v", req.ID, err)
 		}
 	}
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -28,7 +28,7 @@
 		{"two choices", `{"choices":[{"text":"a"},{"text":"b"}]}`, false, http.StatusOK, "", "2 choices"},
 		{"cut whole", `{"choices":[{"te`, false, http.StatusOK, "", "unexpected end"},
 		{"stream", part + part + "data: [DONE]\n\n", true, http.StatusOK, "aa", ""},
-		{"cut stream", part + part, true, http.StatusOK, "", ErrCut.Error()},
+		{"cut stream", part + part, true, http.StatusOK, "", ErrTruncated.Error()},
 		{"failed stream", part + "event: error\ndata: " + refusal + "\n\n", true, http.StatusOK, "", "draining"},
 		{"refused", refusal, true, http.StatusServiceUnavailable, "", "draining"},
 		{"other status", "busy", false, http.StatusServiceUnavailable, "", "status 503 without a refusal"},
--- a/internal/caller/completion.go
+++ b/internal/caller/completion.go
@@ -13,8 +13,8 @@
 	"mulberryscale.example/api"
 )
 
-// ErrCut says that a stream ended without its closing event.
-var ErrCut = errors.New("the answer was cut off")
+// ErrTruncated says that a stream ended without its closing event.
+var ErrTruncated = errors.New("the answer was cut off")
 
 const (
 	streamEnd  = "[DONE]" // data of a completion's closing event
@@ -23,7 +23,7 @@
 
 // Complete makes a completion, streamed or not, at the entry with a base URL.
 // Its answer has one choice. The error is a *Refused, the *api.Refusal that
-// ended a stream, ErrCut, or that of the connection.
+// ended a stream, ErrTruncated, or that of the connection.
 func Complete(ctx context.Context, client *http.Client, entry string, req *api.CompletionRequest, header http.Header) (*api.Completion, error) {
 	text, err := json.Marshal(req)
 	if err != nil {
@@ -76,7 +76,7 @@
 		whole = part
 		whole.Choices[0].Text = text
 	}
-	return nil, ErrCut
+	return nil, ErrTruncated
 }
 
 // streamError reads the event that ends a failed stream.
--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -81,7 +81,7 @@
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: benchCallers}}
 	defer client.CloseIdleConnections()
 	through := cpuOfCalls(b, func(i int) error { return callEntry(b.Context(), client, url, tokens, i) })
-	base, stop, err := fabric.Serve("direct", d.Agents[0].Core.Handler())
+	base, stop, err := fabric.Serve("direct", d.Agents[0].StandIn.Handler())
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -96,8 +96,8 @@
 	TrainerIdleRatio   float64 `json:"trainer_idle_ratio"`
 }
 
-// Kept says whether every promise was kept.
-func (r *Result) Kept() bool {
+// Passed says whether every promise was kept.
+func (r *Result) Passed() bool {
 	broken := r.SamplesLost + r.SamplesDuplicated + r.SamplesMislabelled + r.SamplesStale + r.LookupsFailed
 	return broken == 0 && r.SamplesDelivered == r.SamplesRequested
 }
@@ -128,7 +128,7 @@
 		Fabric: fabric, Table: tableText, Log: observe.Discard(), Seed: uint64(o.Seed),
 		Entries: []deployment.EntrySpec{{Zone: "patan", ID: "entry-1"}, {Zone: "bhaktapur", ID: "entry-2"}},
 		Services: []deployment.ServiceSpec{{
-			Zone: "patan", ID: "scorer-1", Rows: []string{"guide-scorer"}, Core: scorer.New(plain.Options{}),
+			Zone: "patan", ID: "scorer-1", Rows: []string{"guide-scorer"}, StandIn: scorer.New(plain.Options{}),
 		}},
 		Agent: func(c *agent.Config) { c.TargetInterval = swapTime },
 	}
@@ -255,8 +255,8 @@
 func (r *run) count() {
 	var cores []*engine.Engine
 	for _, a := range r.d.Agents {
-		if a.Core != nil {
-			cores = append(cores, a.Core)
+		if a.StandIn != nil {
+			cores = append(cores, a.StandIn)
 		}
 	}
 	records := oracle.Collect(cores...)
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -28,10 +28,10 @@
 
 // ServiceSpec is a plain service and the agent beside it.
 type ServiceSpec struct {
-	Zone string
-	ID   string
-	Rows []string
-	Core *plain.Service
+	Zone    string
+	ID      string
+	Rows    []string
+	StandIn *plain.Service
 }
 
 // EntrySpec is an entry instance.
@@ -48,8 +48,8 @@
 	Entries  []EntrySpec
 	// Table is the table's text in CSV; empty leaves the table service without one.
 	Table string
-	// Linger is how long agents keep runs whose entry is gone.
-	Linger time.Duration
+	// Retention is how long agents keep runs whose entry is gone.
+	Retention time.Duration
 	// Agent changes the settings of each agent; it may be nil.
 	Agent func(*agent.Config)
 	// Entry changes the settings of each entry; it may be nil.
--- a/internal/deployment/nodes.go
+++ b/internal/deployment/nodes.go
@@ -58,8 +58,8 @@
 	engineSpec  *EngineSpec
 	serviceSpec *ServiceSpec
 	ID          string
-	// Core is the engine beside the agent; nil for plain services.
-	Core     *engine.Engine
+	// StandIn is the engine beside the agent; nil for plain services.
+	StandIn  *engine.Engine
 	engine   endpoint.Engine
 	service  endpoint.Service
 	Counters *observe.Counters
@@ -76,11 +76,11 @@
 // makeEndpoint starts the stand-in beside the agent; it outlives the agent.
 func (a *Agent) makeEndpoint() (err error) {
 	if a.serviceSpec != nil {
-		a.service, err = a.d.opts.Fabric.Service(a.serviceSpec.Core)
+		a.service, err = a.d.opts.Fabric.Service(a.serviceSpec.StandIn)
 		return trace.Wrap(err)
 	}
-	a.Core = engine.New(a.engineSpec.Options)
-	a.engine, err = a.d.opts.Fabric.Engine(a.Core)
+	a.StandIn = engine.New(a.engineSpec.Options)
+	a.engine, err = a.d.opts.Fabric.Engine(a.StandIn)
 	return trace.Wrap(err)
 }
 
@@ -170,7 +170,7 @@
 	cfg := entry.Config{
 		ID: e.ID, Zone: e.Zone, Listener: e.listener, Dialer: e.dialer, Holder: tablesync.NewHolder(),
 		Instances: e.d.Instances, Table: e.d.Table, Counters: e.Counters, Log: e.d.opts.Log,
-		Retention: e.d.opts.Linger, Seed: e.d.opts.Seed,
+		Retention: e.d.opts.Retention, Seed: e.d.opts.Seed,
 	}
 	if e.d.opts.Entry != nil {
 		e.d.opts.Entry(&cfg)
--- a/internal/experiment/rig.go
+++ b/internal/experiment/rig.go
@@ -96,7 +96,7 @@
 func (r *rig) generated() int {
 	n := 0
 	for _, a := range r.d.Agents {
-		for _, rec := range a.Core.Records() {
+		for _, rec := range a.StandIn.Records() {
 			for _, s := range rec.Spans {
 				n += s.Tokens
 			}
--- a/internal/experiment/shares.go
+++ b/internal/experiment/shares.go
@@ -59,7 +59,7 @@
 func (r *rig) tokensByRow() map[string]int {
 	tokens := map[string]int{}
 	for _, a := range r.d.Agents {
-		for _, rec := range a.Core.Records() {
+		for _, rec := range a.StandIn.Records() {
 			for _, t := range r.w.Trainers {
 				if !strings.Contains(rec.Prompt, t.Row+" ") {
 					continue
--- a/internal/experiment/steps.go
+++ b/internal/experiment/steps.go
@@ -92,11 +92,11 @@
 	victim := r.d.Agents[0]
 	switch f {
 	case FailEngine:
-		victim.Core.Crash()
-		victim.Core.RefuseConnections(true)
+		victim.StandIn.Crash()
+		victim.StandIn.RefuseConnections(true)
 		victim.Kill()
 	case FailSlow:
-		victim.Core.SlowBy(slowFactor)
+		victim.StandIn.SlowBy(slowFactor)
 	}
 }
 
--- a/internal/httponce/httponce.go
+++ b/internal/httponce/httponce.go
@@ -45,10 +45,10 @@
 
 // New makes a client that follows no redirects and uses no proxy. Its calls
 // end with their contexts only.
-func New() *Client { return NewIdle(idleTimeout) }
+func New() *Client { return NewWithIdleTimeout(idleTimeout) }
 
-// NewIdle is New with connections that are kept idle for up to idle.
-func NewIdle(idle time.Duration) *Client {
+// NewWithIdleTimeout is New with connections that are kept idle for up to idle.
+func NewWithIdleTimeout(idle time.Duration) *Client {
 	dialer := &net.Dialer{
 		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
--- a/internal/oracle/oracle.go
+++ b/internal/oracle/oracle.go
@@ -13,9 +13,9 @@
 	"mulberryscale.example/internal/standin/scorer"
 )
 
-// Text is the only whole text for a prompt and seed whose tokens were produced
+// ExpectedText is the only whole text for a prompt and seed whose tokens were produced
 // by the versions of spans, in order.
-func Text(prompt string, seed int64, spans []api.VersionSpan) string {
+func ExpectedText(prompt string, seed int64, spans []api.VersionSpan) string {
 	var b strings.Builder
 	i := 0
 	for _, s := range spans {
@@ -37,7 +37,7 @@
 	if want := engine.LengthOf(prompt, seed, maxTokens); tokens != want {
 		return fmt.Errorf("has %d tokens, the whole answer %d", tokens, want)
 	}
-	if text != Text(prompt, seed, spans) {
+	if text != ExpectedText(prompt, seed, spans) {
 		return fmt.Errorf("the text is not that of the versions named: %v", spans)
 	}
 	return nil
@@ -79,10 +79,10 @@
 	Version uint64 // the trainer's own at that time
 }
 
-// CheckScored says what is wrong with what a scored trainer took in for one
+// CheckScoredSample says what is wrong with what a scored trainer took in for one
 // request: not exactly one sample, or one with a wrong text, label or score or
 // older than bound; nil means nothing.
-func (r Records) CheckScored(req *api.SampleRequest, got []Delivery, bound uint64) error {
+func (r Records) CheckScoredSample(req *api.SampleRequest, got []Delivery, bound uint64) error {
 	if len(got) != 1 {
 		return fmt.Errorf("delivered %d times", len(got))
 	}
--- a/internal/swapexperiment/run.go
+++ b/internal/swapexperiment/run.go
@@ -107,7 +107,7 @@
 func (x *experiment) start(ctx context.Context) (err error) {
 	list := &lateList{}
 	opts := deployment.Options{
-		Fabric: x.fabric, Table: x.o.tableText(), Log: observe.Discard(), Seed: x.o.Seed, Linger: time.Minute,
+		Fabric: x.fabric, Table: x.o.tableText(), Log: observe.Discard(), Seed: x.o.Seed, Retention: time.Minute,
 		Agent: func(c *agent.Config) {
 			c.Instances, c.Weights = list, c.Targets.(platform.WeightStore)
 			c.SwapWindow = x.o.Window
--- a/proof/control_test.go
+++ b/proof/control_test.go
@@ -125,7 +125,7 @@
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	opts := deployment.Options{
 		Fabric: w.fabric, Table: fmt.Sprintf(controlTable, swap), Log: observe.Discard(), Seed: 7,
-		Linger: 30 * time.Second, Agent: w.configure,
+		Retention: 30 * time.Second, Agent: w.configure,
 	}
 	for i := range 2 {
 		opts.Entries = append(opts.Entries, deployment.EntrySpec{Zone: controlZone(i), ID: fmt.Sprint("entry-", i+1)})
--- a/proof/trainers_test.go
+++ b/proof/trainers_test.go
@@ -82,7 +82,7 @@
 			return refusal
 		}
 	}
-	return caller.ErrCut
+	return caller.ErrTruncated
 }
 
 func (w *world) startTrainer(row string) {
@@ -171,7 +171,7 @@
 		if t.refused[id] && len(got) == 0 {
 			continue
 		}
-		if err := records.CheckScored(&req, got, staleBound); err != nil {
+		if err := records.CheckScoredSample(&req, got, staleBound); err != nil {
 			t.w.breach("sample %s of %s: %v", id, t.row, err)
 		}
 	}
--- a/proof/world_test.go
+++ b/proof/world_test.go
@@ -78,7 +78,7 @@
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	zones := []string{"patan", "bhaktapur"}
 	opts := deployment.Options{
-		Fabric: w.fabric, Table: tableText, Log: observe.Discard(), Seed: 7, Linger: linger, Entry: o.entry,
+		Fabric: w.fabric, Table: tableText, Log: observe.Discard(), Seed: 7, Retention: linger, Entry: o.entry,
 		Agent: func(c *agent.Config) {
 			c.TargetInterval = 200 * time.Millisecond
 			if c.Engine != nil {
@@ -99,11 +99,11 @@
 	for i := range 2 {
 		w.bookings = append(w.bookings, plain.New(plain.Options{ID: fmt.Sprint("bookings-", i+1), Delay: serviceTime}))
 		opts.Services = append(opts.Services, deployment.ServiceSpec{
-			Zone: zones[i], ID: fmt.Sprint("bookings-", i+1), Rows: []string{rowBookings}, Core: w.bookings[i],
+			Zone: zones[i], ID: fmt.Sprint("bookings-", i+1), Rows: []string{rowBookings}, StandIn: w.bookings[i],
 		})
 		w.scorers = append(w.scorers, scorer.New(plain.Options{ID: fmt.Sprint("scorer-", i+1), Delay: serviceTime}))
 		opts.Services = append(opts.Services, deployment.ServiceSpec{
-			Zone: zones[i], ID: fmt.Sprint("scorer-", i+1), Rows: []string{rowScorer, rowMeter}, Core: w.scorers[i],
+			Zone: zones[i], ID: fmt.Sprint("scorer-", i+1), Rows: []string{rowScorer, rowMeter}, StandIn: w.scorers[i],
 		})
 	}
 	for i := range o.entries {
@@ -141,8 +141,8 @@
 func (w *world) engines() []*engine.Engine {
 	var cores []*engine.Engine
 	for _, a := range w.d.Agents {
-		if a.Core != nil {
-			cores = append(cores, a.Core)
+		if a.StandIn != nil {
+			cores = append(cores, a.StandIn)
 		}
 	}
 	return cores
--- a/rollout/step_test.go
+++ b/rollout/step_test.go
@@ -96,7 +96,7 @@
 	r.t.Helper()
 	var cores []*engine.Engine
 	for _, a := range r.d.Agents {
-		cores = append(cores, a.Core)
+		cores = append(cores, a.StandIn)
 	}
 	records := oracle.Collect(cores...)
 	for id, got := range r.received {
@@ -135,7 +135,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				r := startRig(t, 3, 1, "carry", test.policy)
 				defer r.close()
-				slow := r.d.Agents[0].Core
+				slow := r.d.Agents[0].StandIn
 				time.AfterFunc(time.Second, func() { slow.SlowBy(50) })
 				r.step("1", lengths(3*testSlots, 200))
 				r.check()
@@ -199,7 +199,7 @@
 func (r *rig) runs(id string) int {
 	n := 0
 	for _, a := range r.d.Agents {
-		for _, rec := range a.Core.Records() {
+		for _, rec := range a.StandIn.Records() {
 			if rec.Prompt == r.requested[id].Prompt {
 				n++
 			}
@@ -220,7 +220,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		for _, a := range r.d.Agents {
-			status, err := a.Core.Status(context.Background())
+			status, err := a.StandIn.Status(context.Background())
 			if err != nil || status.Running != 0 {
 				t.Errorf("%d runs still active after the step (%v)", status.Running, err)
 			}
