--- a/api/completion.go
+++ b/api/completion.go
@@ -13,21 +13,21 @@
 
 // Headers of the entry instance's HTTP API.
 const (
-	// HeaderIdempotencyKey identifies a request so that a repeat is recognised.
+	// HeaderIdempotencyKey identifies a request so that a repeated one is recognised.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderNonIdempotent, with the value "true", marks a request that may not be repeated.
+	// HeaderNonIdempotent, with the value "true", marks a request that must not run twice.
 	HeaderNonIdempotent = "Mulberry-Non-Idempotent"
-	// HeaderDeadline is the time that the caller waits, a Go duration such as "1.5s".
+	// HeaderDeadline is the maximum time that the caller waits, a Go duration such as "1.5s".
 	HeaderDeadline = "Mulberry-Deadline"
-	// HeaderWeightVersions lists the weight versions that produced an answer.
+	// HeaderWeightVersions lists the weight versions that produced the answer.
 	HeaderWeightVersions = "Mulberry-Weight-Versions"
 	// HeaderTableVersion is the table version in force at the entry.
 	HeaderTableVersion = "Mulberry-Table-Version"
-	// HeaderRequestID is the id that the entry gave the request.
+	// HeaderRequestID is the id that the entry assigned to the request.
 	HeaderRequestID = "Mulberry-Request-Id"
 )
 
-// CompletionRequest is the body of POST /v1/completions, the OpenAI fields
+// CompletionRequest is the body of POST /v1/completions: the OpenAI fields
 // that the system reads. Model names a row of the table.
 type CompletionRequest struct {
 	Model       string  `json:"model"`
@@ -44,7 +44,7 @@
 	Tokens  int    `json:"tokens" cbor:"2,keyasint"`
 }
 
-// Choice is one answer of a completion. FinishReason is empty while streaming.
+// Choice is one generated text of a completion. FinishReason is empty while streaming.
 type Choice struct {
 	Index        int    `json:"index"`
 	Text         string `json:"text"`
@@ -52,14 +52,14 @@
 }
 
 // Usage counts the tokens of a completion. PromptTokens and TotalTokens are
-// left out while engines do not tell how long a prompt is in tokens.
+// omitted while engines do not report the number of tokens of a prompt.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens,omitempty"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens,omitempty"`
 }
 
-// Completion is the answer, and with streaming each event, of POST /v1/completions.
+// Completion is the answer of POST /v1/completions and, with streaming, each event of it.
 type Completion struct {
 	ID             string        `json:"id"`
 	Object         string        `json:"object"`
--- a/api/refusal.go
+++ b/api/refusal.go
@@ -11,13 +11,13 @@
 // NotRun says whether a refused request is known not to have run.
 type NotRun string
 
-// The three things that can be known about a refused request.
+// Values of NotRun.
 const (
-	// NotRunTrue is said only when it is proven that no back end started the request.
+	// NotRunTrue is used only when it is proven that no back end started the request.
 	NotRunTrue NotRun = "true"
-	// NotRunFalse says that the request ran, wholly or in part.
+	// NotRunFalse means that the request ran, wholly or in part.
 	NotRunFalse NotRun = "false"
-	// NotRunUnknown says that the request may or may not have run.
+	// NotRunUnknown means that the request may or may not have run.
 	NotRunUnknown NotRun = "unknown"
 )
 
@@ -59,37 +59,37 @@
 	CodeConcurrency      Code = "concurrency_limit" // the row's concurrency limit is reached
 	CodeNoEndpoint       Code = "no_endpoint"       // no ready endpoint serves the row
 	CodeDraining         Code = "draining"          // the process is stopping
-	CodeDeadline         Code = "deadline_exceeded" // the deadline cannot be or was not met
-	CodeStale            Code = "stale_weights"     // no endpoint within the staleness bound
+	CodeDeadline         Code = "deadline_exceeded" // the deadline was not met, or cannot be met
+	CodeStale            Code = "stale_weights"     // no endpoint has weights within the staleness bound
 	CodeClaimStoreDown   Code = "claim_unavailable" // the table service cannot record the claim
 	CodeDuplicate        Code = "duplicate_request" // the key was used before, and its answer is gone
-	CodeOutcomeUnknown   Code = "outcome_unknown"   // sent, and the answer was lost
+	CodeOutcomeUnknown   Code = "outcome_unknown"   // the request was sent, but its answer was lost
 	CodeEndpointFailed   Code = "endpoint_failed"   // the endpoint failed during the run
-	CodeQuarantined      Code = "held"              // endpoints ended under requests of this content
+	CodeQuarantined      Code = "held"              // endpoints crashed under requests with this content
 	CodeWrongIncarnation Code = "wrong_incarnation" // the agent restarted since the claim
 	CodeFenced           Code = "fenced"            // a newer attempt or order took over
-	CodeCancelled        Code = "cancelled"         // the caller went away
-	CodeRetryBudget      Code = "retry_budget"      // retries would exceed their budget
+	CodeCancelled        Code = "cancelled"         // the caller disconnected or cancelled the request
+	CodeRetryBudget      Code = "retry_budget"      // a further retry would exceed the retry budget
 	CodeNoTable          Code = "no_table"          // no table version is known yet
 	CodeScorerFailed     Code = "scorer_failed"     // the scoring service failed
-	CodePreempted        Code = "preempted"         // a sample made room for an interactive request
+	CodePreempted        Code = "preempted"         // a sample was preempted by an interactive request
 	CodeTransport        Code = "transport"         // a connection between our processes failed
-	CodeInternal         Code = "internal"          // a fault of ours
+	CodeInternal         Code = "internal"          // an internal error
 )
 
-// Refusal is the one typed error that callers, trainers and our own processes get.
+// Refusal is the typed error that callers, trainers and the system's own processes get.
 type Refusal struct {
 	Code    Code   `json:"code" cbor:"1,keyasint"`
 	Message string `json:"message" cbor:"2,keyasint"`
 	// NotRun is true only when it is proven that the request did not run.
 	NotRun NotRun `json:"not_run" cbor:"3,keyasint"`
-	// RetryAfter is when to come back; zero means that repeating cannot help.
+	// RetryAfter is the time to wait before a retry; zero means that a retry cannot help.
 	RetryAfter time.Duration `json:"-" cbor:"4,keyasint"`
-	// Step names the processing step at which the error arose, such as "entry.admit".
+	// Step names the processing step at which the error occurred, such as "entry.admit".
 	Step string `json:"step" cbor:"5,keyasint"`
-	// Peer is the id of the process at which the error arose.
+	// Peer is the id of the process at which the error occurred.
 	Peer string `json:"peer" cbor:"6,keyasint"`
-	// EndpointCrashed says that the endpoint ended while it ran the request.
+	// EndpointCrashed is true when the endpoint crashed while it ran the request.
 	EndpointCrashed bool `json:"endpoint_ended,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
@@ -154,7 +154,7 @@
 	CodeInternal:         http.StatusInternalServerError,
 }
 
-// Status is the HTTP status code of the refusal.
+// Status returns the HTTP status code of the refusal.
 func (r *Refusal) Status() int {
 	if s, ok := statusByCode[r.Code]; ok {
 		return s
@@ -162,8 +162,8 @@
 	return http.StatusInternalServerError
 }
 
-// RetryAfterHeader is the Retry-After header's value in whole seconds, rounded
-// up, or "" when repeating cannot help.
+// RetryAfterHeader returns the value of the Retry-After header in whole seconds,
+// rounded up, or "" when a retry cannot help.
 func (r *Refusal) RetryAfterHeader() string {
 	if r.RetryAfter <= 0 {
 		return ""
@@ -171,7 +171,7 @@
 	return strconv.Itoa(int((r.RetryAfter + time.Second - 1) / time.Second))
 }
 
-// Codes lists every refusal code in a fixed order of its own choosing; used for counters and docs.
+// Codes returns every refusal code, in no particular order.
 func Codes() []Code {
 	codes := make([]Code, 0, len(statusByCode))
 	for c := range statusByCode {
--- a/api/step.go
+++ b/api/step.go
@@ -1,40 +1,40 @@
 package api
 
-// StepRequest is the body of POST /v1/trainers/{row}/steps/{step}. It names
-// the samples that the trainer still wants: after a broken connection the
+// StepRequest is the body of POST /v1/trainers/{row}/steps/{step}. It lists
+// the samples that the trainer still needs: after a broken connection the
 // trainer posts the step again, at any entry instance, without the samples it
-// already has. What the trainer leaves out is thereby confirmed; no other
-// record of delivery exists.
+// already has. Leaving a sample out confirms its delivery; there is no other
+// record of delivery.
 type StepRequest struct {
-	// Session grows with each connection that the trainer opens for the
-	// step; an entry gives up an older session of the same step.
+	// Session increases with each connection that the trainer opens for the
+	// step; an entry cancels an older session of the same step.
 	Session uint64 `json:"session"`
 	// Version is the trainer's own weight version, against which staleness is counted.
 	Version uint64 `json:"version"`
-	// Samples are the samples still wanted.
+	// Samples are the samples that the trainer still needs.
 	Samples []SampleRequest `json:"samples"`
-	// Held is how many of the step's samples the trainer has already.
-	Held int `json:"held,omitempty"`
-	// WaitFor is how many samples of the step, the held ones included, the
-	// trainer waits for; 0 means the row's share of them all. The rest are
-	// carried over or cancelled by the row.
+	// Received is the number of the step's samples that the trainer already has.
+	Received int `json:"held,omitempty"`
+	// WaitFor is the number of the step's samples, received ones included, that
+	// the trainer waits for; 0 means the row's share of all samples. The row's
+	// leftover policy carries over or cancels the rest.
 	WaitFor int `json:"wait_for,omitempty"`
-	// Hints says where samples were placed in an earlier session: sample id
-	// to the opaque hint of a Placement.
+	// Hints maps sample ids to the opaque hints of the Placements of an earlier
+	// session, which say where the samples run.
 	Hints map[string]string `json:"hints,omitempty"`
 }
 
 // SampleRequest asks for one sample.
 type SampleRequest struct {
-	// ID is unique within the trainer's row for ever.
+	// ID is unique within the trainer's row and never reused.
 	ID string `json:"id"`
-	// Group is the samples' group; a group shares its prompt.
+	// Group is the sample's group; the samples of a group share a prompt.
 	Group       string  `json:"group"`
 	Prompt      string  `json:"prompt"`
 	MaxTokens   int     `json:"max_tokens"`
 	Temperature float64 `json:"temperature,omitempty"`
 	Seed        int64   `json:"seed,omitempty"`
-	// ExpectedTokens is the trainer's guess of the length; 0 when it has none.
+	// ExpectedTokens is the trainer's estimate of the length in tokens; 0 if it has none.
 	ExpectedTokens int `json:"expected_tokens,omitempty"`
 }
 
@@ -48,13 +48,13 @@
 	// Versions are the weight versions that produced the text, in order, as
 	// the engines reported them.
 	Versions []VersionSpan `json:"versions"`
-	// Score is the scoring service's answer, nil when the row has no scorer.
+	// Score is the scoring service's result, nil if the row has no scorer.
 	Score *float64 `json:"score,omitempty"`
-	// RunID is the engine's id of the run that produced the last of the text.
+	// RunID is the engine's id of the run that produced the end of the text.
 	RunID string `json:"run_id"`
 }
 
-// OldestVersion is the smallest version among the spans, 0 when there are none.
+// OldestVersion returns the smallest version among the spans, 0 if there are none.
 func OldestVersion(spans []VersionSpan) uint64 {
 	var oldest uint64
 	for i, s := range spans {
@@ -73,14 +73,14 @@
 	EventRefusal   = "refusal"   // data: Refusal, the last event of a refused step
 )
 
-// Placement tells the trainer where a sample runs, to be given back in
-// StepRequest.Hints when the step is resumed.
+// Placement tells the trainer where a sample runs. The trainer sends the hint back
+// in StepRequest.Hints when it resumes the step.
 type Placement struct {
 	ID   string `json:"id"`
 	Hint string `json:"hint"`
 }
 
-// Undelivered is a sample that the step ended without.
+// Undelivered is a sample that was not delivered by the end of the step.
 type Undelivered struct {
 	ID string `json:"id"`
 	// CarriedOver is true when the sample goes on running for the next step.
@@ -89,16 +89,16 @@
 	Reason *Refusal `json:"reason,omitempty"`
 }
 
-// StepEnd closes a step's answer.
+// StepEnd is the data of the last event of a step's answer.
 type StepEnd struct {
 	Delivered   int           `json:"delivered"`
 	Undelivered []Undelivered `json:"undelivered,omitempty"`
 }
 
 // ConfirmRequest is the body of POST /v1/trainers/{row}/steps/{step}/confirm:
-// samples that the trainer holds, so that agents may forget them.
+// the samples that the trainer has received, so that agents can drop their results.
 type ConfirmRequest struct {
 	IDs []string `json:"ids"`
-	// Hints says where the samples were placed.
+	// Hints are the placement hints of the samples, as in StepRequest.
 	Hints map[string]string `json:"hints,omitempty"`
 }
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -1,5 +1,5 @@
-// Package generation keeps what has been generated of one answer while it
-// moves between runs on different engines.
+// Package generation tracks the text generated so far for one answer, which may come
+// from several runs on different engines.
 package generation
 
 import (
@@ -10,13 +10,13 @@
 	"mulberryscale.example/wire"
 )
 
-// Progress is the text of one answer so far, with the weight versions that produced it.
+// Progress is the text of one answer so far and the weight versions that produced it.
 type Progress struct {
 	Text  string
 	Spans []api.VersionSpan
 }
 
-// Add appends a chunk, or starts again from it when it is whole.
+// Add appends a chunk. A chunk marked Whole replaces the progress so far.
 func (p *Progress) Add(c *wire.Chunk) {
 	if c.Whole {
 		*p = Progress{}
@@ -27,20 +27,20 @@
 	}
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (p *Progress) Clone() Progress {
 	return Progress{Text: p.Text, Spans: slices.Clone(p.Spans)}
 }
 
-// Tokens counts the tokens so far.
+// Tokens returns the number of tokens so far.
 func (p *Progress) Tokens() int { return CountTokens(p.Spans) }
 
-// FreshFor says whether all of it was produced by minVersion or newer weights.
+// FreshFor reports whether minVersion or newer weights produced all of the text.
 func (p *Progress) FreshFor(minVersion uint64) bool {
 	return Fresh(p.Spans, minVersion)
 }
 
-// CountTokens counts the tokens of spans.
+// CountTokens returns the number of tokens of the spans.
 func CountTokens(spans []api.VersionSpan) int {
 	n := 0
 	for _, s := range spans {
@@ -49,12 +49,12 @@
 	return n
 }
 
-// Fresh says whether no span is older than minVersion.
+// Fresh reports whether no span is older than minVersion.
 func Fresh(spans []api.VersionSpan, minVersion uint64) bool {
 	return len(spans) == 0 || api.OldestVersion(spans) >= minVersion
 }
 
-// OldestAllowed is the oldest version that a trainer at version current with
+// OldestAllowed returns the oldest version that a trainer at version current with
 // the given staleness bound accepts.
 func OldestAllowed(current, bound uint64) uint64 {
 	if current <= bound {
--- a/rollout/runner.go
+++ b/rollout/runner.go
@@ -196,7 +196,7 @@
 // trainer already holds.
 func WaitFor(row *table.Row, req *api.StepRequest) int {
 	n := len(req.Samples)
-	total := n + req.Held
+	total := n + req.Received
 	want := total
 	if row.WaitShare > 0 && row.WaitShare < 1 {
 		want = int(math.Ceil(row.WaitShare * float64(total)))
@@ -204,5 +204,5 @@
 	if req.WaitFor > 0 {
 		want = req.WaitFor
 	}
-	return min(n, max(0, want-req.Held))
+	return min(n, max(0, want-req.Received))
 }
--- a/service/entry/steps.go
+++ b/service/entry/steps.go
@@ -78,7 +78,7 @@
 	if len(req.Hints) > len(req.Samples) {
 		return errors.New("hints must not name more samples than the step")
 	}
-	if req.WaitFor < 0 || req.Held < 0 {
+	if req.WaitFor < 0 || req.Received < 0 {
 		return errors.New("wait_for and held must not be negative")
 	}
 	seen := make(map[string]bool, len(req.Samples))
--- a/service/entry/steps_test.go
+++ b/service/entry/steps_test.go
@@ -31,7 +31,7 @@
 		{"twice", "1", api.StepRequest{Samples: []api.SampleRequest{good, good}}, "samples[1]: id \"a\" stands twice"},
 		{"no prompt", "1", api.StepRequest{Samples: with(func(s *api.SampleRequest) { s.Prompt = "" })}, "prompt is missing"},
 		{"no tokens", "1", api.StepRequest{Samples: with(func(s *api.SampleRequest) { s.MaxTokens = 0 })}, "max_tokens"},
-		{"negative", "1", api.StepRequest{Samples: []api.SampleRequest{good}, Held: -1}, "must not be negative"},
+		{"negative", "1", api.StepRequest{Samples: []api.SampleRequest{good}, Received: -1}, "must not be negative"},
 		{"hints", "1", api.StepRequest{Samples: []api.SampleRequest{good}, Hints: map[string]string{"a": "x", "b": "x"}}, "hints"},
 	} {
 		err := checkStep(c.step, &c.req)
--- a/trainer/client.go
+++ b/trainer/client.go
@@ -19,74 +19,74 @@
 // Defaults of Config.
 const (
 	DefaultIdleTimeout = 5 * time.Second
-	firstDelay         = 50 * time.Millisecond
-	mostDelay          = 2 * time.Second
+	initialDelay       = 50 * time.Millisecond
+	maxDelay           = 2 * time.Second
 	confirmTimeout     = 2 * time.Second
 )
 
 // Config holds a client's settings.
 type Config struct {
-	// Row is the trainer's row of the table.
+	// Row is the name of the trainer's row in the table.
 	Row string
-	// Entries are base URLs of entry instances, or of the balancer before them.
+	// Entries are base URLs of entry instances, or of a load balancer in front of them.
 	Entries []string
 	// HTTP makes the calls; nil means a client without an overall timeout.
 	HTTP *http.Client
-	// IdleTimeout is how long a step's answer may be silent before another
-	// entry is asked. Entries show that they live every second.
+	// IdleTimeout is how long no data may arrive on a step's answer before the client
+	// connects to another entry. Entries send a heartbeat every second.
 	IdleTimeout time.Duration
-	// StalenessBound is how many versions older than the trainer's own a
-	// sample may be, checked once more on receipt.
+	// StalenessBound is how many versions older than the trainer's own version a
+	// sample may be. The client checks it once more on receipt.
 	StalenessBound uint64
 }
 
 // Step is one step of a trainer.
 type Step struct {
-	// Name is unique for each step of the row.
+	// Name is unique among the steps of the row.
 	Name string
 	// Version is the trainer's own weight version.
 	Version uint64
-	// Samples are the step's new samples; those carried over are added.
+	// Samples are the step's new samples; RunStep adds those carried over.
 	Samples []api.SampleRequest
-	// WaitFor is how many samples to wait for, 0 for the row's share.
+	// WaitFor is the number of samples to wait for, 0 for the row's share.
 	WaitFor int
 }
 
-// Result is what a step ended with.
+// Result is the outcome of a step.
 type Result struct {
 	Delivered int
-	// CarriedOver are ids that the next step asks for again.
+	// CarriedOver are the ids of samples that the next step asks for again.
 	CarriedOver []string
-	// Cancelled are ids that the row's leftover policy gave up.
+	// Cancelled are the ids of samples that the row's leftover policy cancelled.
 	Cancelled []string
-	// Refused are samples that were refused for good.
+	// Refused are the samples that were refused and are not retried.
 	Refused []api.Undelivered
-	// Sessions is how many connections the step took.
+	// Sessions is the number of connections that the step used.
 	Sessions int
-	// Dropped counts samples that came again, or too old, and were dropped.
+	// Dropped counts the samples that the client dropped as duplicates, unknown or too old.
 	Dropped int
 }
 
-// Deliver takes in a sample; it is called once for each sample, by one goroutine.
+// Deliver processes a sample. It is called once for each sample, by one goroutine.
 type Deliver func(api.Sample) error
 
 // Client is a trainer's client. RunStep may be called by one goroutine at a time.
 type Client struct {
-	cfg     Config
-	next    int // entry to ask next
-	session uint64
-	// held are the ids received since the last step that came to its end, and
-	// heldBefore those of that step, so that a step that names one of them again
-	// does not get it twice.
-	held       map[string]bool
-	heldBefore map[string]bool
-	// carried are samples that a step ended without, by id.
+	cfg       Config
+	nextEntry int // the entry to use, modulo len(cfg.Entries)
+	session   uint64
+	// received are the ids received since the last step that completed, and
+	// receivedBefore those received in that step, so that a step that names one of
+	// them again does not get it twice.
+	received       map[string]bool
+	receivedBefore map[string]bool
+	// carried are the samples that the last step carried over, by id.
 	carried map[string]api.SampleRequest
 	hints   map[string]string
 	mu      sync.Mutex
 }
 
-// New returns a client, or an error for settings that cannot work.
+// New returns a client, or an error if the settings are invalid.
 func New(cfg Config) (*Client, error) {
 	if cfg.Row == "" {
 		return nil, trace.BadParameter("trainer: Row is required")
@@ -107,20 +107,20 @@
 		cfg.IdleTimeout = DefaultIdleTimeout
 	}
 	return &Client{
-		cfg: cfg, held: map[string]bool{}, heldBefore: map[string]bool{}, carried: map[string]api.SampleRequest{}, hints: map[string]string{},
-		// A trainer that restarts begins with a higher session than it had before.
+		cfg: cfg, received: map[string]bool{}, receivedBefore: map[string]bool{}, carried: map[string]api.SampleRequest{}, hints: map[string]string{},
+		// The clock gives a restarted trainer a higher session than it had before.
 		session: uint64(time.Now().UnixNano()),
 	}, nil
 }
 
-// RunStep runs a step and gives each of its samples to deliver, once. It goes
-// on through broken connections until the step has ended or ctx ends. An error
-// of deliver ends it.
+// RunStep runs a step and calls deliver once for each of its samples. It
+// reconnects after broken connections until the step is complete or ctx is done.
+// It returns an error at once if deliver does, or if a refusal rules out a retry.
 func (c *Client) RunStep(ctx context.Context, step Step, deliver Deliver) (*Result, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.newRun(step, deliver)
-	delays := retry.NewBackoff(firstDelay, mostDelay)
+	s := c.newStepRun(step, deliver)
+	delays := retry.NewBackoff(initialDelay, maxDelay)
 	for {
 		s.result.Sessions++
 		end, err := s.session(ctx)
@@ -133,7 +133,7 @@
 		if s.progressed {
 			delays.Reset()
 		}
-		c.next++
+		c.nextEntry++
 		wait := max(delays.NextBackOff(), retryAfter(err))
 		select {
 		case <-ctx.Done():
@@ -148,45 +148,45 @@
 	c       *Client
 	step    Step
 	deliver Deliver
-	wanted  map[string]api.SampleRequest
+	pending map[string]api.SampleRequest
 	order   []string
 	waitFor int
 	result  *Result
-	// progressed says whether the last session brought a sample.
+	// progressed is true when the last session delivered a sample.
 	progressed bool
-	// failure is deliver's error.
-	failure error
+	// deliverErr is the error that deliver returned.
+	deliverErr error
 }
 
-func (c *Client) newRun(step Step, deliver Deliver) *stepRun {
+func (c *Client) newStepRun(step Step, deliver Deliver) *stepRun {
 	s := &stepRun{
-		c: c, step: step, deliver: deliver, wanted: map[string]api.SampleRequest{},
+		c: c, step: step, deliver: deliver, pending: map[string]api.SampleRequest{},
 		waitFor: step.WaitFor, result: &Result{},
 	}
 	for id, sample := range c.carried {
-		s.want(id, sample)
+		s.add(id, sample)
 	}
 	for _, sample := range step.Samples {
-		s.want(sample.ID, sample)
+		s.add(sample.ID, sample)
 	}
 	return s
 }
 
-func (s *stepRun) want(id string, sample api.SampleRequest) {
-	if _, twice := s.wanted[id]; twice || s.c.held[id] || s.c.heldBefore[id] {
+func (s *stepRun) add(id string, sample api.SampleRequest) {
+	if _, twice := s.pending[id]; twice || s.c.received[id] || s.c.receivedBefore[id] {
 		return
 	}
-	s.wanted[id] = sample
+	s.pending[id] = sample
 	s.order = append(s.order, id)
 }
 
-// request asks for the samples not held yet.
+// request returns a request for the samples not received yet, with a new session.
 func (s *stepRun) request() *api.StepRequest {
 	s.c.session++
 	req := &api.StepRequest{Session: s.c.session, Version: s.step.Version, Hints: map[string]string{}}
 	for _, id := range s.order {
-		sample, wanted := s.wanted[id]
-		if !wanted {
+		sample, isPending := s.pending[id]
+		if !isPending {
 			continue
 		}
 		req.Samples = append(req.Samples, sample)
@@ -194,33 +194,33 @@
 			req.Hints[id] = hint
 		}
 	}
-	req.Held = s.result.Delivered
+	req.Received = s.result.Delivered
 	req.WaitFor = s.waitFor
 	return req
 }
 
-// take gives a sample to the trainer unless it came before or is too old.
-func (s *stepRun) take(sample api.Sample) error {
+// receive passes a sample to deliver unless it is a duplicate, unknown or too old.
+func (s *stepRun) receive(sample api.Sample) error {
 	oldest := generation.OldestAllowed(s.step.Version, s.c.cfg.StalenessBound)
-	_, wanted := s.wanted[sample.ID]
-	if !wanted || !generation.Fresh(sample.Versions, oldest) {
+	_, isPending := s.pending[sample.ID]
+	if !isPending || !generation.Fresh(sample.Versions, oldest) {
 		s.result.Dropped++
 		return nil
 	}
 	if err := s.deliver(sample); err != nil {
-		s.failure = err
+		s.deliverErr = err
 		return err
 	}
-	delete(s.wanted, sample.ID)
-	s.c.held[sample.ID] = true
+	delete(s.pending, sample.ID)
+	s.c.received[sample.ID] = true
 	s.result.Delivered++
 	s.progressed = true
 	return nil
 }
 
-// fatal says whether a session's error ends the step.
+// fatal reports whether a session's error ends the step instead of being retried.
 func (s *stepRun) fatal(ctx context.Context, err error) bool {
-	if ctx.Err() != nil || s.failure != nil {
+	if ctx.Err() != nil || s.deliverErr != nil {
 		return true
 	}
 	var r *api.Refusal
@@ -234,7 +234,7 @@
 	return false
 }
 
-// retryAfter is what a refusal asks for, else 0.
+// retryAfter returns the wait that a refusal asks for, otherwise 0.
 func retryAfter(err error) time.Duration {
 	var r *api.Refusal
 	if errors.As(err, &r) {
@@ -243,13 +243,14 @@
 	return 0
 }
 
-// finish settles what the step ended without and confirms what it holds.
+// finish sorts the undelivered samples into carried over, cancelled and refused ones
+// and confirms the received ones.
 func (s *stepRun) finish(ctx context.Context, end *api.StepEnd) *Result {
 	clear(s.c.carried)
 	for _, u := range end.Undelivered {
-		sample, wanted := s.wanted[u.ID]
+		sample, isPending := s.pending[u.ID]
 		switch {
-		case !wanted:
+		case !isPending:
 		case u.Reason != nil:
 			s.result.Refused = append(s.result.Refused, u)
 		case u.CarriedOver:
@@ -261,11 +262,11 @@
 	}
 	s.confirm(ctx)
 	s.dropHints()
-	s.c.held, s.c.heldBefore = map[string]bool{}, s.c.held
+	s.c.received, s.c.receivedBefore = map[string]bool{}, s.c.received
 	return s.result
 }
 
-// dropHints forgets where samples ran that the next step does not ask for.
+// dropHints deletes the placement hints of samples that the next step does not ask for.
 func (s *stepRun) dropHints() {
 	maps.DeleteFunc(s.c.hints, func(id, _ string) bool {
 		_, carried := s.c.carried[id]
--- a/trainer/client_test.go
+++ b/trainer/client_test.go
@@ -11,10 +11,10 @@
 	"mulberryscale.example/api"
 )
 
-// entry is a stand-in for an entry instance that answers each step by a script.
+// entry is a fake entry instance that answers each step as the test says.
 type entry struct {
-	answer func(req *api.StepRequest, send func(event string, v any))
-	asked  []api.StepRequest
+	answer   func(req *api.StepRequest, send func(event string, v any))
+	requests []api.StepRequest
 }
 
 // ServeHTTP implements http.Handler.
@@ -24,7 +24,7 @@
 		w.WriteHeader(http.StatusNoContent) // a confirmation
 		return
 	}
-	e.asked = append(e.asked, req)
+	e.requests = append(e.requests, req)
 	w.Header().Set("Content-Type", "text/event-stream")
 	e.answer(&req, func(event string, v any) {
 		body, _ := json.Marshal(v)
@@ -55,10 +55,10 @@
 	return step
 }
 
-// TestUnwantedSamplesAreDropped sends samples twice, too old, and of another step.
+// TestUnwantedSamplesAreDropped sends samples twice, too old ones, and one of another step.
 func TestUnwantedSamplesAreDropped(t *testing.T) {
 	e := &entry{answer: func(req *api.StepRequest, send func(string, any)) {
-		send(api.EventSample, sampleOf("stranger", 5))
+		send(api.EventSample, sampleOf("unknown", 5))
 		send(api.EventSample, sampleOf("a", 3))
 		send(api.EventSample, sampleOf("a", 4))
 		send(api.EventSample, sampleOf("a", 5))
@@ -78,13 +78,14 @@
 	}
 }
 
-// TestBrokenSessionAsksForTheRest ends a session without its closing event.
+// TestBrokenSessionAsksForTheRest ends a session without its end event: the next
+// one must ask only for the samples that are still missing.
 func TestBrokenSessionAsksForTheRest(t *testing.T) {
 	e := &entry{}
 	e.answer = func(req *api.StepRequest, send func(string, any)) {
 		send(api.EventPlacement, api.Placement{ID: "b", Hint: "agent-1@127.0.0.1:1"})
 		send(api.EventSample, sampleOf(req.Samples[0].ID, 5))
-		if len(e.asked) == 2 {
+		if len(e.requests) == 2 {
 			send(api.EventEnd, api.StepEnd{Delivered: 1})
 		}
 	}
@@ -93,14 +94,15 @@
 	if err != nil || result.Delivered != 2 || result.Sessions != 2 {
 		t.Fatalf("%+v, %v", result, err)
 	}
-	second := e.asked[1]
-	if len(second.Samples) != 1 || second.Samples[0].ID != "b" || second.Held != 1 || second.Hints["b"] == "" || second.Session <= e.asked[0].Session {
-		t.Fatalf("asked %+v", second)
+	second := e.requests[1]
+	if len(second.Samples) != 1 || second.Samples[0].ID != "b" || second.Received != 1 || second.Hints["b"] == "" || second.Session <= e.requests[0].Session {
+		t.Fatalf("the second request is %+v", second)
 	}
 }
 
-// TestClientKeepsNoMoreThanTwoSteps runs many steps and looks at what is kept;
-// a sample named again by the next step does not come again.
+// TestClientKeepsNoMoreThanTwoSteps runs many steps and checks how many ids and
+// hints the client keeps. A sample that the next step names again is not delivered
+// again.
 func TestClientKeepsNoMoreThanTwoSteps(t *testing.T) {
 	e := &entry{answer: func(req *api.StepRequest, send func(string, any)) {
 		for _, s := range req.Samples {
@@ -117,18 +119,18 @@
 			t.Fatal(err)
 		}
 	}
-	if len(c.held)+len(c.heldBefore) > 4 || len(c.hints) > 0 {
-		t.Errorf("kept %d and %d ids and %d hints", len(c.held), len(c.heldBefore), len(c.hints))
+	if len(c.received)+len(c.receivedBefore) > 4 || len(c.hints) > 0 {
+		t.Errorf("kept %d and %d ids and %d hints", len(c.received), len(c.receivedBefore), len(c.hints))
 	}
 	for id, n := range got {
 		if n != 1 {
-			t.Errorf("%s came %d times", id, n)
+			t.Errorf("%s was delivered %d times", id, n)
 		}
 	}
 }
 
-// TestStepRunAgainAfterAFailure lets the trainer itself fail a few times in
-// one step: what it took in before does not come again.
+// TestStepRunAgainAfterAFailure lets the trainer's deliver function fail a few times
+// in one step: the samples delivered before are not delivered again.
 func TestStepRunAgainAfterAFailure(t *testing.T) {
 	e := &entry{answer: func(req *api.StepRequest, send func(string, any)) {
 		for _, s := range req.Samples {
@@ -155,7 +157,7 @@
 	}
 	for _, s := range step.Samples {
 		if got[s.ID] != 1 {
-			t.Errorf("%s came %d times", s.ID, got[s.ID])
+			t.Errorf("%s was delivered %d times", s.ID, got[s.ID])
 		}
 	}
 }
--- a/trainer/session.go
+++ b/trainer/session.go
@@ -17,14 +17,14 @@
 	"mulberryscale.example/api"
 )
 
-// maxEvent bounds one event of a step's answer, in bytes.
-const maxEvent = 64 << 20
+// maxEventBytes bounds one event of a step's answer, in bytes.
+const maxEventBytes = 64 << 20
 
-// errCutOff says that a step's answer ended before its closing event.
-var errCutOff = errors.New("the step's answer ended early")
+// errTruncated reports that a step's answer ended before its end event.
+var errTruncated = errors.New("the step's answer ended before its end event")
 
-// session opens one connection for the step and takes in what it brings. It
-// returns nil and an error unless the closing event arrived.
+// session opens one connection for the step and handles its events until the end
+// event, which it returns. Without an end event it returns an error.
 func (s *stepRun) session(ctx context.Context) (*api.StepEnd, error) {
 	s.progressed = false
 	req := s.request()
@@ -40,27 +40,27 @@
 	defer resp.Body.Close()
 	body := newIdleReader(resp.Body, s.c.cfg.IdleTimeout, cancel)
 	defer body.stop()
-	for ev, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEvent}) {
+	for ev, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
 			return nil, trace.Wrap(err, "reading the step's answer")
 		}
-		end, err := s.event(&ev)
+		end, err := s.handleEvent(&ev)
 		if end != nil || err != nil {
 			return end, err
 		}
 	}
-	return nil, errCutOff
+	return nil, errTruncated
 }
 
-// event takes in one event; the result is set by the closing one.
-func (s *stepRun) event(ev *sse.Event) (*api.StepEnd, error) {
+// handleEvent handles one event. The result is set only for the end event.
+func (s *stepRun) handleEvent(ev *sse.Event) (*api.StepEnd, error) {
 	switch ev.Type {
 	case api.EventSample:
 		var sample api.Sample
 		if err := json.Unmarshal([]byte(ev.Data), &sample); err != nil {
 			return nil, trace.Wrap(err, "decoding a sample")
 		}
-		return nil, s.take(sample)
+		return nil, s.receive(sample)
 	case api.EventPlacement:
 		var p api.Placement
 		if err := json.Unmarshal([]byte(ev.Data), &p); err != nil {
@@ -83,14 +83,14 @@
 	return nil, nil
 }
 
-// post sends a request of the step to the entry whose turn it is. A refusal is
-// returned as an *api.Refusal.
+// post sends a request of the step to the current entry. A refusal is returned as an
+// *api.Refusal.
 func (s *stepRun) post(ctx context.Context, suffix string, v any) (*http.Response, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return nil, trace.Wrap(err, "encoding a step request")
 	}
-	entry := s.c.cfg.Entries[s.c.next%len(s.c.cfg.Entries)]
+	entry := s.c.cfg.Entries[s.c.nextEntry%len(s.c.cfg.Entries)]
 	target := strings.TrimSuffix(entry, "/") + api.PathTrainers + url.PathEscape(s.c.cfg.Row) +
 		"/steps/" + url.PathEscape(s.step.Name) + suffix
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(body))
@@ -111,18 +111,18 @@
 
 func readRefusal(resp *http.Response) error {
 	var body api.ErrorBody
-	err := json.NewDecoder(io.LimitReader(resp.Body, maxEvent)).Decode(&body)
+	err := json.NewDecoder(io.LimitReader(resp.Body, maxEventBytes)).Decode(&body)
 	if err != nil || body.Error == nil {
 		return trace.Errorf("the entry answered with status %v and no refusal", resp.StatusCode)
 	}
 	return body.Error
 }
 
-// confirm lets agents forget the samples held. It is best effort.
+// confirm allows agents to drop the results of received samples. It is best effort.
 func (s *stepRun) confirm(ctx context.Context) {
 	req := &api.ConfirmRequest{Hints: map[string]string{}}
 	for _, id := range s.order {
-		if !s.c.held[id] {
+		if !s.c.received[id] {
 			continue
 		}
 		req.IDs = append(req.IDs, id)
@@ -138,15 +138,15 @@
 	}
 }
 
-// idleReader cancels a request whose answer falls silent.
+// idleReader cancels a request when no data arrives for the timeout.
 type idleReader struct {
 	r       io.Reader
 	timer   *time.Timer
 	timeout time.Duration
 }
 
-// errIdle is the cause with which a silent answer is given up.
-var errIdle = errors.New("the entry fell silent")
+// errIdle is the cancellation cause of a request whose answer was idle for too long.
+var errIdle = errors.New("no data from the entry within the idle timeout")
 
 func newIdleReader(r io.Reader, timeout time.Duration, cancel context.CancelCauseFunc) *idleReader {
 	return &idleReader{r: r, timeout: timeout, timer: time.AfterFunc(timeout, func() { cancel(errIdle) })}
