--- a/transport/codec/codec.go
+++ b/transport/codec/codec.go
@@ -1,6 +1,6 @@
-// Package codec encodes the messages between our processes as CBOR and bounds
-// what a peer can make us read: the size of a message, its nesting and the
-// number of elements in its arrays and maps.
+// Package codec encodes the messages between the system's processes as CBOR. It
+// limits what a peer can make the decoder read: the size of a message, its
+// nesting depth and the number of elements in its arrays and maps.
 package codec
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Bounds on one message.
+// Limits of one message.
 const (
 	// MaxMessage is the largest encoded message in bytes.
 	MaxMessage       = 16 << 20
@@ -20,7 +20,7 @@
 	maxMapPairs      = 1 << 16
 )
 
-// ErrTooLarge says that a message is larger than MaxMessage.
+// ErrTooLarge is returned for a message of more than MaxMessage bytes.
 var ErrTooLarge = errors.New("codec: message too large")
 
 var (
@@ -30,7 +30,7 @@
 
 func encOptions() cbor.EncOptions {
 	return cbor.EncOptions{
-		// Text keeps the nanoseconds and the zone of a time.
+		// The text format preserves a time's nanoseconds and zone.
 		Time:        cbor.TimeRFC3339Nano,
 		IndefLength: cbor.IndefLengthForbidden,
 		TagsMd:      cbor.TagsForbidden,
@@ -55,7 +55,8 @@
 	return v
 }
 
-// Marshal encodes one message. It returns ErrTooLarge over MaxMessage bytes.
+// Marshal encodes one message. It returns ErrTooLarge if the encoding exceeds
+// MaxMessage bytes.
 func Marshal(msg any) ([]byte, error) {
 	data, err := encMode.Marshal(msg)
 	if err != nil {
@@ -67,7 +68,8 @@
 	return data, nil
 }
 
-// Unmarshal decodes one whole message into msg, a pointer. Unknown fields are ignored.
+// Unmarshal decodes one complete message into msg, a pointer. Unknown fields are
+// ignored. It returns ErrTooLarge if data exceeds MaxMessage bytes.
 func Unmarshal(data []byte, msg any) error {
 	if len(data) > MaxMessage {
 		return trace.Wrap(ErrTooLarge, "codec: decode %T of %d bytes", msg, len(data))
@@ -78,25 +80,26 @@
 	return nil
 }
 
-// Decoder reads a sequence of messages. It is for one goroutine.
+// Decoder reads a sequence of messages. It is not safe for concurrent use.
 type Decoder struct {
 	bounded boundedReader
 	dec     *cbor.Decoder
 }
 
-// NewDecoder returns a Decoder that reads from r. Memory grows with what has
-// arrived, never with what a message announces.
+// NewDecoder returns a Decoder that reads from r. Its memory grows with the bytes
+// received, never with the lengths that a message declares.
 func NewDecoder(r io.Reader) *Decoder {
 	d := &Decoder{bounded: boundedReader{r: r}}
 	d.dec = decMode.NewDecoder(&d.bounded)
 	return d
 }
 
-// Decode reads the next message into msg, a pointer. It returns io.EOF between
-// messages, io.ErrUnexpectedEOF within one and ErrTooLarge over MaxMessage
-// bytes. After an error other than a type mismatch the sequence is unusable.
+// Decode reads the next message into msg, a pointer. It returns io.EOF if the
+// input is exhausted between messages, io.ErrUnexpectedEOF if it is exhausted
+// within one, and ErrTooLarge for a message of more than MaxMessage bytes. After
+// an error other than a type mismatch the sequence can't be read further.
 func (d *Decoder) Decode(msg any) error {
-	d.bounded.left = MaxMessage
+	d.bounded.remaining = MaxMessage
 	start := d.dec.NumBytesRead()
 	err := d.dec.Decode(msg)
 	if errors.Is(err, io.EOF) {
@@ -111,20 +114,20 @@
 	return nil
 }
 
-// boundedReader fails once it has read left bytes.
+// boundedReader returns ErrTooLarge once it has read remaining bytes.
 type boundedReader struct {
-	r    io.Reader
-	left int
+	r         io.Reader
+	remaining int
 }
 
 func (b *boundedReader) Read(p []byte) (int, error) {
-	if b.left <= 0 {
+	if b.remaining <= 0 {
 		return 0, ErrTooLarge
 	}
-	if len(p) > b.left {
-		p = p[:b.left]
+	if len(p) > b.remaining {
+		p = p[:b.remaining]
 	}
 	n, err := b.r.Read(p)
-	b.left -= n
+	b.remaining -= n
 	return n, err
 }
--- a/transport/codec/codec_test.go
+++ b/transport/codec/codec_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// FuzzRequest checks that no bytes make the decoder panic, and that what it
-// accepts survives another round.
+// FuzzRequest checks that no input makes the decoder panic, and that an accepted
+// message is unchanged by encoding and decoding it again.
 func FuzzRequest(f *testing.F) {
 	seed, err := Marshal(wire.Request{
 		Header: wire.Header{From: "entry-1", Incarnation: "i", TableVersion: 3},
@@ -119,15 +119,15 @@
 		}
 		again, err := Marshal(first)
 		if err != nil {
-			t.Skip() // times outside the years of RFC 3339 cannot be written
+			t.Skip() // RFC 3339 can't express times outside its range of years
 		}
 		var second wire.Request
 		if err := Unmarshal(again, &second); err != nil {
-			t.Fatalf("second round: %v", err)
+			t.Fatalf("second round trip: %v", err)
 		}
 		third, err := Marshal(second)
 		if err != nil || (!bytes.Equal(again, third) && !reflect.DeepEqual(first, second)) {
-			t.Fatalf("rounds differ: %x, %x, %v", again, third, err)
+			t.Fatalf("round trips differ: %x, %x, %v", again, third, err)
 		}
 	})
 }
--- a/transport/conformance_test.go
+++ b/transport/conformance_test.go
@@ -22,7 +22,7 @@
 	clientID = transport.PeerID("entry-1")
 )
 
-// hangGuard bounds a test that would hang; nothing is measured by it.
+// hangGuard is the timeout of a test that would otherwise hang; no result depends on it.
 const hangGuard = 20 * time.Second
 
 type note struct {
@@ -31,7 +31,7 @@
 	At   time.Time `cbor:"3,keyasint"`
 }
 
-// fixture is one listener and one dialer of an implementation.
+// fixture holds a listener and a dialer of one implementation.
 type fixture struct {
 	listener transport.Listener
 	dialer   transport.Dialer
@@ -63,8 +63,8 @@
 	}
 }
 
-// conform runs a test against both implementations.
-func conform(t *testing.T, test func(t *testing.T, ctx context.Context, f fixture)) {
+// runConformance runs a test against both implementations.
+func runConformance(t *testing.T, test func(t *testing.T, ctx context.Context, f fixture)) {
 	for name, make := range map[string]func(*testing.T) fixture{"mem": newMem, "quic": newQUIC} {
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithTimeout(t.Context(), hangGuard)
@@ -77,7 +77,7 @@
 	}
 }
 
-// serve runs a handler and returns what stops it and waits for Serve.
+// serve runs a handler and returns a function that stops it and waits for Serve.
 func serve(t *testing.T, f fixture, h transport.Handler) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var serving sync.WaitGroup
@@ -112,7 +112,7 @@
 }
 
 func TestEchoInOrderAndPeers(t *testing.T) {
-	conform(t, func(t *testing.T, ctx context.Context, f fixture) {
+	runConformance(t, func(t *testing.T, ctx context.Context, f fixture) {
 		peers := make(chan transport.PeerID, 1)
 		defer serve(t, f, func(ctx context.Context, s transport.Stream) {
 			peers <- s.Peer()
@@ -142,10 +142,10 @@
 	})
 }
 
-// A handler's last message arrives although the handler returns, the server
-// stops serving and the listener is closed right after it.
+// A handler's last message must arrive although the handler returns, the server
+// stops serving and the listener is closed right after it was sent.
 func TestLastMessageSurvivesReturnAndClose(t *testing.T) {
-	conform(t, func(t *testing.T, ctx context.Context, f fixture) {
+	runConformance(t, func(t *testing.T, ctx context.Context, f fixture) {
 		text := strings.Repeat("x", 256<<10)
 		got := make(chan struct{})
 		stop := serve(t, f, func(ctx context.Context, s transport.Stream) {
@@ -153,7 +153,7 @@
 			close(got)
 			<-ctx.Done()
 			if err := s.Send(note{N: 7, Text: text}); err != nil {
-				t.Errorf("send after the context ended: %v", err)
+				t.Errorf("send after the context was cancelled: %v", err)
 			}
 		})
 		s := open(t, ctx, f)
@@ -182,7 +182,7 @@
 }
 
 func TestCloseEndsThePeersContextAndRecv(t *testing.T) {
-	conform(t, func(t *testing.T, ctx context.Context, f fixture) {
+	runConformance(t, func(t *testing.T, ctx context.Context, f fixture) {
 		first, second := make(chan struct{}), make(chan error, 1)
 		stop := serve(t, f, func(ctx context.Context, s transport.Stream) {
 			_ = s.Recv(&note{})
@@ -202,14 +202,14 @@
 			t.Fatal("Send after Close: got no error")
 		}
 		if s.Context().Err() == nil {
-			t.Fatal("the context outlived Close")
+			t.Fatal("the context is not cancelled after Close")
 		}
 	})
 }
 
-// What was sent before CloseSend arrives although the sender gives up the rest.
+// Messages sent before CloseSend must arrive although the sender then calls Close.
 func TestSentBeforeCloseSendArrives(t *testing.T) {
-	conform(t, func(t *testing.T, ctx context.Context, f fixture) {
+	runConformance(t, func(t *testing.T, ctx context.Context, f fixture) {
 		var got []int
 		done := make(chan struct{})
 		stop := serve(t, f, func(ctx context.Context, s transport.Stream) {
@@ -237,12 +237,12 @@
 }
 
 func TestServeStopEndsHandlersThatWait(t *testing.T) {
-	conform(t, func(t *testing.T, ctx context.Context, f fixture) {
+	runConformance(t, func(t *testing.T, ctx context.Context, f fixture) {
 		started := make(chan struct{})
 		stop := serve(t, f, func(ctx context.Context, s transport.Stream) {
 			_ = s.Recv(&note{})
 			close(started)
-			_ = s.Recv(&note{}) // nothing comes
+			_ = s.Recv(&note{}) // the client sends no second message
 		})
 		s := open(t, ctx, f)
 		must(t, s.Send(note{}))
@@ -252,7 +252,7 @@
 }
 
 func TestClosedListenerBreaksStreams(t *testing.T) {
-	conform(t, func(t *testing.T, ctx context.Context, f fixture) {
+	runConformance(t, func(t *testing.T, ctx context.Context, f fixture) {
 		started := make(chan struct{})
 		defer serve(t, f, func(ctx context.Context, s transport.Stream) {
 			_ = s.Recv(&note{})
@@ -274,7 +274,7 @@
 }
 
 func TestOversizeMessageIsRefusedBeforeSending(t *testing.T) {
-	conform(t, func(t *testing.T, ctx context.Context, f fixture) {
+	runConformance(t, func(t *testing.T, ctx context.Context, f fixture) {
 		defer serve(t, f, echo)()
 		s := open(t, ctx, f)
 		defer s.Close()
@@ -292,7 +292,7 @@
 }
 
 func TestManyStreamsAtOnce(t *testing.T) {
-	conform(t, func(t *testing.T, ctx context.Context, f fixture) {
+	runConformance(t, func(t *testing.T, ctx context.Context, f fixture) {
 		defer serve(t, f, echo)()
 		var all sync.WaitGroup
 		for i := range 300 {
@@ -314,11 +314,11 @@
 }
 
 func TestOpenHonoursItsContextAndAddress(t *testing.T) {
-	conform(t, func(t *testing.T, ctx context.Context, f fixture) {
+	runConformance(t, func(t *testing.T, ctx context.Context, f fixture) {
 		ended, cancel := context.WithCancel(ctx)
 		cancel()
 		if _, err := f.dialer.Open(ended, "127.0.0.1:9"); !errors.Is(err, context.Canceled) {
-			t.Fatalf("ended context: got %v", err)
+			t.Fatalf("cancelled context: got %v", err)
 		}
 		must(t, f.dialer.Close())
 		if _, err := f.dialer.Open(ctx, f.listener.Addr()); err == nil {
--- a/transport/memtransport/dialer.go
+++ b/transport/memtransport/dialer.go
@@ -12,11 +12,11 @@
 
 // Errors of Open.
 var (
-	ErrDialerClosed = errors.New("memtransport: dialer closed")
-	errNoAnswer     = errors.New("memtransport: handshake timeout")
+	ErrDialerClosed     = errors.New("memtransport: dialer closed")
+	errHandshakeTimeout = errors.New("memtransport: handshake timeout")
 )
 
-// pollInterval is how often a waiting Open looks again.
+// pollInterval is how often a waiting Open tries again.
 const pollInterval = 10 * time.Millisecond
 
 // dialer is a transport.Dialer; its fields are guarded by the network's mutex.
@@ -24,7 +24,7 @@
 	network *Network
 	id      transport.PeerID
 	closed  bool
-	// conns are the listeners to which a connection is kept, by address.
+	// conns are the listeners with an established connection, by address.
 	conns map[string]*listener
 }
 
@@ -32,8 +32,8 @@
 	return &dialer{network: n, id: id, conns: make(map[string]*listener)}
 }
 
-// Open opens a stream at once where a connection is kept, even if the link is
-// stalled; else it waits for the peer until the handshake timeout.
+// Open opens a stream at once over an established connection, even if the link
+// is stalled; without one it waits for the peer up to the handshake timeout.
 func (d *dialer) Open(ctx context.Context, addr string) (transport.Stream, error) {
 	deadline := time.Now().Add(d.network.options.HandshakeTimeout)
 	for {
@@ -48,7 +48,7 @@
 			return s, nil
 		}
 		if !time.Now().Before(deadline) {
-			return nil, trace.Wrap(errNoAnswer, "memtransport: open a stream to %s", addr)
+			return nil, trace.Wrap(errHandshakeTimeout, "memtransport: open a stream to %s", addr)
 		}
 		select {
 		case <-ctx.Done():
@@ -57,7 +57,7 @@
 	}
 }
 
-// tryOpen returns nil and no error when the peer does not answer.
+// tryOpen returns a nil stream and no error if the peer does not answer.
 func (d *dialer) tryOpen(addr string) (transport.Stream, error) {
 	n := d.network
 	n.mu.Lock()
@@ -69,23 +69,24 @@
 	if !ok {
 		return nil, nil
 	}
-	f, idleLeft := n.state(d.id, l.id)
-	kept := d.conns[addr] == l && f != faultCut && (idleLeft > 0 || n.options.IdleTimeout < 0)
-	if f != faultNone && !kept {
+	f, idleLeft := n.faultBetween(d.id, l.id)
+	connected := d.conns[addr] == l && f != faultCut && (idleLeft > 0 || n.options.IdleTimeout < 0)
+	if f != faultNone && !connected {
 		return nil, nil
 	}
 	d.conns[addr] = l
-	c := newCall(n, d, l)
-	c.setLatency(n.linkOf(keyOf(d.id, l.id)).latency)
-	n.calls[c] = struct{}{}
-	n.stall(c, f == faultStalled, idleLeft)
-	return c.dialer, nil
+	p := newStreamPair(n, d, l)
+	p.setLatency(n.linkOf(keyOf(d.id, l.id)).latency)
+	n.pairs[p] = struct{}{}
+	n.stall(p, f == faultStalled, idleLeft)
+	return p.dialer, nil
 }
 
-// dropCut forgets kept connections over links that are cut.
-func (d *dialer) dropCut() {
+// dropCutConnections removes the connections over links that are cut. It is
+// called with the network's mutex held.
+func (d *dialer) dropCutConnections() {
 	for addr, l := range d.conns {
-		if f, _ := d.network.state(d.id, l.id); f == faultCut {
+		if f, _ := d.network.faultBetween(d.id, l.id); f == faultCut {
 			delete(d.conns, addr)
 		}
 	}
@@ -101,9 +102,9 @@
 func (d *dialer) closeLocked() {
 	d.closed = true
 	delete(d.network.dialers, d)
-	for c := range d.network.calls {
-		if c.from == d {
-			c.breakBoth(ErrDialerClosed)
+	for p := range d.network.pairs {
+		if p.from == d {
+			p.failBoth(ErrDialerClosed)
 		}
 	}
 }
--- a/transport/memtransport/faults.go
+++ b/transport/memtransport/faults.go
@@ -7,7 +7,7 @@
 	"mulberryscale.example/transport"
 )
 
-// Errors of broken streams.
+// Errors of streams that fail because of an injected fault.
 var (
 	errCut  = errors.New("memtransport: link cut")
 	errIdle = errors.New("memtransport: no answer within the idle timeout")
@@ -15,14 +15,14 @@
 
 type fault uint8
 
-// Faults, the worse later.
+// Faults in increasing order of severity.
 const (
 	faultNone fault = iota
 	faultStalled
 	faultCut
 )
 
-// linkKey names a link, the smaller id first.
+// linkKey identifies the link between two processes, the smaller id first.
 type linkKey struct{ a, b transport.PeerID }
 
 func keyOf(a, b transport.PeerID) linkKey {
@@ -32,7 +32,7 @@
 	return linkKey{a, b}
 }
 
-// link is the state of a link, or of all links of a process.
+// link is the state of one link, or of all links of one process.
 type link struct {
 	fault      fault
 	since      time.Time // when the fault began
@@ -40,24 +40,24 @@
 	hasLatency bool
 }
 
-// Cut breaks the open streams between two processes, on both sides at once,
-// and lets no new ones through.
+// Cut fails the open streams between two processes, on both sides at once, and
+// prevents new ones.
 func (n *Network) Cut(a, b transport.PeerID) { n.setLink(a, b, faultCut) }
 
-// Stall lets nothing through between two processes. Their streams hang until
-// Heal, or break on both sides after the idle timeout.
+// Stall blocks all messages between two processes. Their streams block until
+// Heal, or fail on both sides after the idle timeout.
 func (n *Network) Stall(a, b transport.PeerID) { n.setLink(a, b, faultStalled) }
 
-// Heal ends what Cut and Stall did between two processes.
+// Heal removes the fault that Cut or Stall set between two processes.
 func (n *Network) Heal(a, b transport.PeerID) { n.setLink(a, b, faultNone) }
 
 // CutAll cuts every link of a process.
 func (n *Network) CutAll(id transport.PeerID) { n.setProcess(id, faultCut) }
 
-// StallAll stalls every link of a process, as freezing it does.
+// StallAll stalls every link of a process, as if the process were frozen.
 func (n *Network) StallAll(id transport.PeerID) { n.setProcess(id, faultStalled) }
 
-// HealAll ends every fault of a process, also those of its single links.
+// HealAll removes every fault of a process, including those of its single links.
 func (n *Network) HealAll(id transport.PeerID) {
 	n.mu.Lock()
 	for key, l := range n.links {
@@ -69,16 +69,17 @@
 	n.setProcess(id, faultNone)
 }
 
-// SetLatency sets the time one way between two processes for messages sent from now on.
+// SetLatency sets the one-way latency between two processes for messages sent
+// from now on.
 func (n *Network) SetLatency(a, b transport.PeerID, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := n.linkOf(keyOf(a, b))
 	l.latency = d
 	l.hasLatency = true
-	for c := range n.calls {
-		if keyOf(c.dialer.self, c.listener.self) == keyOf(a, b) {
-			c.setLatency(d)
+	for p := range n.pairs {
+		if keyOf(p.dialer.self, p.listener.self) == keyOf(a, b) {
+			p.setLatency(d)
 		}
 	}
 }
@@ -118,9 +119,9 @@
 	return l
 }
 
-// state returns the worst fault between two processes and, when it stalls
-// them, the time left until the idle timeout. It is called with n.mu held.
-func (n *Network) state(a, b transport.PeerID) (worst fault, idleLeft time.Duration) {
+// faultBetween returns the most severe fault between two processes and, if they
+// are stalled, the time left until the idle timeout. It is called with n.mu held.
+func (n *Network) faultBetween(a, b transport.PeerID) (worst fault, idleLeft time.Duration) {
 	now := time.Now()
 	idleLeft = n.options.IdleTimeout
 	for _, l := range []*link{n.links[keyOf(a, b)], n.processes[a], n.processes[b]} {
@@ -133,27 +134,28 @@
 	return worst, idleLeft
 }
 
-// applyFaults brings the faults to the open streams and kept connections. It
-// is called with n.mu held.
+// applyFaults applies the faults to the open streams and connections. It is
+// called with n.mu held.
 func (n *Network) applyFaults() {
 	for d := range n.dialers {
-		d.dropCut()
+		d.dropCutConnections()
 	}
-	for c := range n.calls {
-		f, idleLeft := n.state(c.dialer.self, c.listener.self)
+	for p := range n.pairs {
+		f, idleLeft := n.faultBetween(p.dialer.self, p.listener.self)
 		if f == faultCut {
-			c.breakBoth(errCut)
+			p.failBoth(errCut)
 			continue
 		}
-		n.stall(c, f == faultStalled, idleLeft)
+		n.stall(p, f == faultStalled, idleLeft)
 	}
 }
 
-// stall sets or ends a stall of a stream, which breaks when it lasts too long.
-func (n *Network) stall(c *call, stalled bool, idleLeft time.Duration) {
-	started := c.setStalled(stalled)
+// stall starts or ends a stall of a stream, which fails once the stall has lasted
+// for the idle timeout.
+func (n *Network) stall(p *streamPair, stalled bool, idleLeft time.Duration) {
+	started := p.setStalled(stalled)
 	if !started || n.options.IdleTimeout < 0 {
 		return
 	}
-	c.setIdleTimer(time.AfterFunc(max(idleLeft, 0), c.breakIfStalled))
+	p.setIdleTimer(time.AfterFunc(max(idleLeft, 0), p.failIfStalled))
 }
--- a/transport/memtransport/faults_test.go
+++ b/transport/memtransport/faults_test.go
@@ -21,29 +21,29 @@
 	N int `cbor:"1,keyasint"`
 }
 
-// bench is a network with an echoing server and a client's dialer.
-type bench struct {
+// testNetwork is a network with an echo server and a client's dialer.
+type testNetwork struct {
 	*Network
 	t      *testing.T
 	dialer transport.Dialer
 }
 
-func withBench(t *testing.T, test func(b bench)) {
+func runNetworkTest(t *testing.T, test func(tn testNetwork)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork()
-		b := bench{n, t, n.Dialer(client)}
-		b.listen()
-		test(b)
+		tn := testNetwork{n, t, n.Dialer(client)}
+		tn.listen()
+		test(tn)
 		n.Kill(server)
 		n.Kill(client)
 	})
 }
 
-func (b bench) listen() {
-	b.t.Helper()
-	l, err := b.Listen(server, addr)
+func (tn testNetwork) listen() {
+	tn.t.Helper()
+	l, err := tn.Listen(server, addr)
 	if err != nil {
-		b.t.Fatal(err)
+		tn.t.Fatal(err)
 	}
 	go l.Serve(context.Background(), func(_ context.Context, s transport.Stream) {
 		var m ping
@@ -52,24 +52,24 @@
 	})
 }
 
-func (b bench) open() transport.Stream {
-	b.t.Helper()
-	s, err := b.dialer.Open(context.Background(), addr)
+func (tn testNetwork) open() transport.Stream {
+	tn.t.Helper()
+	s, err := tn.dialer.Open(context.Background(), addr)
 	if err != nil {
-		b.t.Fatal(err)
+		tn.t.Fatal(err)
 	}
 	return s
 }
 
-func (b bench) exchange(s transport.Stream, n int) {
-	b.t.Helper()
+func (tn testNetwork) exchange(s transport.Stream, n int) {
+	tn.t.Helper()
 	var m ping
 	if err := errors.Join(s.Send(ping{n}), s.Recv(&m)); err != nil || m.N != n {
-		b.t.Fatalf("exchange %d: got %d, %v", n, m.N, err)
+		tn.t.Fatalf("exchange %d: got %d, %v", n, m.N, err)
 	}
 }
 
-// elapsed is the virtual time that f takes.
+// elapsed returns the virtual time that f takes.
 func elapsed(f func()) time.Duration {
 	start := time.Now()
 	f()
@@ -77,33 +77,33 @@
 }
 
 func TestLatencyIsCountedBothWays(t *testing.T) {
-	withBench(t, func(b bench) {
-		b.SetLatency(client, server, 5*time.Millisecond)
-		s := b.open()
-		if got := elapsed(func() { b.exchange(s, 1) }); got != 10*time.Millisecond {
+	runNetworkTest(t, func(tn testNetwork) {
+		tn.SetLatency(client, server, 5*time.Millisecond)
+		s := tn.open()
+		if got := elapsed(func() { tn.exchange(s, 1) }); got != 10*time.Millisecond {
 			t.Fatalf("round trip: got %v, want 10ms", got)
 		}
 	})
 }
 
 func TestStallHangsUntilHealAndLosesNothing(t *testing.T) {
-	withBench(t, func(b bench) {
-		s := b.open()
-		b.exchange(s, 1)
-		b.Stall(server, client)
-		time.AfterFunc(2*time.Second, func() { b.Heal(client, server) })
-		if got := elapsed(func() { b.exchange(s, 2) }); got != 2*time.Second {
+	runNetworkTest(t, func(tn testNetwork) {
+		s := tn.open()
+		tn.exchange(s, 1)
+		tn.Stall(server, client)
+		time.AfterFunc(2*time.Second, func() { tn.Heal(client, server) })
+		if got := elapsed(func() { tn.exchange(s, 2) }); got != 2*time.Second {
 			t.Fatalf("exchange over the stall took %v, want 2s", got)
 		}
 	})
 }
 
 func TestStallBeyondTheIdleTimeoutBreaksBothSides(t *testing.T) {
-	withBench(t, func(b bench) {
-		s := b.open()
-		b.exchange(s, 1)
-		b.StallAll(server)
-		late := b.open() // the connection is kept, so this is not noticed yet
+	runNetworkTest(t, func(tn testNetwork) {
+		s := tn.open()
+		tn.exchange(s, 1)
+		tn.StallAll(server)
+		late := tn.open() // over the established connection, so the stall goes unnoticed
 		if err := late.Send(ping{1}); err != nil {
 			t.Fatal(err)
 		}
@@ -113,62 +113,62 @@
 			}
 		})
 		if got != DefaultIdleTimeout {
-			t.Fatalf("noticed after %v, want %v", got, DefaultIdleTimeout)
+			t.Fatalf("Recv failed after %v, want %v", got, DefaultIdleTimeout)
 		}
 		synctest.Wait()
 		if late.Context().Err() == nil {
-			t.Fatal("the stream opened during the stall lives on")
+			t.Fatal("the stream opened during the stall is still open")
 		}
-		if _, err := b.dialer.Open(context.Background(), addr); !errors.Is(err, errNoAnswer) {
+		if _, err := tn.dialer.Open(context.Background(), addr); !errors.Is(err, errHandshakeTimeout) {
 			t.Fatalf("Open: got %v, want errNoAnswer", err)
 		}
-		b.HealAll(server)
-		b.exchange(b.open(), 3)
+		tn.HealAll(server)
+		tn.exchange(tn.open(), 3)
 	})
 }
 
 func TestCutBreaksStreamsAndHealLetsNewOnesThrough(t *testing.T) {
-	withBench(t, func(b bench) {
-		s := b.open()
-		b.exchange(s, 1)
-		b.Cut(client, server)
+	runNetworkTest(t, func(tn testNetwork) {
+		s := tn.open()
+		tn.exchange(s, 1)
+		tn.Cut(client, server)
 		if err := s.Recv(&ping{}); !errors.Is(err, errCut) {
 			t.Fatalf("Recv: got %v", err)
 		}
 		got := elapsed(func() {
-			if _, err := b.dialer.Open(context.Background(), addr); err == nil {
+			if _, err := tn.dialer.Open(context.Background(), addr); err == nil {
 				t.Error("Open over a cut link: got no error")
 			}
 		})
 		if got != DefaultHandshakeTimeout {
 			t.Fatalf("Open failed after %v", got)
 		}
-		b.Heal(client, server)
-		b.exchange(b.open(), 2)
+		tn.Heal(client, server)
+		tn.exchange(tn.open(), 2)
 	})
 }
 
-func TestKilledProcessIsGoneAndItsAddressIsFree(t *testing.T) {
-	withBench(t, func(b bench) {
-		s := b.open()
-		b.exchange(s, 1)
-		b.Kill(server)
+func TestKilledProcessClosesStreamsAndFreesItsAddress(t *testing.T) {
+	runNetworkTest(t, func(tn testNetwork) {
+		s := tn.open()
+		tn.exchange(s, 1)
+		tn.Kill(server)
 		if err := s.Recv(&ping{}); err == nil || errors.Is(err, io.EOF) {
 			t.Fatalf("Recv: got %v", err)
 		}
-		b.listen()
-		b.exchange(b.open(), 2)
-		b.Kill(client)
-		if _, err := b.dialer.Open(context.Background(), addr); !errors.Is(err, ErrDialerClosed) {
+		tn.listen()
+		tn.exchange(tn.open(), 2)
+		tn.Kill(client)
+		if _, err := tn.dialer.Open(context.Background(), addr); !errors.Is(err, ErrDialerClosed) {
 			t.Fatalf("a killed process's dialer: got %v", err)
 		}
 	})
 }
 
-// Giving up a stream is learned only once the link lets it through.
-func TestCloseIsNotLearnedDuringAStall(t *testing.T) {
-	withBench(t, func(b bench) {
-		other, err := b.Listen("agent-2", "127.0.0.1:7002")
+// A stalled link must hold back a Close; the peer sees it once the link is healed.
+func TestCloseIsNotSeenDuringAStall(t *testing.T) {
+	runNetworkTest(t, func(tn testNetwork) {
+		other, err := tn.Listen("agent-2", "127.0.0.1:7002")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -178,7 +178,7 @@
 			accepted <- s
 			<-ctx.Done()
 		})
-		s, err := b.dialer.Open(context.Background(), other.Addr())
+		s, err := tn.dialer.Open(context.Background(), other.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -186,13 +186,13 @@
 			t.Fatal(err)
 		}
 		peer := <-accepted
-		b.Stall(client, "agent-2")
+		tn.Stall(client, "agent-2")
 		s.Close()
 		time.Sleep(time.Second)
 		if peer.Context().Err() != nil {
-			t.Fatal("the close passed a stalled link")
+			t.Fatal("the peer saw the Close over a stalled link")
 		}
-		b.Heal(client, "agent-2")
+		tn.Heal(client, "agent-2")
 		<-peer.Context().Done()
 	})
 }
@@ -224,7 +224,7 @@
 			s.CloseSend()
 		}()
 		synctest.Wait()
-		if sent != 3 { // the fourth would be over the window with its header
+		if sent != 3 { // with its header the fourth message would exceed the window
 			t.Errorf("%d messages sent ahead of the reader, want 3", sent)
 		}
 		close(read)
--- a/transport/memtransport/listener.go
+++ b/transport/memtransport/listener.go
@@ -19,8 +19,8 @@
 	close   context.CancelFunc
 
 	mu      sync.Mutex
-	pending []*end
-	arrived chan struct{} // has room for one: something may be pending
+	pending []*stream
+	arrived chan struct{} // buffer of 1: a value means that pending may not be empty
 }
 
 func newListener(n *Network, id transport.PeerID, addr string) *listener {
@@ -34,7 +34,7 @@
 
 func (l *listener) Addr() string { return l.addr }
 
-func (l *listener) deliver(s *end) {
+func (l *listener) deliver(s *stream) {
 	l.mu.Lock()
 	l.pending = append(l.pending, s)
 	l.mu.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-func (l *listener) take() []*end {
+func (l *listener) takePending() []*stream {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	taken := l.pending
@@ -64,15 +64,15 @@
 			return nil
 		case <-l.arrived:
 		}
-		for _, s := range l.take() {
+		for _, s := range l.takePending() {
 			running.Go(func() { serveStream(accepting, s, h) })
 		}
 	}
 }
 
-// serveStream calls the handler with a context that ends with the stream or
-// with accepting, whichever comes first.
-func serveStream(accepting context.Context, s *end, h transport.Handler) {
+// serveStream calls the handler with a context that is cancelled with the stream's
+// context or with accepting, whichever comes first.
+func serveStream(accepting context.Context, s *stream, h transport.Handler) {
 	defer context.AfterFunc(accepting, s.stopReading)()
 	ctx, cancel := context.WithCancel(accepting)
 	defer cancel()
@@ -94,9 +94,9 @@
 	if l.network.listeners[l.addr] == l {
 		delete(l.network.listeners, l.addr)
 	}
-	for c := range l.network.calls {
-		if c.to == l {
-			c.breakUnfinished(errListenerClosed)
+	for p := range l.network.pairs {
+		if p.to == l {
+			p.failUnfinished(errListenerClosed)
 		}
 	}
 }
--- a/transport/memtransport/network.go
+++ b/transport/memtransport/network.go
@@ -1,8 +1,8 @@
-// Package memtransport is a transport in memory, for tests of many processes
-// in one: it behaves like quictransport and brings about the faults of a
-// network. Messages are encoded and decoded, so that no memory is shared.
+// Package memtransport is an in-memory transport for tests that run many
+// processes of the system in one: it behaves like quictransport and injects
+// network faults. Messages are encoded and decoded, so that no memory is shared.
 //
-// It uses channels and package time only and so runs under testing/synctest.
+// It blocks only on channels and package time and so runs under testing/synctest.
 package memtransport
 
 import (
@@ -16,25 +16,25 @@
 	"mulberryscale.example/transport"
 )
 
-// Times of a network, those of quictransport; Options may change the first two.
+// Timeouts of a network, the same as quictransport's; Options may change the first two.
 const (
 	DefaultHandshakeTimeout = time.Second
 	DefaultIdleTimeout      = 3 * time.Second
 	// PeerCloseTimeout is how long a stream whose handler has returned waits
-	// for its peer to end it too.
+	// for its peer to close it too.
 	PeerCloseTimeout = time.Second
 )
 
-// firstPort is the first of the ports given to listeners that ask for port 0.
+// firstPort is the first port assigned to listeners that ask for port 0.
 const firstPort = 20000
 
-// Options are the times of a network.
+// Options are the timeouts and the latency of a network.
 type Options struct {
 	// HandshakeTimeout is how long Open waits for a peer that does not answer.
 	HandshakeTimeout time.Duration
-	// IdleTimeout is how long a stalled link keeps its streams; negative is for ever.
+	// IdleTimeout is how long a stalled link keeps its streams; negative means forever.
 	IdleTimeout time.Duration
-	// Latency is the time one way on links that SetLatency does not name.
+	// Latency is the one-way latency of links without a SetLatency of their own.
 	Latency time.Duration
 }
 
@@ -46,12 +46,12 @@
 	nextPort  uint16
 	listeners map[string]*listener // by address
 	dialers   map[*dialer]struct{}
-	calls     map[*call]struct{}
+	pairs     map[*streamPair]struct{}
 	links     map[linkKey]*link
 	processes map[transport.PeerID]*link // faults on all links of a process
 }
 
-// NewNetwork returns a network without faults or latency.
+// NewNetwork returns a network without faults or latency, with the default timeouts.
 func NewNetwork() *Network { return NewNetworkOptions(Options{}) }
 
 // NewNetworkOptions returns a network without faults.
@@ -67,13 +67,14 @@
 		nextPort:  firstPort,
 		listeners: make(map[string]*listener),
 		dialers:   make(map[*dialer]struct{}),
-		calls:     make(map[*call]struct{}),
+		pairs:     make(map[*streamPair]struct{}),
 		links:     make(map[linkKey]*link),
 		processes: make(map[transport.PeerID]*link),
 	}
 }
 
-// Listen listens as process id on addr ("ip:port", port 0 for any).
+// Listen listens as process id on addr ("ip:port", port 0 for any free one). It
+// returns an error if addr is malformed or in use.
 func (n *Network) Listen(id transport.PeerID, addr string) (transport.Listener, error) {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -92,7 +93,7 @@
 	return l, nil
 }
 
-// freePort is called with n.mu held.
+// freePort returns ip with a port that is not in use. It is called with n.mu held.
 func (n *Network) freePort(ip netip.Addr) netip.AddrPort {
 	for {
 		ap := netip.AddrPortFrom(ip, n.nextPort)
@@ -103,7 +104,7 @@
 	}
 }
 
-// Dialer returns a dialer of process id.
+// Dialer returns a dialer for process id.
 func (n *Network) Dialer(id transport.PeerID) transport.Dialer {
 	d := newDialer(n, id)
 	n.mu.Lock()
@@ -112,8 +113,8 @@
 	return d
 }
 
-// Kill closes the listeners and dialers of a process and breaks its streams at
-// once, as the death of the process does. A process of the same id may listen again.
+// Kill closes the listeners and dialers of a process and fails its streams at
+// once, as a crash of the process does. A process of the same id may listen again.
 func (n *Network) Kill(id transport.PeerID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -128,9 +129,9 @@
 		}
 	}
 	err := fmt.Errorf("memtransport: process %s was killed", id)
-	for c := range n.calls {
-		if c.dialer.self == id || c.listener.self == id {
-			c.breakBoth(err)
+	for p := range n.pairs {
+		if p.dialer.self == id || p.listener.self == id {
+			p.failBoth(err)
 		}
 	}
 }
--- a/transport/memtransport/race_test.go
+++ b/transport/memtransport/race_test.go
@@ -1,4 +1,4 @@
 package memtransport
 
-// The race detector and bubbles of testing/synctest need one processor.
+// The race detector may crash in testing/synctest bubbles on several processors.
 import _ "mulberryscale.example/internal/racelimit"
--- a/transport/memtransport/stream.go
+++ b/transport/memtransport/stream.go
@@ -12,7 +12,7 @@
 	"mulberryscale.example/transport/codec"
 )
 
-// Errors of closed streams.
+// Errors of Send and Recv on closed streams.
 var (
 	errClosed     = errors.New("memtransport: stream closed")
 	errPeerClosed = errors.New("memtransport: stream closed by the peer")
@@ -20,142 +20,145 @@
 	errSendClosed = errors.New("memtransport: send after CloseSend")
 )
 
-// end is one side's transport.Stream.
-type end struct {
-	call   *call
+// stream is one side of a stream pair, a transport.Stream.
+type stream struct {
+	pair   *streamPair
 	self   transport.PeerID
-	peer   *end
-	in     *half
+	peer   *stream
+	in     *direction
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 
-	broken      error // why this side can no longer be used; nil while it can
-	readStopped bool  // Recv fails, Send goes on
+	err         error // why this side failed; nil while it is usable
+	readStopped bool  // Recv fails, Send still works
 	finishing   bool  // the handler has returned
-	sawEnd      bool  // Recv has returned io.EOF
+	receivedEOF bool  // Recv has returned io.EOF
 }
 
-func newEnd(c *call, self transport.PeerID) *end {
+func newStream(p *streamPair, self transport.PeerID) *stream {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	return &end{call: c, self: self, in: &half{changed: make(chan struct{})}, ctx: ctx, cancel: cancel}
+	return &stream{pair: p, self: self, in: &direction{changed: make(chan struct{})}, ctx: ctx, cancel: cancel}
 }
 
-// breakWith is called with the call's mutex held.
-func (e *end) breakWith(err error) {
-	if e.broken != nil {
+// fail makes Send and Recv return err and cancels the context. It is called with
+// the pair's mutex held.
+func (s *stream) fail(err error) {
+	if s.err != nil {
 		return
 	}
-	e.broken = err
-	e.cancel(err)
-	if e.peer.broken != nil {
-		// The network's mutex comes before the call's, so not from here.
-		go e.call.forget()
+	s.err = err
+	s.cancel(err)
+	if s.peer.err != nil {
+		// Lock order: the network's mutex before the pair's, which is held here.
+		go s.pair.remove()
 	}
 }
 
-// learn brings to this end what its peer has given up, unless the link is stalled.
-func (e *end) learn() {
-	if e.call.stalled {
+// applyPeerClose applies the peer's Close to this side, unless the link is
+// stalled. It is called with the pair's mutex held.
+func (s *stream) applyPeerClose() {
+	if s.pair.stalled {
 		return
 	}
-	if e.in.reset {
-		e.breakWith(errPeerClosed)
+	if s.in.reset {
+		s.fail(errPeerClosed)
 		return
 	}
-	if out := e.peer.in; out.readerGone && !out.finished {
-		e.cancel(errPeerClosed)
+	if out := s.peer.in; out.readerClosed && !out.finished {
+		s.cancel(errPeerClosed)
 	}
 }
 
-func (e *end) Send(msg any) error {
+func (s *stream) Send(msg any) error {
 	data, err := codec.Marshal(msg)
 	if err != nil {
 		return err
 	}
-	err = e.enqueue(data)
+	err = s.enqueue(data)
 	if err != nil {
-		return trace.Wrap(err, "memtransport: send to %s", e.peer.self)
+		return trace.Wrap(err, "memtransport: send to %s", s.peer.self)
 	}
 	return nil
 }
 
-func (e *end) enqueue(data []byte) error {
-	c, out := e.call, e.peer.in
+func (s *stream) enqueue(data []byte) error {
+	p, out := s.pair, s.peer.in
 	for {
-		c.mu.Lock()
-		if err := e.sendError(); err != nil {
-			c.mu.Unlock()
+		p.mu.Lock()
+		if err := s.sendError(); err != nil {
+			p.mu.Unlock()
 			return err
 		}
 		if out.size == 0 || out.size+len(data) <= window {
 			break
 		}
 		changed := out.changed
-		c.mu.Unlock()
+		p.mu.Unlock()
 		<-changed
 	}
-	defer c.mu.Unlock()
-	out.queue = append(out.queue, message{data: data, at: e.arrival()})
+	defer p.mu.Unlock()
+	out.queue = append(out.queue, message{data: data, at: s.arrival()})
 	out.size += len(data)
 	out.notify()
-	e.accept()
+	s.announce()
 	return nil
 }
 
-// sendError says why Send cannot go on; it is called with the call's mutex held.
-func (e *end) sendError() error {
-	out := e.peer.in
+// sendError returns why Send can't proceed, or nil. It is called with the pair's
+// mutex held.
+func (s *stream) sendError() error {
+	out := s.peer.in
 	switch {
-	case e.broken != nil:
-		return e.broken
+	case s.err != nil:
+		return s.err
 	case out.finished:
 		return errSendClosed
-	case out.readerDone && !e.call.stalled:
+	case out.readerFinished && !s.pair.stalled:
 		return errPeerDone
-	case out.readerGone && !e.call.stalled:
+	case out.readerClosed && !s.pair.stalled:
 		return errPeerClosed
 	}
 	return nil
 }
 
-// arrival is when what is sent now arrives: never before what was sent earlier.
-func (e *end) arrival() time.Time {
-	at := time.Now().Add(e.call.latency)
-	queue := e.peer.in.queue
+// arrival returns when a message sent now arrives: never before earlier messages.
+func (s *stream) arrival() time.Time {
+	at := time.Now().Add(s.pair.latency)
+	queue := s.peer.in.queue
 	if len(queue) > 0 && queue[len(queue)-1].at.After(at) {
 		return queue[len(queue)-1].at
 	}
 	return at
 }
 
-// accept tells the listener of a stream once something was sent on it.
-func (e *end) accept() {
-	c := e.call
-	if c.accepted || e != c.dialer {
+// announce delivers the stream to the listener once the dialing side has sent on it.
+func (s *stream) announce() {
+	p := s.pair
+	if p.announced || s != p.dialer {
 		return
 	}
-	c.accepted = true
-	c.to.deliver(c.listener)
+	p.announced = true
+	p.to.deliver(p.listener)
 }
 
-func (e *end) Recv(msg any) error {
-	data, err := e.dequeue()
+func (s *stream) Recv(msg any) error {
+	data, err := s.dequeue()
 	if errors.Is(err, io.EOF) {
 		return io.EOF
 	}
 	if err != nil {
-		return trace.Wrap(err, "memtransport: receive from %s", e.peer.self)
+		return trace.Wrap(err, "memtransport: receive from %s", s.peer.self)
 	}
 	return codec.Unmarshal(data, msg)
 }
 
-func (e *end) dequeue() ([]byte, error) {
-	c := e.call
+func (s *stream) dequeue() ([]byte, error) {
+	p := s.pair
 	for {
-		c.mu.Lock()
-		data, wait, err := e.next()
-		changed := e.in.changed
-		c.mu.Unlock()
+		p.mu.Lock()
+		data, wait, err := s.next()
+		changed := s.in.changed
+		p.mu.Unlock()
 		if data != nil || err != nil {
 			return data, err
 		}
@@ -163,41 +166,42 @@
 	}
 }
 
-// next returns a message or an error that has arrived, or for how long at
-// least to wait; 0 is until a change. It is called with the call's mutex held.
-func (e *end) next() (data []byte, wait time.Duration, err error) {
-	if e.broken != nil {
-		return nil, 0, e.broken
+// next returns a message or an error that has arrived, or else the time to wait
+// unless there is a change before; 0 means to wait for a change. It is called
+// with the pair's mutex held.
+func (s *stream) next() (data []byte, wait time.Duration, err error) {
+	if s.err != nil {
+		return nil, 0, s.err
 	}
-	if e.readStopped {
+	if s.readStopped {
 		return nil, 0, errClosed
 	}
-	if e.call.stalled {
+	if s.pair.stalled {
 		return nil, 0, nil
 	}
-	if len(e.in.queue) == 0 {
-		return e.nextEnd()
+	if len(s.in.queue) == 0 {
+		return s.nextEOF()
 	}
-	first := e.in.queue[0]
+	first := s.in.queue[0]
 	if wait := time.Until(first.at); wait > 0 {
 		return nil, wait, nil
 	}
-	e.in.queue = e.in.queue[1:]
-	e.in.size -= len(first.data)
-	e.in.notify()
+	s.in.queue = s.in.queue[1:]
+	s.in.size -= len(first.data)
+	s.in.notify()
 	return first.data, 0, nil
 }
 
-// nextEnd is next for an empty queue.
-func (e *end) nextEnd() (data []byte, wait time.Duration, err error) {
-	if !e.in.finished {
+// nextEOF is next for an empty queue.
+func (s *stream) nextEOF() (data []byte, wait time.Duration, err error) {
+	if !s.in.finished {
 		return nil, 0, nil
 	}
-	if wait := time.Until(e.in.finishedAt); wait > 0 {
+	if wait := time.Until(s.in.finishedAt); wait > 0 {
 		return nil, wait, nil
 	}
-	e.sawEnd = true
-	e.endIfBothDone()
+	s.receivedEOF = true
+	s.cancelIfBothDone()
 	return nil, 0, io.EOF
 }
 
@@ -214,101 +218,103 @@
 	}
 }
 
-func (e *end) CloseSend() error {
-	c := e.call
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if e.broken != nil {
-		return trace.Wrap(e.broken, "memtransport: close send to %s", e.peer.self)
+func (s *stream) CloseSend() error {
+	p := s.pair
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if s.err != nil {
+		return trace.Wrap(s.err, "memtransport: close send to %s", s.peer.self)
 	}
-	e.closeSend()
+	s.closeSend()
 	return nil
 }
 
-func (e *end) closeSend() {
-	out := e.peer.in
+func (s *stream) closeSend() {
+	out := s.peer.in
 	if out.finished {
 		return
 	}
 	out.finished = true
-	out.finishedAt = e.arrival()
+	out.finishedAt = s.arrival()
 	out.notify()
-	e.accept()
-	e.endIfBothDone()
+	s.announce()
+	s.cancelIfBothDone()
 }
 
-// endIfBothDone ends the context once both directions have ended well.
-func (e *end) endIfBothDone() {
-	if e.sawEnd && e.peer.in.finished {
-		e.cancel(errClosed)
+// cancelIfBothDone cancels the context once both directions are closed without an error.
+func (s *stream) cancelIfBothDone() {
+	if s.receivedEOF && s.peer.in.finished {
+		s.cancel(errClosed)
 	}
 }
 
-// Close gives up. What was sent before a CloseSend still arrives.
-func (e *end) Close() error {
-	c := e.call
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if e.broken != nil {
+// Close cancels both directions. Messages sent before a CloseSend still arrive.
+func (s *stream) Close() error {
+	p := s.pair
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if s.err != nil {
 		return nil
 	}
-	e.breakWith(errClosed)
-	e.peer.in.reset = !e.peer.in.finished
-	e.in.readerGone = true
-	e.peer.learn()
-	c.notifyBoth()
+	s.fail(errClosed)
+	s.peer.in.reset = !s.peer.in.finished
+	s.in.readerClosed = true
+	s.peer.applyPeerClose()
+	p.notifyBoth()
 	return nil
 }
 
-// finish ends the stream after its handler: what was sent still arrives. It
-// waits until the peer has ended its side too, as it does once it has read all.
-func (e *end) finish() {
-	if !e.beginFinish() {
+// finish closes the stream after its handler has returned; messages already sent
+// still arrive. It waits until the peer has closed its side too, as the peer does
+// once it has read everything, for at most PeerCloseTimeout.
+func (s *stream) finish() {
+	if !s.beginFinish() {
 		return
 	}
-	timer := time.AfterFunc(PeerCloseTimeout, e.endFinish)
+	timer := time.AfterFunc(PeerCloseTimeout, s.completeFinish)
 	defer timer.Stop()
 	for {
-		if _, err := e.dequeue(); err != nil {
-			e.endFinish()
+		if _, err := s.dequeue(); err != nil {
+			s.completeFinish()
 			return
 		}
 	}
 }
 
-// beginFinish says whether there is a peer to wait for.
-func (e *end) beginFinish() bool {
-	e.call.mu.Lock()
-	defer e.call.mu.Unlock()
-	if e.broken != nil {
+// beginFinish closes the sending direction and reports whether there is a peer to
+// wait for.
+func (s *stream) beginFinish() bool {
+	s.pair.mu.Lock()
+	defer s.pair.mu.Unlock()
+	if s.err != nil {
 		return false
 	}
-	e.finishing = true
-	e.readStopped = false
-	e.closeSend()
-	e.cancel(errClosed)
+	s.finishing = true
+	s.readStopped = false
+	s.closeSend()
+	s.cancel(errClosed)
 	return true
 }
 
-func (e *end) endFinish() {
-	e.call.mu.Lock()
-	defer e.call.mu.Unlock()
-	e.in.readerDone = true
-	e.breakWith(errClosed)
-	e.call.notifyBoth()
+func (s *stream) completeFinish() {
+	s.pair.mu.Lock()
+	defer s.pair.mu.Unlock()
+	s.in.readerFinished = true
+	s.fail(errClosed)
+	s.pair.notifyBoth()
 }
 
-// stopReading makes a Recv that waits fail and leaves sending as it is.
-func (e *end) stopReading() {
-	e.call.mu.Lock()
-	defer e.call.mu.Unlock()
-	if e.finishing {
+// stopReading makes a waiting Recv fail; Send still works.
+func (s *stream) stopReading() {
+	s.pair.mu.Lock()
+	defer s.pair.mu.Unlock()
+	if s.finishing {
 		return
 	}
-	e.readStopped = true
-	e.in.notify()
+	s.readStopped = true
+	s.in.notify()
 }
 
-func (e *end) Peer() transport.PeerID { return e.peer.self }
+func (s *stream) Peer() transport.PeerID { return s.peer.self }
 
-func (e *end) Context() context.Context { return e.ctx }
+func (s *stream) Context() context.Context { return s.ctx }
--- a/transport/memtransport/stream_pair.go
+++ b/transport/memtransport/stream_pair.go
@@ -5,124 +5,125 @@
 	"time"
 )
 
-// window is how many bytes a sender may be ahead of its reader.
+// window is the flow-control window: how many bytes a sender may have queued
+// that its peer has not read yet.
 const window = 4 << 20
 
-// call is one stream: its two ends and what is on the way between them. One
-// mutex guards all of it.
-type call struct {
+// streamPair is both sides of one stream and the messages in transit between
+// them. One mutex guards all of it.
+type streamPair struct {
 	network          *Network
 	from             *dialer
 	to               *listener
-	dialer, listener *end
+	dialer, listener *stream
 
 	mu        sync.Mutex
 	latency   time.Duration
 	stalled   bool
 	idleTimer *time.Timer
-	accepted  bool // the listener has been told
+	announced bool // the stream has been delivered to the listener
 }
 
-// message is one encoded message on the way.
+// message is one encoded message in transit.
 type message struct {
 	data []byte
 	at   time.Time // when it arrives
 }
 
-// half is one direction of a call.
-type half struct {
-	queue      []message
-	size       int // bytes in queue
-	finished   bool
-	finishedAt time.Time     // when the end of the messages arrives
-	reset      bool          // the writer gave up: Recv fails at once
-	readerGone bool          // the reader gave up: Send fails, the context ends
-	readerDone bool          // the reader's handler returned: Send fails
-	changed    chan struct{} // closed and replaced at each change
+// direction is one direction of a stream.
+type direction struct {
+	queue          []message
+	size           int // bytes in queue
+	finished       bool
+	finishedAt     time.Time     // when io.EOF arrives
+	reset          bool          // the writer called Close: Recv fails at once
+	readerClosed   bool          // the reader called Close: Send fails, the context is cancelled
+	readerFinished bool          // the reader's handler returned: Send fails
+	changed        chan struct{} // closed and replaced at each change
 }
 
-func (h *half) notify() {
+func (h *direction) notify() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-func newCall(n *Network, from *dialer, to *listener) *call {
-	c := &call{network: n, from: from, to: to}
-	c.dialer = newEnd(c, from.id)
-	c.listener = newEnd(c, to.id)
-	c.dialer.peer = c.listener
-	c.listener.peer = c.dialer
-	return c
+func newStreamPair(n *Network, from *dialer, to *listener) *streamPair {
+	p := &streamPair{network: n, from: from, to: to}
+	p.dialer = newStream(p, from.id)
+	p.listener = newStream(p, to.id)
+	p.dialer.peer = p.listener
+	p.listener.peer = p.dialer
+	return p
 }
 
-func (c *call) setLatency(d time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.latency = d
+func (p *streamPair) setLatency(d time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.latency = d
 }
 
-// setStalled says whether a stall has begun.
-func (c *call) setStalled(stalled bool) (started bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	started = stalled && !c.stalled
-	c.stalled = stalled
-	if !stalled && c.idleTimer != nil {
-		c.idleTimer.Stop()
-		c.idleTimer = nil
+// setStalled starts or ends a stall and reports whether one has started.
+func (p *streamPair) setStalled(stalled bool) (started bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	started = stalled && !p.stalled
+	p.stalled = stalled
+	if !stalled && p.idleTimer != nil {
+		p.idleTimer.Stop()
+		p.idleTimer = nil
 	}
-	c.dialer.learn()
-	c.listener.learn()
-	c.notifyBoth()
+	p.dialer.applyPeerClose()
+	p.listener.applyPeerClose()
+	p.notifyBoth()
 	return started
 }
 
-func (c *call) setIdleTimer(t *time.Timer) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.idleTimer = t
+func (p *streamPair) setIdleTimer(t *time.Timer) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.idleTimer = t
 }
 
-func (c *call) breakIfStalled() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.stalled {
-		c.breakLocked(errIdle)
+func (p *streamPair) failIfStalled() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.stalled {
+		p.failLocked(errIdle)
 	}
 }
 
-func (c *call) breakBoth(err error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.breakLocked(err)
+func (p *streamPair) failBoth(err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.failLocked(err)
 }
 
-// breakUnfinished breaks the stream unless its handler has returned: then what
-// the handler sent can still be read.
-func (c *call) breakUnfinished(err error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.listener.finishing {
-		c.breakLocked(err)
+// failUnfinished fails the stream unless its handler has returned: in that case
+// the peer can still read the messages that the handler sent.
+func (p *streamPair) failUnfinished(err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !p.listener.finishing {
+		p.failLocked(err)
 	}
 }
 
-func (c *call) breakLocked(err error) {
-	c.dialer.breakWith(err)
-	c.listener.breakWith(err)
-	c.notifyBoth()
-	if c.idleTimer != nil {
-		c.idleTimer.Stop()
+func (p *streamPair) failLocked(err error) {
+	p.dialer.fail(err)
+	p.listener.fail(err)
+	p.notifyBoth()
+	if p.idleTimer != nil {
+		p.idleTimer.Stop()
 	}
 }
 
-func (c *call) notifyBoth() {
-	c.dialer.in.notify()
-	c.listener.in.notify()
+func (p *streamPair) notifyBoth() {
+	p.dialer.in.notify()
+	p.listener.in.notify()
 }
 
-func (c *call) forget() {
-	c.network.mu.Lock()
-	defer c.network.mu.Unlock()
-	delete(c.network.calls, c)
+func (p *streamPair) remove() {
+	p.network.mu.Lock()
+	defer p.network.mu.Unlock()
+	delete(p.network.pairs, p)
 }
