--- a/cmd/mulberry-agent/main.go
+++ b/cmd/mulberry-agent/main.go
@@ -1,5 +1,5 @@
-// Command mulberry-agent is the small process in the slot beside a model
-// engine or a plain service, and the only way to it.
+// Command mulberry-agent runs beside a model engine or a plain service. All
+// requests to that endpoint go through it.
 package main
 
 import (
--- a/cmd/mulberry-agent/run.go
+++ b/cmd/mulberry-agent/run.go
@@ -10,7 +10,7 @@
 	"mulberryscale.example/service/agent"
 )
 
-// run serves until a signal or a peer asks the agent to stop.
+// run serves until a signal arrives or a peer requests a drain.
 func run(ctx context.Context, s *agentSettings) error {
 	p, err := s.Open(*s.listen)
 	if err != nil {
@@ -55,12 +55,12 @@
 		LoadTimeout:        *s.loadTimeout,
 		SwapWindow:         *s.swapWindow,
 	}
-	connect(s, &cfg)
+	setEndpoint(s, &cfg)
 	return agent.New(cfg)
 }
 
-// connect names the endpoint and the platform's services.
-func connect(s *agentSettings, cfg *agent.Config) {
+// setEndpoint sets the clients of the endpoint and of the platform's services in cfg.
+func setEndpoint(s *agentSettings, cfg *agent.Config) {
 	if *s.instances != "" {
 		cfg.Instances = httpplatform.NewInstances(*s.instances)
 	}
--- a/cmd/mulberry-entry/callers.go
+++ b/cmd/mulberry-entry/callers.go
@@ -17,19 +17,19 @@
 	log      logrus.FieldLogger
 
 	mu sync.Mutex
-	// busy are the connections whose call has been read and whose answer is not
-	// written out.
+	// busy holds the connections with a call that was read and whose response
+	// is not fully written.
 	busy map[net.Conn]struct{}
 }
 
 func newCallersServer(server *http.Server, listener net.Listener, log logrus.FieldLogger) *callersServer {
 	s := &callersServer{http: server, listener: listener, log: log, busy: map[net.Conn]struct{}{}}
-	server.ConnState = s.noteState
+	server.ConnState = s.trackState
 	return s
 }
 
-// noteState is the server's hook for the states of its connections.
-func (s *callersServer) noteState(c net.Conn, state http.ConnState) {
+// trackState is the server's ConnState hook; it keeps busy up to date.
+func (s *callersServer) trackState(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if state == http.StateActive {
@@ -39,10 +39,10 @@
 	delete(s.busy, c)
 }
 
-// serve serves callers while run, which does the rest of the entry's work, goes
-// on, and closes all connections once run has returned. It ends run's context
-// when ctx ends or callers can no longer be served, but not at a shutdown, which
-// is still writing answers when the listener has closed.
+// serve serves callers until run, which does the rest of the entry's work, has
+// returned, and then closes all connections. It cancels run's context when ctx is
+// done or serving fails, but not on a shutdown, which still writes responses
+// after the listener has closed. The error joins those of run and of serving.
 func (s *callersServer) serve(ctx context.Context, run func(context.Context) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -61,19 +61,19 @@
 	return errors.Join(err, <-served)
 }
 
-// close closes all connections, also those whose calls are not answered.
+// close closes all connections, including those with unanswered calls.
 func (s *callersServer) close() {
 	s.mu.Lock()
-	cut := len(s.busy)
+	interrupted := len(s.busy)
 	s.mu.Unlock()
-	if cut > 0 {
-		s.log.WithField("connections", cut).Warn("connections closed before their answers were written")
+	if interrupted > 0 {
+		s.log.WithField("connections", interrupted).Warn("connections closed before their answers were written")
 	}
 	if err := s.http.Close(); err != nil {
 		s.log.WithError(err).Debug("callers' listener closed")
 	}
 }
 
-// shutdown stops accepting connections and returns once the answers of all
-// calls in progress are written, or ctx has ended.
+// shutdown stops accepting connections and returns once the responses of all
+// calls in progress are written, or with the error of ctx when it is done.
 func (s *callersServer) shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
--- a/cmd/mulberry-entry/callers_test.go
+++ b/cmd/mulberry-entry/callers_test.go
@@ -13,32 +13,32 @@
 	"mulberryscale.example/observe"
 )
 
-const answerText = "two seats are yours"
+const responseText = "two seats are yours"
 
-// TestStopWritesAnswersOut guards against a stop that closes the connection of a
-// call whose handler has returned, but whose answer is not written out yet.
+// TestStopWritesAnswersOut guards against a shutdown that closes the connection of a
+// call whose handler has returned, but whose response is not fully written yet.
 func TestStopWritesAnswersOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listener := pipenet.Listen()
 		server := newCallersServer(&http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			io.WriteString(w, answerText)
+			io.WriteString(w, responseText)
 		})}, listener, observe.Discard())
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		served := make(chan error, 1)
-		go func() { served <- server.serve(ctx, untilDone) }()
-		conn := startCall(t, listener)
-		synctest.Wait() // the handler has returned, and nobody reads its answer yet
+		go func() { served <- server.serve(ctx, waitDone) }()
+		conn := sendCall(t, listener)
+		synctest.Wait() // the handler has returned; its response is not read yet
 
 		drained := make(chan error, 1)
 		go func() { drained <- server.shutdown(t.Context()) }()
 		synctest.Wait()
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
-			t.Fatalf("the call in progress got no answer: %v", err)
+			t.Fatalf("the call in progress got no response: %v", err)
 		}
 		body, err := io.ReadAll(resp.Body)
-		if err != nil || string(body) != answerText {
+		if err != nil || string(body) != responseText {
 			t.Errorf("got %q, %v", body, err)
 		}
 		if err := <-drained; err != nil {
@@ -51,14 +51,14 @@
 	})
 }
 
-// untilDone does no work until ctx ends.
-func untilDone(ctx context.Context) error {
+// waitDone blocks until ctx is done.
+func waitDone(ctx context.Context) error {
 	<-ctx.Done()
 	return nil
 }
 
-// startCall sends a call on a new connection, of which it reads nothing.
-func startCall(t *testing.T, listener *pipenet.Listener) net.Conn {
+// sendCall sends a call on a new connection and reads nothing from it.
+func sendCall(t *testing.T, listener *pipenet.Listener) net.Conn {
 	t.Helper()
 	conn, err := listener.Dial(t.Context())
 	if err != nil {
--- a/cmd/mulberry-entry/main.go
+++ b/cmd/mulberry-entry/main.go
@@ -1,5 +1,5 @@
-// Command mulberry-entry is the thin entry instance behind the platform's
-// balancer: the callers' and trainers' HTTP API.
+// Command mulberry-entry runs an entry instance: it serves the HTTP API of
+// callers and trainers behind the platform's load balancer.
 package main
 
 import (
--- a/cmd/mulberry-entry/run.go
+++ b/cmd/mulberry-entry/run.go
@@ -17,7 +17,7 @@
 	"mulberryscale.example/tablesync"
 )
 
-// run serves until a signal or an operator asks the entry to stop.
+// run serves until a signal arrives or an operator requests a drain.
 func run(ctx context.Context, s *entrySettings) error {
 	p, err := s.Open(*s.peerListen)
 	if err != nil {
@@ -49,12 +49,12 @@
 		ID: *s.ID, Zone: *s.Zone, Listener: p.Listener, Dialer: p.Dialer,
 		Holder: tablesync.NewHolder(), Instances: httpplatform.NewInstances(*s.instances),
 		Table: httpplatform.NewTable(*s.table), Counters: p.Counters, Log: p.Log,
-		Subset: *s.subset, Retention: *s.linger, MaxBody: *s.maxBody,
+		Subset: *s.subset, Retention: *s.retention, MaxBody: *s.maxBody,
 	})
 }
 
-// drain shows the entry unready until the balancer has noticed, then lets the
-// calls in progress end, then the connections.
+// drain reports the entry unready for unreadyDelay, so that the load balancer
+// notices, then waits for the calls in progress and shuts the server down.
 func drain(ctx context.Context, e *entry.Entry, server *callersServer, unreadyDelay time.Duration) error {
 	e.ShowUnready()
 	select {
@@ -71,7 +71,7 @@
 func statusHandler(e *entry.Entry) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		// A failed write is the operator's broken connection.
+		// A write fails only if the operator's connection broke.
 		_ = json.NewEncoder(w).Encode(e.Status())
 	})
 }
--- a/cmd/mulberry-node/main.go
+++ b/cmd/mulberry-node/main.go
@@ -1,6 +1,6 @@
 // Command mulberry-node runs mulberryscale on the users' platform: "entry"
-// serves clients, "agent" stands beside a model engine. The platform lays the
-// settings file and names it in the environment.
+// serves clients, "agent" runs beside a model engine. The platform writes the
+// settings file and passes its path in an environment variable.
 package main
 
 import (
@@ -20,8 +20,8 @@
 )
 
 func main() {
-	sig := listen()
-	boundMemory()
+	sig := notifySignals()
+	limitMemory()
 	cmd := &cli.Command{
 		Name:  "mulberry-node",
 		Usage: "run mulberryscale on the users' platform",
@@ -37,28 +37,28 @@
 // maxPort is the highest port number.
 const maxPort = 65535
 
-// runner is a program that runs until its context ends, and then drains.
+// runner is a program that runs until its context is done, and then drains.
 type runner interface {
 	Run(ctx context.Context) error
-	// Reload reads the settings again at each hangup until ctx ends.
+	// Reload calls load and applies the settings at each hangup until ctx is done.
 	Reload(ctx context.Context, hangups <-chan os.Signal, load func() (*nodefile.Settings, error))
 }
 
-// signals are what the platform tells a process.
+// signals holds the signals that the platform sends to a process.
 type signals struct {
-	// running ends with SIGTERM or SIGINT.
-	running context.Context
+	// ctx is cancelled by SIGTERM or SIGINT.
+	ctx context.Context
 	// hangups delivers SIGHUP.
 	hangups <-chan os.Signal
 }
 
-// listen hears signals from now on. Before it a hangup ends the process, so it
-// comes first.
-func listen() signals {
+// notifySignals starts to catch signals. Until then a SIGHUP kills the process,
+// so main calls it first.
+func notifySignals() signals {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	running, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT) // until the process ends
-	return signals{running: running, hangups: hangups}
+	running, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT) // until the process exits
+	return signals{ctx: running, hangups: hangups}
 }
 
 func roleCommand(sig signals, name, usage string, role nodefile.Role, make func(*nodefile.Settings, node.Options) (runner, error)) *cli.Command {
@@ -78,10 +78,10 @@
 				},
 			},
 			&cli.StringFlag{
-				Name: "log-level", Usage: "least level of log lines: error, warning, info or debug", Value: observe.DefaultLevel,
+				Name: "log-level", Usage: "lowest level that is logged: error, warning, info or debug", Value: observe.DefaultLevel,
 				Sources: cli.EnvVars("MULBERRY_LOG_LEVEL"),
 			},
-			&cli.BoolFlag{Name: "print-settings", Usage: "print the checked settings as JSON and end"},
+			&cli.BoolFlag{Name: "print-settings", Usage: "print the checked settings as JSON and exit"},
 		},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			settings, err := nodefile.Load(cmd.String("settings"), role)
@@ -98,8 +98,8 @@
 				return err
 			}
 			reload := func() (*nodefile.Settings, error) { return nodefile.Load(cmd.String("settings"), role) }
-			go program.Reload(sig.running, sig.hangups, reload)
-			return program.Run(sig.running)
+			go program.Reload(sig.ctx, sig.hangups, reload)
+			return program.Run(sig.ctx)
 		},
 	}
 }
--- a/cmd/mulberry-node/memory.go
+++ b/cmd/mulberry-node/memory.go
@@ -3,18 +3,19 @@
 import "runtime/debug"
 
 const (
-	// gcPercent is how far the heap may grow before it is collected, in percent
-	// of what lives. Half of Go's usual growth keeps 65 processes at 16% less
-	// memory for 5 to 10% more processor time, over a calm day of half a minute.
+	// gcPercent is how far the heap may grow before a garbage collection, in
+	// percent of the live heap. Half of Go's default saves 65 processes 16% of
+	// memory for 5 to 10% more CPU time, measured over half a minute of light load.
 	gcPercent = 50
-	// memoryTarget is the memory above which the collector works harder, in
-	// bytes. An entry whose trainers all read a job again had 65 MB for a
-	// moment without it and 40 to 50 MB with it; a node is to stay under 64 MB.
-	memoryTarget = 36 << 20
+	// memoryLimit is the soft limit, in bytes, above which the garbage collector
+	// runs more often. When all trainers of an entry reread a job, the entry
+	// peaked at 65 MB without the limit and at 40 to 50 MB with it; a node has to
+	// stay under 64 MB.
+	memoryLimit = 36 << 20
 )
 
-// boundMemory sets the collector's aims for this process.
-func boundMemory() {
+// limitMemory sets the garbage collector's parameters for this process.
+func limitMemory() {
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(memoryTarget)
+	debug.SetMemoryLimit(memoryLimit)
 }
--- a/cmd/mulberry-standin/main.go
+++ b/cmd/mulberry-standin/main.go
@@ -1,5 +1,5 @@
-// Command mulberry-standin runs one of the platform's stand-ins as a process:
-// scaffolding for the demo and for tests, not part of the product.
+// Command mulberry-standin runs a stand-in of a platform service as a process,
+// for the demo and for tests. It is not part of the product.
 package main
 
 import (
@@ -12,14 +12,14 @@
 )
 
 func main() {
-	os.Exit(daemon.Main(program(), os.Args, os.Stderr))
+	os.Exit(daemon.Main(rootCommand(), os.Args, os.Stderr))
 }
 
-// program is the command line with one subcommand for each stand-in.
-func program() *cli.Command {
+// rootCommand returns the command line, with one subcommand for each stand-in.
+func rootCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "mulberry-standin",
-		Usage: "run a small fake of a platform service, for the demo and for tests",
+		Usage: "run a stand-in of a platform service, for the demo and for tests",
 		Description: "Example: mulberry-standin engine --listen 127.0.0.1:9101 --model guide=1\n" +
 			"Faults are switched on by POST /faults, for example {\"kind\":\"slow\",\"factor\":4}.\n" +
 			"Prints one line \"listening <ip:port>\" on stdout. SIGTERM waits for the running calls.",
@@ -31,7 +31,7 @@
 	}
 }
 
-// unknownCommand shows the help when no subcommand is named.
+// unknownCommand shows the help, or refuses a name that is not a subcommand.
 func unknownCommand(_ context.Context, c *cli.Command) error {
 	if c.Args().Present() {
 		return daemon.Usagef("no such stand-in: %q", c.Args().First())
--- a/cmd/mulberry-standin/main_test.go
+++ b/cmd/mulberry-standin/main_test.go
@@ -13,42 +13,42 @@
 	"mulberryscale.example/internal/standin/plain"
 )
 
-// A stop waits for a call that still runs.
+// A graceful stop waits for a call in progress.
 func TestServeAndGracefulStop(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	out, in := io.Pipe()
-	p := program()
+	p := rootCommand()
 	p.Writer = in
-	ended := make(chan error, 1)
+	done := make(chan error, 1)
 	go func() {
-		ended <- p.Run(ctx, []string{"mulberry-standin", "service", "--delay", "200ms"})
+		done <- p.Run(ctx, []string{"mulberry-standin", "service", "--delay", "200ms"})
 	}()
 	line, err := bufio.NewReader(out).ReadString('\n')
 	addr, found := strings.CutPrefix(strings.TrimSpace(line), "listening ")
 	if err != nil || !found {
 		t.Fatalf("first line %q, %v", line, err)
 	}
-	answered := make(chan error, 1)
+	callDone := make(chan error, 1)
 	go func() {
 		resp, err := http.Post("http://"+addr+"/x", "text/plain", strings.NewReader("a"))
 		if err == nil {
 			_, err = io.ReadAll(resp.Body)
 			resp.Body.Close()
 		}
-		answered <- err
+		callDone <- err
 	}()
 	awaitExecution(t, addr)
 	stop()
-	if err := <-answered; err != nil {
-		t.Fatalf("the running call was cut off: %v", err)
+	if err := <-callDone; err != nil {
+		t.Fatalf("the call in progress was interrupted: %v", err)
 	}
-	if err := <-ended; err != nil {
+	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 }
 
-// awaitExecution waits until the stand-in has begun a call.
+// awaitExecution waits until the stand-in has started a call.
 func awaitExecution(t *testing.T, addr string) {
 	for {
 		resp, err := http.Get("http://" + addr + "/records")
@@ -71,7 +71,7 @@
 	for _, line := range []string{
 		"engine --listen localhost:80", "engine --slots -1", "engine --model guide", "engine --delay 1s", "table extra", "nothing",
 	} {
-		p := program()
+		p := rootCommand()
 		p.Writer = io.Discard
 		var stderr strings.Builder
 		status := daemon.Main(p, append([]string{"mulberry-standin"}, strings.Fields(line)...), &stderr)
--- a/cmd/mulberry-standin/serve.go
+++ b/cmd/mulberry-standin/serve.go
@@ -16,22 +16,22 @@
 	"mulberryscale.example/daemon"
 )
 
-// Bounds of a stand-in's server.
+// Time limits of a stand-in's server.
 const (
 	headerTimeout = 5 * time.Second
 	defaultGrace  = 30 * time.Second
 )
 
-// envPrefix begins the environment variable of each flag.
+// envPrefix is the prefix of each flag's environment variable.
 const envPrefix = "MULBERRY_STANDIN_"
 
-// Names of the flags that every stand-in has.
+// Flags common to all stand-ins.
 const (
 	flagListen = "listen"
 	flagGrace  = "grace"
 )
 
-// standin is a subcommand that serves the handler that makeHandler returns.
+// standin returns a subcommand that serves the handler that makeHandler returns.
 func standin(name, usage string, flags []cli.Flag, makeHandler func(*cli.Command) (http.Handler, error)) *cli.Command {
 	common := []cli.Flag{
 		&cli.StringFlag{Name: flagListen, Value: "127.0.0.1:0", Usage: "address to listen on, `ip:port`", Sources: env("LISTEN")},
@@ -53,7 +53,7 @@
 
 func env(name string) cli.ValueSourceChain { return cli.EnvVars(envPrefix + name) }
 
-// serve serves until ctx ends, then waits for the running calls.
+// serve serves until ctx is done or a signal arrives, then waits for the calls in progress.
 func serve(ctx context.Context, c *cli.Command, handler http.Handler) error {
 	if c.Args().Present() {
 		return daemon.Usagef("unexpected argument %q", c.Args().First())
--- a/cmd/mulberry-standin/standins.go
+++ b/cmd/mulberry-standin/standins.go
@@ -23,17 +23,17 @@
 func engineCommand() *cli.Command {
 	flags := []cli.Flag{
 		idFlag(),
-		&cli.IntFlag{Name: "slots", Value: engine.DefaultSlots, Validator: notNegative[int], Usage: "streams that run at once", Sources: env("SLOTS")},
-		&cli.DurationFlag{Name: "token-time", Value: engine.DefaultTokenTime, Validator: notNegative[time.Duration], Usage: "time for a token of a stream that runs alone", Sources: env("TOKEN_TIME")},
-		&cli.FloatFlag{Name: "batch-slowdown", Validator: notNegative[float64], Usage: "share by which each further stream lengthens the token time", Sources: env("BATCH_SLOWDOWN")},
-		&cli.IntFlag{Name: "chunk-tokens", Value: engine.DefaultChunkTokens, Validator: notNegative[int], Usage: "most tokens in a chunk", Sources: env("CHUNK_TOKENS")},
-		&cli.DurationFlag{Name: "prefill-time", Validator: notNegative[time.Duration], Usage: "time for a prompt token that is not cached", Sources: env("PREFILL_TIME")},
-		&cli.IntFlag{Name: "cache-tokens", Value: engine.DefaultCacheTokens, Validator: notNegative[int], Usage: "size of the prefix cache", Sources: env("CACHE_TOKENS")},
-		&cli.DurationFlag{Name: "event-lag", Validator: notNegative[time.Duration], Usage: "age at which cache events are listed", Sources: env("EVENT_LAG")},
-		&cli.FloatFlag{Name: "event-gap", Validator: notNegative[float64], Usage: "share of the cache events that is never listed", Sources: env("EVENT_GAP")},
-		&cli.DurationFlag{Name: "load-time", Validator: notNegative[time.Duration], Usage: "time that a load takes", Sources: env("LOAD_TIME")},
+		&cli.IntFlag{Name: "slots", Value: engine.DefaultSlots, Validator: nonNegative[int], Usage: "streams that run concurrently", Sources: env("SLOTS")},
+		&cli.DurationFlag{Name: "token-time", Value: engine.DefaultTokenTime, Validator: nonNegative[time.Duration], Usage: "time for each token of a single stream", Sources: env("TOKEN_TIME")},
+		&cli.FloatFlag{Name: "batch-slowdown", Validator: nonNegative[float64], Usage: "fraction by which each further stream lengthens the token time", Sources: env("BATCH_SLOWDOWN")},
+		&cli.IntFlag{Name: "chunk-tokens", Value: engine.DefaultChunkTokens, Validator: nonNegative[int], Usage: "most tokens in a chunk", Sources: env("CHUNK_TOKENS")},
+		&cli.DurationFlag{Name: "prefill-time", Validator: nonNegative[time.Duration], Usage: "time for a prompt token that is not cached", Sources: env("PREFILL_TIME")},
+		&cli.IntFlag{Name: "cache-tokens", Value: engine.DefaultCacheTokens, Validator: nonNegative[int], Usage: "size of the prefix cache", Sources: env("CACHE_TOKENS")},
+		&cli.DurationFlag{Name: "event-lag", Validator: nonNegative[time.Duration], Usage: "delay until cache events are listed", Sources: env("EVENT_LAG")},
+		&cli.FloatFlag{Name: "event-gap", Validator: nonNegative[float64], Usage: "fraction of the cache events that is never listed", Sources: env("EVENT_GAP")},
+		&cli.DurationFlag{Name: "load-time", Validator: nonNegative[time.Duration], Usage: "time to load a model", Sources: env("LOAD_TIME")},
 		&cli.StringSliceFlag{Name: "model", Usage: "model loaded at the start, `name=version`; may be repeated", Sources: env("MODEL")},
-		&cli.BoolFlag{Name: "ignore-fence", Usage: "obey orders with an old fencing number", Sources: env("IGNORE_FENCE")},
+		&cli.BoolFlag{Name: "ignore-fence", Usage: "obey orders with an old fencing token", Sources: env("IGNORE_FENCE")},
 		&cli.Int64Flag{Name: "seed", Usage: "varies which cache events are lost", Sources: env("SEED")},
 	}
 	return standin("engine", "a model engine that batches continuously", flags, func(c *cli.Command) (http.Handler, error) {
@@ -60,7 +60,7 @@
 	})
 }
 
-// parseModels reads "name=version" pairs.
+// parseModels parses "name=version" pairs.
 func parseModels(pairs []string) (map[string]uint64, error) {
 	models := make(map[string]uint64, len(pairs))
 	for _, pair := range pairs {
@@ -75,7 +75,7 @@
 }
 
 func serviceCommand() *cli.Command {
-	return standin("service", "a plain service that answers each call with itself", plainFlags(), func(c *cli.Command) (http.Handler, error) {
+	return standin("service", "a plain service that echoes each call", plainFlags(), func(c *cli.Command) (http.Handler, error) {
 		return plain.New(plainOptions(c)).Handler(), nil
 	})
 }
@@ -89,7 +89,7 @@
 func plainFlags() []cli.Flag {
 	return []cli.Flag{
 		idFlag(),
-		&cli.DurationFlag{Name: "delay", Validator: notNegative[time.Duration], Usage: "time from a call's execution to its answer", Sources: env("DELAY")},
+		&cli.DurationFlag{Name: "delay", Validator: nonNegative[time.Duration], Usage: "time from a call's execution to its response", Sources: env("DELAY")},
 	}
 }
 
@@ -99,27 +99,27 @@
 
 func tableCommand() *cli.Command {
 	return standin("table", "the transactional table service", limitFlags(), func(c *cli.Command) (http.Handler, error) {
-		return tableservice.New(tableservice.Options{Limits: limits(c)}).Handler(), nil
+		return tableservice.New(tableservice.Options{Limits: gateLimits(c)}).Handler(), nil
 	})
 }
 
 func objectsCommand() *cli.Command {
 	return standin("objects", "the object store", limitFlags(), func(c *cli.Command) (http.Handler, error) {
-		return objects.New(objects.Options{Limits: limits(c)}).Handler(), nil
+		return objects.New(objects.Options{Limits: gateLimits(c)}).Handler(), nil
 	})
 }
 
 func instancesCommand() *cli.Command {
-	flags := append(limitFlags(), &cli.DurationFlag{Name: "lag", Validator: notNegative[time.Duration], Usage: "age of the list that is told", Sources: env("LAG")})
+	flags := append(limitFlags(), &cli.DurationFlag{Name: "lag", Validator: nonNegative[time.Duration], Usage: "age of the returned list", Sources: env("LAG")})
 	return standin("instances", "the lagging instance list", flags, func(c *cli.Command) (http.Handler, error) {
-		return instances.New(instances.Options{Lag: c.Duration("lag"), Limits: limits(c)}).Handler(), nil
+		return instances.New(instances.Options{Lag: c.Duration("lag"), Limits: gateLimits(c)}).Handler(), nil
 	})
 }
 
 func weightsCommand() *cli.Command {
 	flags := []cli.Flag{
-		&cli.FloatFlag{Name: "calls", Validator: notNegative[float64], Usage: "calls a second, 0 for no limit", Sources: env("CALLS")},
-		&cli.FloatFlag{Name: "bytes", Validator: notNegative[float64], Usage: "bytes of parts a second, 0 for no limit", Sources: env("BYTES")},
+		&cli.FloatFlag{Name: "calls", Validator: nonNegative[float64], Usage: "calls a second, 0 for no limit", Sources: env("CALLS")},
+		&cli.FloatFlag{Name: "bytes", Validator: nonNegative[float64], Usage: "bytes of parts a second, 0 for no limit", Sources: env("BYTES")},
 	}
 	return standin("weights", "the rate-limited weight store", flags, func(c *cli.Command) (http.Handler, error) {
 		opts := weights.Options{CallsPerSecond: c.Float("calls"), BytesPerSecond: c.Float("bytes")}
@@ -127,8 +127,8 @@
 	})
 }
 
-// notNegative checks a flag's value.
-func notNegative[T cmp.Ordered](v T) error {
+// nonNegative is a flag validator that refuses values below zero.
+func nonNegative[T cmp.Ordered](v T) error {
 	var zero T
 	if v < zero {
 		return trace.BadParameter("want 0 or more, got %v", v)
@@ -142,11 +142,11 @@
 
 func limitFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.FloatFlag{Name: "reads", Validator: notNegative[float64], Usage: "reads a second, 0 for no limit", Sources: env("READS")},
-		&cli.FloatFlag{Name: "writes", Validator: notNegative[float64], Usage: "writes a second, 0 for no limit", Sources: env("WRITES")},
+		&cli.FloatFlag{Name: "reads", Validator: nonNegative[float64], Usage: "reads a second, 0 for no limit", Sources: env("READS")},
+		&cli.FloatFlag{Name: "writes", Validator: nonNegative[float64], Usage: "writes a second, 0 for no limit", Sources: env("WRITES")},
 	}
 }
 
-func limits(c *cli.Command) gate.Limits {
+func gateLimits(c *cli.Command) gate.Limits {
 	return gate.Limits{Reads: c.Float("reads"), Writes: c.Float("writes")}
 }
--- a/cmd/mulberryctl/apply.go
+++ b/cmd/mulberryctl/apply.go
@@ -29,8 +29,8 @@
 
 var errDeclined = errors.New("not applied: declined")
 
-// applySpace is the name space of the apply ids made here.
-var applySpace = uuid.NewSHA1(uuid.NameSpaceURL, []byte("https://mulberryscale.example/apply"))
+// applyIDNamespace is the name space of the apply ids made here.
+var applyIDNamespace = uuid.NewSHA1(uuid.NameSpaceURL, []byte("https://mulberryscale.example/apply"))
 
 func editFlags() []cli.Flag {
 	return []cli.Flag{
@@ -63,26 +63,26 @@
 	}
 }
 
-// fileMistakes are the mistakes of one file.
-type fileMistakes struct {
+// fileResult are the mistakes of one file.
+type fileResult struct {
 	File     string       `json:"file"`
 	Rows     int          `json:"rows"`
 	Mistakes table.Errors `json:"mistakes"`
 }
 
 func checkFiles(cmd *cli.Command) error {
-	var results []fileMistakes
+	var results []fileResult
 	out := daemon.Table{Header: []string{"FILE", "LINE", "ROW", "COLUMN", "RESULT"}}
-	wrong := 0
+	invalid := 0
 	for _, path := range cmd.Args().Slice() {
-		result := fileMistakes{File: path, Mistakes: table.Errors{}}
+		result := fileResult{File: path, Mistakes: table.Errors{}}
 		file, err := readFile(path)
 		switch {
 		case err == nil:
 			result.Rows = len(file.rows)
 			out.Rows = append(out.Rows, []string{path, "", "", "", fmt.Sprintf("ok, %d rows", result.Rows)})
 		case errors.As(err, &result.Mistakes):
-			wrong++
+			invalid++
 			for _, m := range result.Mistakes {
 				out.Rows = append(out.Rows, []string{path, fmt.Sprint(m.Line), m.Row, m.Column, m.Message})
 			}
@@ -94,8 +94,8 @@
 	if err := daemon.OutputOf(cmd).Write(cmd.Root().Writer, out, results); err != nil {
 		return err
 	}
-	if wrong > 0 {
-		return daemon.Usagef("%d of %d files have mistakes", wrong, len(results))
+	if invalid > 0 {
+		return daemon.Usagef("%d of %d files have mistakes", invalid, len(results))
 	}
 	return nil
 }
@@ -118,12 +118,12 @@
 	file    *tableFile
 	base    uint64
 	current tablestore.Entry
-	// same: the table in force has no difference to the file.
-	same bool
+	// unchanged: the table in force has no difference to the file.
+	unchanged bool
 }
 
 func runApply(ctx context.Context, cmd *cli.Command) error {
-	if err := wantArgs(cmd, 1, 1); err != nil {
+	if err := checkArgs(cmd, 1, 1); err != nil {
 		return err
 	}
 	store, err := openStore(cmd)
@@ -132,38 +132,38 @@
 	}
 	file, err := readFile(cmd.Args().First())
 	if err != nil {
-		return asUsage(err)
+		return asUsageError(err)
 	}
 	a := &applyEdit{store: store, file: file}
-	return edit{a.plan, a.commit}.run(ctx, cmd)
+	return confirmedEdit{a.plan, a.commit}.run(ctx, cmd)
 }
 
 // plan has no question when there is nothing to apply, and when the base is not
 // the current version, since the edit is then refused or recognised.
 func (a *applyEdit) plan(ctx context.Context, cmd *cli.Command) (string, []table.Change, error) {
-	current, err := currentDocument(ctx, a.store)
+	current, err := readCurrent(ctx, a.store)
 	if err != nil {
 		return "", nil, err
 	}
 	a.current = current.Entry
-	a.base, err = baseOf(cmd, a.file, current.Version)
+	a.base, err = baseVersion(cmd, a.file, current.Version)
 	if err != nil || a.base != current.Version {
 		return "", nil, err
 	}
-	rows, err := rowsOf(current)
+	rows, err := parseRows(current)
 	if err != nil {
 		return "", nil, err
 	}
 	changes := table.Diff(rows, a.file.rows)
-	a.same = len(changes) == 0
-	if a.same {
+	a.unchanged = len(changes) == 0
+	if a.unchanged {
 		return "", nil, nil
 	}
 	return fmt.Sprintf("apply to version %d?", a.base), changes, nil
 }
 
 func (a *applyEdit) commit(ctx context.Context, cmd *cli.Command) error {
-	if a.same {
+	if a.unchanged {
 		return printEntry(cmd, "no difference", a.current)
 	}
 	entry, err := a.store.Apply(ctx, tablestore.ApplyRequest{
@@ -174,17 +174,17 @@
 		Body:    a.file.body,
 	})
 	if err != nil {
-		return explain(cmd, err)
+		return explainConflict(cmd, err)
 	}
-	if err := a.file.writeBase(entry.Version); err != nil {
+	if err := a.file.rewriteBaseLine(entry.Version); err != nil {
 		return err
 	}
 	return printEntry(cmd, "applied", entry)
 }
 
-// baseOf finds the version that the file was made from. It is never guessed:
+// baseVersion finds the version that the file was made from. It is never guessed:
 // a file made from an older version would undo the edits since.
-func baseOf(cmd *cli.Command, file *tableFile, current uint64) (uint64, error) {
+func baseVersion(cmd *cli.Command, file *tableFile, current uint64) (uint64, error) {
 	switch {
 	case cmd.IsSet(flagBase):
 		return cmd.Uint64(flagBase), nil
@@ -204,7 +204,7 @@
 		return id
 	}
 	parts = append(parts, cmd.String(flagAuthor))
-	return uuid.NewSHA1(applySpace, fmt.Appendf(nil, "%q", parts)).String()
+	return uuid.NewSHA1(applyIDNamespace, fmt.Appendf(nil, "%q", parts)).String()
 }
 
 func rollbackCommand() *cli.Command {
@@ -225,7 +225,7 @@
 }
 
 func runRollback(ctx context.Context, cmd *cli.Command) error {
-	if err := wantArgs(cmd, 1, 1); err != nil {
+	if err := checkArgs(cmd, 1, 1); err != nil {
 		return err
 	}
 	to, err := parseVersion(cmd.Args().First())
@@ -237,7 +237,7 @@
 		return err
 	}
 	r := &rollbackEdit{store: store, to: to}
-	return edit{r.plan, r.commit}.run(ctx, cmd)
+	return confirmedEdit{r.plan, r.commit}.run(ctx, cmd)
 }
 
 func (r *rollbackEdit) plan(ctx context.Context, cmd *cli.Command) (string, []table.Change, error) {
@@ -261,7 +261,7 @@
 		Author:  cmd.String(flagAuthor),
 	})
 	if err != nil {
-		return explain(cmd, err)
+		return explainConflict(cmd, err)
 	}
 	return printEntry(cmd, "rolled back", entry)
 }
@@ -283,8 +283,8 @@
 	return nil
 }
 
-// explain prints the three-way difference of a conflict.
-func explain(cmd *cli.Command, err error) error {
+// explainConflict prints the three-way difference of a conflict.
+func explainConflict(cmd *cli.Command, err error) error {
 	var conflict *tablestore.ConflictError
 	if !errors.As(err, &conflict) {
 		return err
@@ -295,8 +295,8 @@
 	return err
 }
 
-// asUsage gives mistakes in a file the exit status of wrong usage.
-func asUsage(err error) error {
+// asUsageError gives mistakes in a file the exit status of wrong usage.
+func asUsageError(err error) error {
 	var mistakes table.Errors
 	if errors.As(err, &mistakes) {
 		return &daemon.UsageError{Err: err}
--- a/cmd/mulberryctl/command.go
+++ b/cmd/mulberryctl/command.go
@@ -82,10 +82,10 @@
 	}
 }
 
-// bounded adds the bound of the whole command to an action.
-func bounded(action cli.ActionFunc) cli.ActionFunc {
+// withTimeout adds the bound of the whole command to an action.
+func withTimeout(action cli.ActionFunc) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
-		timeout, err := timeoutOf(cmd)
+		timeout, err := commandTimeout(cmd)
 		if err != nil {
 			return err
 		}
@@ -95,18 +95,18 @@
 	}
 }
 
-// edit is a command in two steps between which the operator may think: plan
+// confirmedEdit is a command in two steps between which the operator may think: plan
 // shows the difference, commit writes. Each step has the bound by itself.
-type edit struct {
+type confirmedEdit struct {
 	plan   func(ctx context.Context, cmd *cli.Command) (question string, changes []table.Change, err error)
 	commit func(ctx context.Context, cmd *cli.Command) error
 }
 
 // run asks between the steps, unless the plan has no question.
-func (e edit) run(ctx context.Context, cmd *cli.Command) error {
+func (e confirmedEdit) run(ctx context.Context, cmd *cli.Command) error {
 	var question string
 	var changes []table.Change
-	err := bounded(func(ctx context.Context, cmd *cli.Command) (err error) {
+	err := withTimeout(func(ctx context.Context, cmd *cli.Command) (err error) {
 		question, changes, err = e.plan(ctx, cmd)
 		return err
 	})(ctx, cmd)
@@ -118,10 +118,10 @@
 			return err
 		}
 	}
-	return bounded(e.commit)(ctx, cmd)
+	return withTimeout(e.commit)(ctx, cmd)
 }
 
-func timeoutOf(cmd *cli.Command) (time.Duration, error) {
+func commandTimeout(cmd *cli.Command) (time.Duration, error) {
 	text := cmd.String(flagTimeout)
 	if text == "" {
 		return defaultTimeout, nil
@@ -145,8 +145,8 @@
 	return tablestore.New(httpplatform.NewTable(address)), nil
 }
 
-// wantArgs checks the number of arguments.
-func wantArgs(cmd *cli.Command, low, high int) error {
+// checkArgs checks the number of arguments.
+func checkArgs(cmd *cli.Command, low, high int) error {
 	if n := cmd.Args().Len(); n < low || n > high {
 		return daemon.Usagef("want: mulberryctl %s %s", cmd.Name, cmd.ArgsUsage)
 	}
--- a/cmd/mulberryctl/duties.go
+++ b/cmd/mulberryctl/duties.go
@@ -30,8 +30,8 @@
 	Work string `json:"work"`
 }
 
-// workOf says what a term's work is, by the subject that it is about.
-func workOf(subject string, work []byte) (string, error) {
+// describeWork says what a term's work is, by the subject that it is about.
+func describeWork(subject string, work []byte) (string, error) {
 	if strings.HasPrefix(subject, scaling.SubjectPrefix) {
 		var order scaling.Order
 		if err := codec.Unmarshal(work, &order); err != nil {
@@ -55,7 +55,7 @@
 	return &cli.Command{
 		Name: "duties", Usage: "show who holds, or last held, each duty that one process at a time may do",
 		Flags:  []cli.Flag{storeFlag()},
-		Action: bounded(showDuties),
+		Action: withTimeout(showDuties),
 	}
 }
 
@@ -75,7 +75,7 @@
 		if err != nil {
 			return trace.Wrap(err, "duty %s", row.Name)
 		}
-		work, err := workOf(row.Name, term.Work)
+		work, err := describeWork(row.Name, term.Work)
 		if err != nil {
 			return trace.Wrap(err, "duty %s", row.Name)
 		}
--- a/cmd/mulberryctl/engines.go
+++ b/cmd/mulberryctl/engines.go
@@ -65,7 +65,7 @@
 }
 
 func readEngines(ctx context.Context, rows store.Rows) ([]engineLine, error) {
-	_, named, err := readOperator(ctx, rows)
+	_, named, err := readOperatorTable(ctx, rows)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/mulberryctl/explain.go
+++ b/cmd/mulberryctl/explain.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	story := logstory.Build(lines, id)
-	story.Unreadable = unreadable
-	return story.Write(out)
+	timeline := logstory.Build(lines, id)
+	timeline.Unreadable = unreadable
+	return timeline.Write(out)
 }
--- a/cmd/mulberryctl/file.go
+++ b/cmd/mulberryctl/file.go
@@ -13,10 +13,10 @@
 	"mulberryscale.example/table"
 )
 
-// baseMark begins the comment that get writes as a table file's first line. It
+// baseLinePrefix begins the comment that get writes as a table file's first line. It
 // names the version from which the file was made, and it is no part of the
 // text that is applied.
-const baseMark = "# mulberryscale table version "
+const baseLinePrefix = "# mulberryscale table version "
 
 // tableFile is a table file as read from disk.
 type tableFile struct {
@@ -41,7 +41,7 @@
 		return nil, trace.Wrap(err, "step file.read")
 	}
 	f := &tableFile{path: path, format: format, body: body}
-	if err := f.takeBase(); err != nil {
+	if err := f.cutBaseLine(); err != nil {
 		return nil, err
 	}
 	f.rows, err = table.Parse(format, f.body)
@@ -51,29 +51,29 @@
 	return f, nil
 }
 
-// takeBase takes the line of baseMark off the body.
-func (f *tableFile) takeBase() error {
-	rest, ok := bytes.CutPrefix(f.body, []byte(baseMark))
+// cutBaseLine takes the line of baseMark off the body.
+func (f *tableFile) cutBaseLine() error {
+	rest, ok := bytes.CutPrefix(f.body, []byte(baseLinePrefix))
 	if !ok {
 		return nil
 	}
 	line, body, _ := bytes.Cut(rest, []byte("\n"))
 	base, err := strconv.ParseUint(string(bytes.TrimSpace(line)), 10, 64)
 	if err != nil {
-		return daemon.Usagef("%s: line 1: want a version after %q", f.path, baseMark)
+		return daemon.Usagef("%s: line 1: want a version after %q", f.path, baseLinePrefix)
 	}
 	f.base, f.hasBase, f.body = base, true, body
 	return nil
 }
 
-// withBase puts the line of baseMark before a text.
-func withBase(version uint64, body []byte) []byte {
-	return append(fmt.Appendf(nil, "%s%d\n", baseMark, version), body...)
+// prependBaseLine puts the line of baseMark before a text.
+func prependBaseLine(version uint64, body []byte) []byte {
+	return append(fmt.Appendf(nil, "%s%d\n", baseLinePrefix, version), body...)
 }
 
-// writeBase renews the line of baseMark in the file, if it has one. The file is
+// rewriteBaseLine renews the line of baseMark in the file, if it has one. The file is
 // replaced whole.
-func (f *tableFile) writeBase(version uint64) error {
+func (f *tableFile) rewriteBaseLine(version uint64) error {
 	if !f.hasBase || f.base == version {
 		return nil
 	}
@@ -86,7 +86,7 @@
 		return trace.Wrap(err, "step file.write")
 	}
 	defer os.Remove(temp.Name()) // gone after the rename
-	if err := writeAndClose(temp, withBase(version, f.body), info.Mode()); err != nil {
+	if err := writeAndClose(temp, prependBaseLine(version, f.body), info.Mode()); err != nil {
 		return trace.Wrap(err, "step file.write")
 	}
 	return trace.Wrap(os.Rename(temp.Name(), f.path), "step file.write")
--- a/cmd/mulberryctl/fleet.go
+++ b/cmd/mulberryctl/fleet.go
@@ -29,9 +29,9 @@
 )
 
 const (
-	maxAnswer    = 16 << 20
-	callTimeout  = 5 * time.Second
-	waitInterval = 500 * time.Millisecond
+	maxResponseBytes = 16 << 20
+	callTimeout      = 5 * time.Second
+	waitInterval     = 500 * time.Millisecond
 )
 
 func operatorsFlags() []cli.Flag {
@@ -51,14 +51,14 @@
 	}
 }
 
-// operators calls operators' listeners.
-type operators struct {
+// operatorClient calls operatorClient' listeners.
+type operatorClient struct {
 	addresses []string
 	token     string
 }
 
-func operatorsOf(cmd *cli.Command) (*operators, error) {
-	o := &operators{token: cmd.String(flagToken)}
+func newOperatorClient(cmd *cli.Command) (*operatorClient, error) {
+	o := &operatorClient{token: cmd.String(flagToken)}
 	for _, text := range strings.Split(cmd.String(flagOperators), ",") {
 		addr, err := netip.ParseAddrPort(strings.TrimSpace(text))
 		if err != nil {
@@ -69,11 +69,11 @@
 	return o, nil
 }
 
-// direct passes over the environment's proxies, which must not see the token.
-var direct = &http.Client{Transport: &http.Transport{}}
+// noProxyClient passes over the environment's proxies, which must not see the token.
+var noProxyClient = &http.Client{Transport: &http.Transport{}}
 
 // call makes one call and decodes a JSON answer into v, unless v is nil.
-func (o *operators) call(ctx context.Context, method, addr, path string, v any) error {
+func (o *operatorClient) call(ctx context.Context, method, addr, path string, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
@@ -83,17 +83,17 @@
 	if o.token != "" {
 		req.Header.Set("Authorization", "Bearer "+o.token)
 	}
-	resp, err := direct.Do(req)
+	resp, err := noProxyClient.Do(req)
 	if err != nil {
 		return trace.Wrap(err, "step operators.call, peer %s", addr)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return trace.Wrap(err, "step operators.call, peer %s", addr)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return callError(addr, resp.Status, body)
+		return responseError(addr, resp.Status, body)
 	}
 	if v == nil {
 		return nil
@@ -101,17 +101,17 @@
 	return trace.Wrap(json.Unmarshal(body, v), "step operators.call, peer %s", addr)
 }
 
-// callError is the typed refusal in an answer, or else its status.
-func callError(addr, status string, body []byte) error {
-	var refused api.ErrorBody
-	if json.Unmarshal(body, &refused) == nil && refused.Error != nil {
-		return refused.Error
+// responseError is the typed refusal in an answer, or else its status.
+func responseError(addr, status string, body []byte) error {
+	var refusal api.ErrorBody
+	if json.Unmarshal(body, &refusal) == nil && refusal.Error != nil {
+		return refusal.Error
 	}
 	return fmt.Errorf("step operators.call, peer %s: %s", addr, status)
 }
 
-// each calls all listeners at once and joins their errors.
-func (o *operators) each(call func(i int, addr string) error) error {
+// callAll calls all listeners at once and joins their errors.
+func (o *operatorClient) callAll(call func(i int, addr string) error) error {
 	errs := make([]error, len(o.addresses))
 	var all sync.WaitGroup
 	for i, addr := range o.addresses {
@@ -126,15 +126,15 @@
 		Name:  "drain",
 		Usage: "let processes finish what runs, take nothing new, and stop",
 		Flags: operatorsFlags(),
-		Action: bounded(func(ctx context.Context, cmd *cli.Command) error {
-			if err := wantArgs(cmd, 0, 0); err != nil {
+		Action: withTimeout(func(ctx context.Context, cmd *cli.Command) error {
+			if err := checkArgs(cmd, 0, 0); err != nil {
 				return err
 			}
-			o, err := operatorsOf(cmd)
+			o, err := newOperatorClient(cmd)
 			if err != nil {
 				return err
 			}
-			err = o.each(func(_ int, addr string) error {
+			err = o.callAll(func(_ int, addr string) error {
 				return o.call(ctx, http.MethodPost, addr, daemon.PathDrain, nil)
 			})
 			if err != nil {
@@ -147,26 +147,26 @@
 }
 
 // statuses asks all listeners. Of two answers about one process it keeps the fresher.
-func (o *operators) statuses(ctx context.Context) ([]api.ProcessStatus, error) {
+func (o *operatorClient) statuses(ctx context.Context) ([]api.ProcessStatus, error) {
 	answers := make([][]api.ProcessStatus, len(o.addresses))
-	err := o.each(func(i int, addr string) error {
+	err := o.callAll(func(i int, addr string) error {
 		return o.call(ctx, http.MethodGet, addr, api.PathStatus, &answers[i])
 	})
 	return mergeStatuses(answers), err
 }
 
 func mergeStatuses(answers [][]api.ProcessStatus) []api.ProcessStatus {
-	freshest := make(map[string]api.ProcessStatus)
+	newest := make(map[string]api.ProcessStatus)
 	for _, answer := range answers {
 		for _, p := range answer {
-			known, ok := freshest[p.ID]
+			known, ok := newest[p.ID]
 			if !ok || p.SeenSeconds < known.SeenSeconds {
-				freshest[p.ID] = p
+				newest[p.ID] = p
 			}
 		}
 	}
-	merged := make([]api.ProcessStatus, 0, len(freshest))
-	for _, p := range freshest {
+	merged := make([]api.ProcessStatus, 0, len(newest))
+	for _, p := range newest {
 		merged = append(merged, p)
 	}
 	slices.SortFunc(merged, func(a, b api.ProcessStatus) int {
--- a/cmd/mulberryctl/jobs.go
+++ b/cmd/mulberryctl/jobs.go
@@ -38,7 +38,7 @@
 	jobEnded    = "ended"
 )
 
-var jobOrder = []string{jobOpen, jobFinished, jobEnded}
+var jobStateOrder = []string{jobOpen, jobFinished, jobEnded}
 
 func showJobs(ctx context.Context, cmd *cli.Command) error {
 	client, err := openMetastore(cmd)
@@ -84,19 +84,19 @@
 		if ended[job.ID] && !all {
 			continue
 		}
-		line, err := readJob(ctx, ledger, job, s.Now, ended[job.ID])
+		line, err := countResults(ctx, ledger, job, s.Now, ended[job.ID])
 		if err != nil {
 			return nil, err
 		}
 		jobs = append(jobs, line)
 	}
 	slices.SortFunc(jobs, func(a, b jobLine) int {
-		return cmp.Or(cmp.Compare(slices.Index(jobOrder, a.State), slices.Index(jobOrder, b.State)), cmp.Compare(a.AgeSeconds, b.AgeSeconds))
+		return cmp.Or(cmp.Compare(slices.Index(jobStateOrder, a.State), slices.Index(jobStateOrder, b.State)), cmp.Compare(a.AgeSeconds, b.AgeSeconds))
 	})
 	return jobs, nil
 }
 
-func readJob(ctx context.Context, ledger *batch.Ledger, job *batch.Job, now time.Duration, ended bool) (jobLine, error) {
+func countResults(ctx context.Context, ledger *batch.Ledger, job *batch.Job, now time.Duration, ended bool) (jobLine, error) {
 	listing, err := ledger.Results(ctx, job.ID)
 	if err != nil {
 		return jobLine{}, trace.Wrap(err, "read the results of job %s", job.ID)
--- a/cmd/mulberryctl/keys.go
+++ b/cmd/mulberryctl/keys.go
@@ -54,20 +54,20 @@
 	}
 }
 
-// paths are the files of a certificate and its key.
-func paths(dir, name string) (certFile, keyFile string) {
+// pairFiles are the files of a certificate and its key.
+func pairFiles(dir, name string) (certFile, keyFile string) {
 	return filepath.Join(dir, name+certSuffix), filepath.Join(dir, name+keySuffix)
 }
 
 func runAuthority(_ context.Context, cmd *cli.Command) error {
-	if err := wantArgs(cmd, 0, 0); err != nil {
+	if err := checkArgs(cmd, 0, 0); err != nil {
 		return err
 	}
 	dir := cmd.String(flagDir)
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return trace.Wrap(err, "step keys.authority")
 	}
-	certFile, keyFile := paths(dir, authorityName)
+	certFile, keyFile := pairFiles(dir, authorityName)
 	for _, file := range []string{certFile, keyFile} {
 		if _, err := os.Stat(file); !errors.Is(err, fs.ErrNotExist) {
 			return fmt.Errorf("step keys.authority: %s exists; an authority is never replaced", file)
@@ -88,7 +88,7 @@
 		return daemon.Usagef("want: mulberryctl keys issue --dir DIR ID...")
 	}
 	dir := cmd.String(flagDir)
-	pair, err := keys.ReadPair(paths(dir, authorityName))
+	pair, err := keys.ReadPair(pairFiles(dir, authorityName))
 	if err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 		if err != nil {
 			return err
 		}
-		certFile, keyFile := paths(dir, id)
+		certFile, keyFile := pairFiles(dir, id)
 		if err := keys.WritePair(certFile, keyFile, issued); err != nil {
 			return err
 		}
--- a/cmd/mulberryctl/main_test.go
+++ b/cmd/mulberryctl/main_test.go
@@ -33,8 +33,8 @@
 	return result{out.String(), errs.String(), status}
 }
 
-// oneSpaced makes the columns' widths of no matter.
-func oneSpaced(text string) string { return strings.Join(strings.Fields(text), " ") }
+// collapseSpaces makes the columns' widths of no matter.
+func collapseSpaces(text string) string { return strings.Join(strings.Fields(text), " ") }
 
 // want fails the test unless the status is right and the texts were printed.
 func (r result) want(t *testing.T, status int, texts ...string) {
@@ -43,7 +43,7 @@
 		t.Errorf("exit status %d, want %d", r.status, status)
 	}
 	for _, text := range texts {
-		if !strings.Contains(oneSpaced(r.out+r.err), oneSpaced(text)) {
+		if !strings.Contains(collapseSpaces(r.out+r.err), collapseSpaces(text)) {
 			t.Errorf("%q was not printed", text)
 		}
 	}
@@ -52,24 +52,24 @@
 	}
 }
 
-// bench is a table service with a directory for files.
-type bench struct {
+// tableFixture is a table service with a directory for files.
+type tableFixture struct {
 	service *tableservice.Service
 	url     string
 	dir     string
 }
 
-func newBench(t *testing.T) *bench {
+func newTableFixture(t *testing.T) *tableFixture {
 	service := tableservice.New(tableservice.Options{})
 	server := httptest.NewServer(service.Handler())
 	t.Cleanup(server.Close)
 	t.Setenv("MULBERRY_TABLE_SERVICE", server.URL)
 	t.Setenv("MULBERRY_AUTHOR", "ann")
-	return &bench{service: service, url: server.URL, dir: t.TempDir()}
+	return &tableFixture{service: service, url: server.URL, dir: t.TempDir()}
 }
 
 // file writes a YAML table file of plain rows under a first line.
-func (b *bench) file(t *testing.T, name, firstLine string, rows ...string) string {
+func (b *tableFixture) file(t *testing.T, name, firstLine string, rows ...string) string {
 	t.Helper()
 	text := firstLine + "rows:\n"
 	for _, r := range rows {
@@ -91,7 +91,7 @@
 }
 
 func TestCheckNamesEachMistake(t *testing.T) {
-	b := newBench(t)
+	b := newTableFixture(t)
 	bad := b.file(t, "bad.yaml", "", "name: A, share: 0", "name: b, scorer: c")
 	r := run(t, "", "check", bad)
 	r.want(t, 2, "A   name", "A   share", "b   scorer", "1 of 1 files have mistakes")
@@ -117,7 +117,7 @@
 }
 
 func TestApplyAsksFirst(t *testing.T) {
-	b := newBench(t)
+	b := newTableFixture(t)
 	file := b.file(t, "table.yaml", "", "name: a")
 	run(t, "n\n", "apply", file).want(t, 1, "+ a: kind=plain", "declined")
 	run(t, "", "history").want(t, 0, "VERSION")
@@ -126,10 +126,10 @@
 
 // TestGetEditApply is the operators' round: get, edit, apply, look back.
 func TestGetEditApply(t *testing.T) {
-	b := newBench(t)
+	b := newTableFixture(t)
 	run(t, "", "apply", "--yes", b.file(t, "first.yaml", "", "name: a")).want(t, 0)
 	got := run(t, "", "get")
-	got.want(t, 0, baseMark+"1\n")
+	got.want(t, 0, baseLinePrefix+"1\n")
 
 	edited := filepath.Join(b.dir, "edited.yaml")
 	text := strings.Replace(got.out, "name: a", "name: a, share: 3", 1)
@@ -140,12 +140,12 @@
 	run(t, "", "apply", "--yes", edited).want(t, 0, "applied: version 2")
 	run(t, "", "apply", "--yes", edited).want(t, 0, "no difference: version 2")
 	now, err := os.ReadFile(edited)
-	if err != nil || !strings.HasPrefix(string(now), baseMark+"2\nrows:") {
+	if err != nil || !strings.HasPrefix(string(now), baseLinePrefix+"2\nrows:") {
 		t.Fatalf("%q, %v", now, err)
 	}
 	run(t, "", "rollback", "--yes", "1").want(t, 0, "rolled back: version 3", `~ a.share: "3" -> "1"`)
 	run(t, "", "diff", "1", "3").want(t, 0)
-	run(t, "", "get", "--version", "2", "--format", "csv").want(t, 0, baseMark+"2\n", "a,plain,,3,")
+	run(t, "", "get", "--version", "2", "--format", "csv").want(t, 0, baseLinePrefix+"2\n", "a,plain,,3,")
 	var versions []versionResult
 	r := run(t, "", "history", "--output", "json")
 	if err := json.Unmarshal([]byte(r.out), &versions); err != nil || len(versions) != 3 || versions[0].RollbackOf != 1 {
@@ -156,10 +156,10 @@
 // TestSecondOperatorIsRefused: of two operators who started from one version
 // the second is shown both edits, and nothing is lost.
 func TestSecondOperatorIsRefused(t *testing.T) {
-	b := newBench(t)
+	b := newTableFixture(t)
 	run(t, "", "apply", "--yes", b.file(t, "first.yaml", "", "name: a")).want(t, 0)
-	ann := b.file(t, "ann.yaml", baseMark+"1\n", "name: a, share: 2")
-	bob := b.file(t, "bob.yaml", baseMark+"1\n", "name: a, share: 3", "name: b")
+	ann := b.file(t, "ann.yaml", baseLinePrefix+"1\n", "name: a, share: 2")
+	bob := b.file(t, "bob.yaml", baseLinePrefix+"1\n", "name: a, share: 3", "name: b")
 	run(t, "", "apply", "--yes", ann).want(t, 0, "applied: version 2")
 	run(t, "", "apply", "--yes", "--author", "bob", bob).want(t, 1,
 		"mine    ~ a.share", "mine    + b", "theirs  ~ a.share", "both    ! a.share", `version 2 by "ann" came first`)
@@ -170,7 +170,7 @@
 
 // TestRepeatAfterLostReply: the same command, repeated, is the same apply.
 func TestRepeatAfterLostReply(t *testing.T) {
-	b := newBench(t)
+	b := newTableFixture(t)
 	file := b.file(t, "first.yaml", "", "name: a")
 	run(t, "", "apply", "--yes", "--base", "0", file).want(t, 0, "version 1")
 	b.service.LoseNextReplies(1)
@@ -181,7 +181,7 @@
 }
 
 func TestOutageIsOneLine(t *testing.T) {
-	b := newBench(t)
+	b := newTableFixture(t)
 	b.service.Outage(true)
 	r := run(t, "", "apply", "--yes", b.file(t, "table.yaml", "", "name: a"))
 	r.want(t, 1, "step table", "peer")
@@ -190,8 +190,8 @@
 	}
 }
 
-// operatorsListener answers as a process does.
-func operatorsListener(t *testing.T, statuses []api.ProcessStatus) string {
+// startOperatorListener answers as a process does.
+func startOperatorListener(t *testing.T, statuses []api.ProcessStatus) string {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathStatus, func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(statuses)
@@ -207,17 +207,17 @@
 }
 
 func TestStatusAndDrain(t *testing.T) {
-	b := newBench(t)
+	b := newTableFixture(t)
 	for i, share := range []string{"1", "2"} {
-		file := b.file(t, "table.yaml", fmt.Sprintf("%s%d\n", baseMark, i), "name: a, share: "+share)
+		file := b.file(t, "table.yaml", fmt.Sprintf("%s%d\n", baseLinePrefix, i), "name: a, share: "+share)
 		run(t, "", "apply", "--yes", file).want(t, 0)
 	}
-	one := operatorsListener(t, []api.ProcessStatus{
+	one := startOperatorListener(t, []api.ProcessStatus{
 		{ID: "entry-1", Role: "entry", TableVersion: 2},
 		{ID: "agent-1", Role: "agent", TableVersion: 1, SeenSeconds: 9, AgeSeconds: api.UnknownAge},
 		{ID: "agent-2", Role: "agent", TableVersion: 1, SeenSeconds: 1, AgeSeconds: api.UnknownAge},
 	})
-	two := operatorsListener(t, []api.ProcessStatus{
+	two := startOperatorListener(t, []api.ProcessStatus{
 		{ID: "entry-2", Role: "entry", TableVersion: 2},
 		{ID: "agent-1", Role: "agent", TableVersion: 2, SeenSeconds: 3},
 	})
--- a/cmd/mulberryctl/platform.go
+++ b/cmd/mulberryctl/platform.go
@@ -36,7 +36,7 @@
 		Flags: []cli.Flag{storeFlag(), &cli.BoolFlag{
 			Name: flagAll, Usage: "also those that were ended; reads all their results",
 		}},
-		Action: bounded(showJobs),
+		Action: withTimeout(showJobs),
 	}
 }
 
@@ -44,7 +44,7 @@
 	return &cli.Command{
 		Name: "engines", Usage: "show the registered engines and their weight versions",
 		Flags:  []cli.Flag{storeFlag()},
-		Action: bounded(showEngines),
+		Action: withTimeout(showEngines),
 	}
 }
 
@@ -52,12 +52,12 @@
 	return &cli.Command{
 		Name: "config", Usage: "show the configuration in the platform's store",
 		Flags:  []cli.Flag{storeFlag()},
-		Action: bounded(showConfig),
+		Action: withTimeout(showConfig),
 	}
 }
 
 func openMetastore(cmd *cli.Command) (*metastore.Client, error) {
-	if err := wantArgs(cmd, 0, 0); err != nil {
+	if err := checkArgs(cmd, 0, 0); err != nil {
 		return nil, err
 	}
 	addr := cmd.String(flagStore)
@@ -67,8 +67,8 @@
 	return metastore.New(addr), nil
 }
 
-// readOperator reads the configuration, nil if there is none, and the named versions.
-func readOperator(ctx context.Context, rows store.Rows) (*fleet.Config, map[string]uint64, error) {
+// readOperatorTable reads the configuration, nil if there is none, and the named versions.
+func readOperatorTable(ctx context.Context, rows store.Rows) (*fleet.Config, map[string]uint64, error) {
 	s, err := rows.List(ctx, store.Range{Table: operator.TableOperator})
 	if err != nil {
 		return nil, nil, trace.Wrap(err, "read the configuration")
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	config, named, err := readOperator(ctx, client)
+	config, named, err := readOperatorTable(ctx, client)
 	if err != nil {
 		return err
 	}
--- a/cmd/mulberryctl/platform_test.go
+++ b/cmd/mulberryctl/platform_test.go
@@ -20,8 +20,8 @@
 	"mulberryscale.example/usage"
 )
 
-// platformStore serves a store with a configuration, an engine and two jobs.
-func platformStore(t *testing.T) (rows *rowstore.Store, addr string) {
+// startPlatformStore serves a store with a configuration, an engine and two jobs.
+func startPlatformStore(t *testing.T) (rows *rowstore.Store, addr string) {
 	t.Helper()
 	rows = rowstore.New()
 	put := func(row store.Row, err error) {
@@ -60,8 +60,8 @@
 	return rows, strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestShowsWhatStandsInTheStore(t *testing.T) {
-	_, addr := platformStore(t)
+func TestShowsStoreContents(t *testing.T) {
+	_, addr := startPlatformStore(t)
 	if open := run(t, "", "jobs", "--store", addr); open.status != 0 || strings.Contains(open.out, "job-ended") || !strings.Contains(open.out, "job-open") {
 		t.Errorf("open jobs: %+v", open)
 	}
@@ -78,7 +78,7 @@
 // TestShowsWhoHoldsADuty has one duty done, one whose holder may still act, and
 // one whose holder can no longer.
 func TestShowsWhoHoldsADuty(t *testing.T) {
-	rows, addr := platformStore(t)
+	rows, addr := startPlatformStore(t)
 	now, _ := rows.Now()
 	encode := func(work any) []byte {
 		value, err := codec.Marshal(work)
@@ -89,11 +89,11 @@
 	}
 	report := encode(usage.Report{Window: 12, Counts: usage.Counts{"guthi": 5, "trust": 2}})
 	order := encode(scaling.Order{Endpoints: 6})
-	place := scaling.Subject(scaling.Target{Service: "desk", Zone: "z"})
+	scaleSubject := scaling.Subject(scaling.Target{Service: "desk", Zone: "z"})
 	for name, term := range map[string]duty.Term{
-		"a":   {Fence: duty.Fence{Holder: "side-1", Token: 7}, Machine: "10.1.0.9", Began: now, Piece: 12, Done: true, Work: report},
-		"b":   {Fence: duty.Fence{Holder: "side-2", Token: 8}, Machine: "10.1.0.8", Began: now + time.Minute, Piece: 13, Work: report},
-		place: {Fence: duty.Fence{Holder: "side-3", Token: 9}, Machine: "10.1.0.7", Began: now - time.Minute, Piece: 14, Work: order},
+		"a":          {Fence: duty.Fence{Holder: "side-1", Token: 7}, Machine: "10.1.0.9", Began: now, Piece: 12, Done: true, Work: report},
+		"b":          {Fence: duty.Fence{Holder: "side-2", Token: 8}, Machine: "10.1.0.8", Began: now + time.Minute, Piece: 13, Work: report},
+		scaleSubject: {Fence: duty.Fence{Holder: "side-3", Token: 9}, Machine: "10.1.0.7", Began: now - time.Minute, Piece: 14, Work: order},
 	} {
 		value, err := codec.Marshal(term)
 		if err != nil {
@@ -108,7 +108,7 @@
 
 // TestShowsAndReleasesTheQuarantine has one content that is held and one suspect.
 func TestShowsAndReleasesTheQuarantine(t *testing.T) {
-	rows, addr := platformStore(t)
+	rows, addr := startPlatformStore(t)
 	at, err := codec.Marshal(map[string]time.Duration{"At": 0})
 	if err != nil {
 		t.Fatal(err)
@@ -127,7 +127,7 @@
 }
 
 func TestStoreViewsAsJSON(t *testing.T) {
-	_, addr := platformStore(t)
+	_, addr := startPlatformStore(t)
 	r := run(t, "", "--output", "json", "jobs", "--all", "--store", addr)
 	var jobs []jobLine
 	if err := json.Unmarshal([]byte(r.out), &jobs); err != nil {
@@ -139,7 +139,7 @@
 }
 
 func TestStoreViewsSayWhatIsWrong(t *testing.T) {
-	rows, addr := platformStore(t)
+	rows, addr := startPlatformStore(t)
 	run(t, "", "jobs", "--store", "here").want(t, 2, `--store or MULBERRY_STORE: want ip:port, got "here"`)
 	rows.Put(store.Row{Key: store.Key{Table: batch.TableJobs, Name: "job-odd"}, Value: []byte("not a job")})
 	run(t, "", "jobs", "--store", addr).want(t, 1, "job job-odd")
--- a/cmd/mulberryctl/quarantine.go
+++ b/cmd/mulberryctl/quarantine.go
@@ -30,7 +30,7 @@
 	return &cli.Command{
 		Name: "quarantine", Usage: "show the contents of requests under which endpoints ended, or release one",
 		Flags:  []cli.Flag{storeFlag(), &cli.StringFlag{Name: flagRelease, Usage: "the content to release"}},
-		Action: bounded(showQuarantine),
+		Action: withTimeout(showQuarantine),
 	}
 }
 
--- a/cmd/mulberryctl/status.go
+++ b/cmd/mulberryctl/status.go
@@ -23,7 +23,7 @@
 			Name:  flagWait,
 			Usage: "wait this long until no process lags; exit status 1 if one still does",
 		}),
-		Action: bounded(runStatus),
+		Action: withTimeout(runStatus),
 	}
 }
 
@@ -43,22 +43,22 @@
 }
 
 func runStatus(ctx context.Context, cmd *cli.Command) error {
-	if err := wantArgs(cmd, 0, 0); err != nil {
+	if err := checkArgs(cmd, 0, 0); err != nil {
 		return err
 	}
-	o, err := operatorsOf(cmd)
+	o, err := newOperatorClient(cmd)
 	if err != nil {
 		return err
 	}
-	status, err := askFleet(ctx, cmd, o)
+	status, err := readFleetStatus(ctx, cmd, o)
 	wait := cmd.Duration(flagWait)
-	for end := time.Now().Add(wait); (err != nil || status.Lagging > 0) && time.Now().Before(end); {
+	for deadline := time.Now().Add(wait); (err != nil || status.Lagging > 0) && time.Now().Before(deadline); {
 		fmt.Fprintf(cmd.Root().ErrWriter, "waiting: %d of %d lag\n", status.Lagging, len(status.Processes))
 		select {
 		case <-ctx.Done():
-			end = time.Time{}
+			deadline = time.Time{}
 		case <-time.After(waitInterval):
-			status, err = askFleet(ctx, cmd, o)
+			status, err = readFleetStatus(ctx, cmd, o)
 		}
 	}
 	if writeErr := printStatus(cmd, status); writeErr != nil {
@@ -70,11 +70,11 @@
 	return err
 }
 
-// askFleet gives what was learnt also when some listeners did not answer.
-func askFleet(ctx context.Context, cmd *cli.Command, o *operators) (fleetStatus, error) {
+// readFleetStatus gives what was learnt also when some listeners did not answer.
+func readFleetStatus(ctx context.Context, cmd *cli.Command, o *operatorClient) (fleetStatus, error) {
 	processes, err := o.statuses(ctx)
 	status := fleetStatus{Processes: []processResult{}}
-	status.Newest, status.TableServiceError = askTableService(ctx, cmd)
+	status.Newest, status.TableServiceError = readCurrentVersion(ctx, cmd)
 	for _, p := range processes {
 		status.Newest = max(status.Newest, p.TableVersion)
 	}
@@ -88,7 +88,7 @@
 	return status, err
 }
 
-func askTableService(ctx context.Context, cmd *cli.Command) (version uint64, problem string) {
+func readCurrentVersion(ctx context.Context, cmd *cli.Command) (version uint64, problem string) {
 	if cmd.String(flagTableService) == "" {
 		return 0, ""
 	}
@@ -113,7 +113,7 @@
 			ageText(p.AgeSeconds), ageText(p.SeenSeconds), p.Incarnation,
 		})
 	}
-	out.Rows = append(out.Rows, []string{summary(status)})
+	out.Rows = append(out.Rows, []string{summaryText(status)})
 	return write(cmd, out, status)
 }
 
@@ -128,7 +128,7 @@
 	return state
 }
 
-func summary(status fleetStatus) string {
+func summaryText(status fleetStatus) string {
 	text := fmt.Sprintf("newest version %d, %d of %d processes lag", status.Newest, status.Lagging, len(status.Processes))
 	if status.TableServiceError != "" {
 		text += "; the table service did not answer: " + status.TableServiceError
--- a/cmd/mulberryctl/versions.go
+++ b/cmd/mulberryctl/versions.go
@@ -29,19 +29,19 @@
 			&cli.Uint64Flag{Name: flagVersion, Aliases: []string{"version"}, Usage: "version to print"},
 			&cli.StringFlag{Name: flagFormat, Usage: "csv or yaml: rewrite the file in its canonical form"},
 		},
-		Action: bounded(runGet),
+		Action: withTimeout(runGet),
 	}
 }
 
 func runGet(ctx context.Context, cmd *cli.Command) error {
-	if err := wantArgs(cmd, 0, 0); err != nil {
+	if err := checkArgs(cmd, 0, 0); err != nil {
 		return err
 	}
 	store, err := openStore(cmd)
 	if err != nil {
 		return err
 	}
-	doc, err := documentOf(ctx, store, cmd.Uint64(flagVersion))
+	doc, err := readVersion(ctx, store, cmd.Uint64(flagVersion))
 	if err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 	}
 	body := doc.Body
 	if format := cmd.String(flagFormat); format != "" {
-		rows, err := rowsOf(doc)
+		rows, err := parseRows(doc)
 		if err != nil {
 			return err
 		}
@@ -58,7 +58,7 @@
 			return &daemon.UsageError{Err: err}
 		}
 	}
-	_, err = cmd.Root().Writer.Write(withBase(doc.Version, body))
+	_, err = cmd.Root().Writer.Write(prependBaseLine(doc.Version, body))
 	return err
 }
 
@@ -67,12 +67,12 @@
 		Name:      "diff",
 		Usage:     "show the difference of a file to the current version, or of two versions",
 		ArgsUsage: "FILE | VERSION VERSION",
-		Action:    bounded(runDiff),
+		Action:    withTimeout(runDiff),
 	}
 }
 
 func runDiff(ctx context.Context, cmd *cli.Command) error {
-	if err := wantArgs(cmd, 1, 2); err != nil {
+	if err := checkArgs(cmd, 1, 2); err != nil {
 		return err
 	}
 	store, err := openStore(cmd)
@@ -86,7 +86,7 @@
 		changes, err = diffArgs(ctx, store, cmd.Args().Get(0), cmd.Args().Get(1))
 	}
 	if err != nil {
-		return asUsage(err)
+		return asUsageError(err)
 	}
 	return printChanges(cmd, changes)
 }
@@ -96,11 +96,11 @@
 	if err != nil {
 		return nil, err
 	}
-	current, err := currentDocument(ctx, store)
+	current, err := readCurrent(ctx, store)
 	if err != nil {
 		return nil, err
 	}
-	rows, err := rowsOf(current)
+	rows, err := parseRows(current)
 	if err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if sides[i], err = rowsOf(doc); err != nil {
+		if sides[i], err = parseRows(doc); err != nil {
 			return nil, err
 		}
 	}
@@ -145,8 +145,8 @@
 				return nil
 			}},
 		},
-		Action: bounded(func(ctx context.Context, cmd *cli.Command) error {
-			if err := wantArgs(cmd, 0, 0); err != nil {
+		Action: withTimeout(func(ctx context.Context, cmd *cli.Command) error {
+			if err := checkArgs(cmd, 0, 0); err != nil {
 				return err
 			}
 			store, err := openStore(cmd)
@@ -162,16 +162,16 @@
 	}
 }
 
-// documentOf reads a version; 0 is the current one.
-func documentOf(ctx context.Context, store *tablestore.Store, version uint64) (tablestore.Document, error) {
+// readVersion reads a version; 0 is the current one.
+func readVersion(ctx context.Context, store *tablestore.Store, version uint64) (tablestore.Document, error) {
 	if version == 0 {
 		return store.Get(ctx)
 	}
 	return store.Version(ctx, version)
 }
 
-// currentDocument is the current version, or the zero document before the first.
-func currentDocument(ctx context.Context, store *tablestore.Store) (tablestore.Document, error) {
+// readCurrent is the current version, or the zero document before the first.
+func readCurrent(ctx context.Context, store *tablestore.Store) (tablestore.Document, error) {
 	doc, err := store.Get(ctx)
 	if errors.Is(err, tablestore.ErrNoTable) {
 		return tablestore.Document{}, nil
@@ -179,8 +179,8 @@
 	return doc, err
 }
 
-// rowsOf reads the rows of a document; the zero document has none.
-func rowsOf(doc tablestore.Document) ([]table.Row, error) {
+// parseRows reads the rows of a document; the zero document has none.
+func parseRows(doc tablestore.Document) ([]table.Row, error) {
 	if doc.Version == 0 {
 		return nil, nil
 	}
--- a/cmd/mulberryscale/capacity.go
+++ b/cmd/mulberryscale/capacity.go
@@ -12,7 +12,7 @@
 	"mulberryscale.example/internal/capacity"
 )
 
-// Forms of the capacity command's output.
+// Output formats of the capacity command.
 const (
 	capacityTable    = "table"
 	capacityJSON     = "json"
@@ -23,7 +23,7 @@
 	size := capacity.PlannedSize()
 	return &cli.Command{
 		Name:  "capacity",
-		Usage: "work out what each role costs at a size, from measured slopes",
+		Usage: "compute what each role costs at a given size, from measured slopes",
 		UsageText: "mulberryscale capacity\n" +
 			"mulberryscale capacity --entries 3 --agents 15\n" +
 			"mulberryscale capacity --output markdown",
@@ -33,7 +33,7 @@
 			&cli.IntFlag{Name: "rows", Value: size.Rows, Usage: "rows of the table"},
 			&cli.Float64Flag{Name: "requests", Value: size.RequestsPerSecond, Usage: "requests a second at the peak"},
 			&cli.Float64Flag{Name: "tokens", Value: size.TokensPerSecond, Usage: "tokens generated a second at the peak"},
-			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Value: capacityTable, Usage: "form of the result: table, json or markdown"},
+			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Value: capacityTable, Usage: "output format: table, json or markdown"},
 		},
 		Action: runCapacity,
 	}
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// capacitySize is the size that the flags ask for.
+// capacitySize returns the size set by the flags, or a usage error.
 func capacitySize(c *cli.Command) (capacity.Design, error) {
 	size := capacity.PlannedSize()
 	size.Entries, size.Agents, size.Rows = c.Int("entries"), c.Int("agents"), c.Int("rows")
--- a/cmd/mulberryscale/demo.go
+++ b/cmd/mulberryscale/demo.go
@@ -15,8 +15,8 @@
 	"mulberryscale.example/internal/demo"
 )
 
-// errBroken ends the demo with a status that is not 0.
-var errBroken = errors.New("a promise broke")
+// errDemoFailed makes the demo exit with a nonzero status when a guarantee was violated.
+var errDemoFailed = errors.New("a promise broke")
 
 func demoCommand() *cli.Command {
 	return &cli.Command{
@@ -25,8 +25,8 @@
 		UsageText: "mulberryscale demo\n" +
 			"mulberryscale demo --samples 1024 --lookups 200 --seed 7",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "samples", Value: demo.DefaultSamples, Usage: fmt.Sprintf("samples of the trainer's step, 1 to %d", demo.MaxSamples)},
-			&cli.IntFlag{Name: "lookups", Value: demo.DefaultLookups, Usage: fmt.Sprintf("lookups beside it, 0 to %d", demo.MaxLookups)},
+			&cli.IntFlag{Name: "samples", Value: demo.DefaultSamples, Usage: fmt.Sprintf("samples in the trainer's step, 1 to %d", demo.MaxSamples)},
+			&cli.IntFlag{Name: "lookups", Value: demo.DefaultLookups, Usage: fmt.Sprintf("lookups made during the step, 0 to %d", demo.MaxLookups)},
 			&cli.Int64Flag{Name: "seed", Value: demo.DefaultSeed, Usage: "makes the workload repeatable"},
 		},
 		Action: runDemo,
@@ -53,7 +53,7 @@
 	fmt.Print(result.Table())
 	fmt.Println(string(line))
 	if !result.Passed() {
-		return errBroken
+		return errDemoFailed
 	}
 	return nil
 }
--- a/cmd/mulberryscale/experiment.go
+++ b/cmd/mulberryscale/experiment.go
@@ -18,8 +18,8 @@
 
 const (
 	defaultExperimentTime = 8 * time.Second
-	leastExperimentTime   = time.Second
-	mostExperimentTime    = 10 * time.Minute
+	minExperimentTime     = time.Second
+	maxExperimentTime     = 10 * time.Minute
 )
 
 func experimentCommand() *cli.Command {
@@ -31,7 +31,7 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "workload", Value: "qalhat", Usage: "one of " + strings.Join(experiment.WorkloadNames(), ", ")},
 			&cli.StringSliceFlag{Name: "part", Usage: "part to run, all by default: " + strings.Join(experiment.Parts(), ", ")},
-			&cli.DurationFlag{Name: "time", Value: defaultExperimentTime, Usage: "length of each run but the steps"},
+			&cli.DurationFlag{Name: "time", Value: defaultExperimentTime, Usage: "length of each run except the steps"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "makes the workload repeatable"},
 			&cli.StringFlag{Name: "plot", Usage: "existing directory for plots as PNG; none by default"},
 			daemon.OutputFlag(),
@@ -43,8 +43,8 @@
 func runExperiment(ctx context.Context, c *cli.Command) error {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if d := c.Duration("time"); d < leastExperimentTime || d > mostExperimentTime {
-		return daemon.Usagef("time must be between %v and %v, not %v", leastExperimentTime, mostExperimentTime, d)
+	if d := c.Duration("time"); d < minExperimentTime || d > maxExperimentTime {
+		return daemon.Usagef("time must be between %v and %v, not %v", minExperimentTime, maxExperimentTime, d)
 	}
 	opts := experiment.Options{
 		Workload: c.String("workload"), Parts: c.StringSlice("part"), Duration: c.Duration("time"),
--- a/cmd/mulberryscale/main.go
+++ b/cmd/mulberryscale/main.go
@@ -1,5 +1,5 @@
-// Command mulberryscale runs the whole system in one process: a demo,
-// experiments and the capacity page's computations.
+// Command mulberryscale runs the whole system in one process: a demo and
+// experiments. It also computes the load model and the capacity plan.
 package main
 
 import (
@@ -13,7 +13,7 @@
 func main() {
 	root := &cli.Command{
 		Name:  "mulberryscale",
-		Usage: "rollout service for reinforcement learning, whole in one process",
+		Usage: "rollout service for reinforcement learning, all in one process",
 		Commands: []*cli.Command{
 			demoCommand(),
 			experimentCommand(),
--- a/cmd/mulberryscale/model.go
+++ b/cmd/mulberryscale/model.go
@@ -14,19 +14,19 @@
 
 const (
 	defaultModelSeeds = 5
-	mostModelSeeds    = 1000
+	maxModelSeeds     = 1000
 )
 
 func modelCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "model",
-		Usage: "play loads in virtual time and compare bounds on background calls",
+		Usage: "simulate loads in virtual time and compare limits on background calls",
 		UsageText: "mulberryscale model --pattern short-desk --policy none --policy window\n" +
 			"mulberryscale model --seeds 20 --plot model.png --output json",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "pattern", Usage: "load, all by default: " + strings.Join(loadmodel.Names(loadmodel.Patterns()), ", ")},
-			&cli.StringSliceFlag{Name: "policy", Usage: "bound, all by default: " + strings.Join(loadmodel.Names(loadmodel.Policies()), ", ")},
-			&cli.IntFlag{Name: "seeds", Value: defaultModelSeeds, Usage: "days of each pair"},
+			&cli.StringSliceFlag{Name: "pattern", Usage: "load to simulate, all by default: " + strings.Join(loadmodel.Names(loadmodel.Patterns()), ", ")},
+			&cli.StringSliceFlag{Name: "policy", Usage: "limit on background calls, all by default: " + strings.Join(loadmodel.Names(loadmodel.Policies()), ", ")},
+			&cli.IntFlag{Name: "seeds", Value: defaultModelSeeds, Usage: "simulated days for each pair of load and limit"},
 			&cli.StringFlag{Name: "plot", Usage: "file for a plot as PNG; none by default"},
 			daemon.OutputFlag(),
 		},
@@ -36,8 +36,8 @@
 
 func runModel(_ context.Context, c *cli.Command) error {
 	seeds := c.Int("seeds")
-	if seeds < 1 || seeds > mostModelSeeds {
-		return daemon.Usagef("seeds must be between 1 and %d, not %d", mostModelSeeds, seeds)
+	if seeds < 1 || seeds > maxModelSeeds {
+		return daemon.Usagef("seeds must be between 1 and %d, not %d", maxModelSeeds, seeds)
 	}
 	patterns, policies := c.StringSlice("pattern"), c.StringSlice("policy")
 	if len(patterns) == 0 {
