--- a/cmd/mulberryctl/apply.go
+++ b/cmd/mulberryctl/apply.go
@@ -29,22 +29,22 @@
 
 var errDeclined = errors.New("not applied: declined")
 
-// applyIDNamespace is the name space of the apply ids made here.
+// applyIDNamespace is the UUID namespace of the apply ids made here.
 var applyIDNamespace = uuid.NewSHA1(uuid.NameSpaceURL, []byte("https://mulberryscale.example/apply"))
 
 func editFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.Uint64Flag{Name: flagBase, Usage: "version that the edit was made from"},
+		&cli.Uint64Flag{Name: flagBase, Usage: "version that the edit is based on"},
 		&cli.StringFlag{
 			Name:    flagAuthor,
-			Usage:   "who edits, for the history",
+			Usage:   "author recorded in the history",
 			Sources: cli.EnvVars(settings.EnvName(flagAuthor), envUser),
 			Value:   "unknown",
 		},
-		&cli.BoolFlag{Name: flagYes, Aliases: []string{"y"}, Usage: "do not ask"},
+		&cli.BoolFlag{Name: flagYes, Aliases: []string{"y"}, Usage: "do not ask for confirmation"},
 		&cli.StringFlag{
 			Name:  flagApplyID,
-			Usage: "id by which a repeat is recognised (default: made from the edit, so that the same command repeated is)",
+			Usage: "idempotency id of the edit (default: derived from the edit, so that the same command may be repeated)",
 		},
 	}
 }
@@ -52,7 +52,7 @@
 func checkCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "check",
-		Usage:     "check table files offline, as for a hook of version control",
+		Usage:     "check table files offline, for example in a version control hook",
 		ArgsUsage: "FILE...",
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if cmd.Args().Len() == 0 {
@@ -63,7 +63,7 @@
 	}
 }
 
-// fileResult are the mistakes of one file.
+// fileResult is the JSON of one checked file, with its mistakes.
 type fileResult struct {
 	File     string       `json:"file"`
 	Rows     int          `json:"rows"`
@@ -103,10 +103,10 @@
 func applyCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "apply",
-		Usage:     "make a table file the version in force",
+		Usage:     "make a table file the current version",
 		ArgsUsage: "FILE",
-		Description: "The edit is refused when another one came first; the three-way difference is shown then.\n" +
-			"The version that the file was made from stands in its first line, as get writes it, or in --base.",
+		Description: "The edit is refused if another one was applied first; the three-way difference is shown then.\n" +
+			"The version that the file was made from is given by its first line, as get writes it, or by --base.",
 		Flags:  editFlags(),
 		Action: runApply,
 	}
@@ -118,7 +118,7 @@
 	file    *tableFile
 	base    uint64
 	current tablestore.Entry
-	// unchanged: the table in force has no difference to the file.
+	// unchanged is true if the current table has no difference to the file.
 	unchanged bool
 }
 
@@ -138,8 +138,8 @@
 	return confirmedEdit{a.plan, a.commit}.run(ctx, cmd)
 }
 
-// plan has no question when there is nothing to apply, and when the base is not
-// the current version, since the edit is then refused or recognised.
+// plan returns no question when there is nothing to apply, or when the base is not
+// the current version: the store then refuses the edit or recognises a repeat.
 func (a *applyEdit) plan(ctx context.Context, cmd *cli.Command) (string, []table.Change, error) {
 	current, err := readCurrent(ctx, a.store)
 	if err != nil {
@@ -182,8 +182,8 @@
 	return printEntry(cmd, "applied", entry)
 }
 
-// baseVersion finds the version that the file was made from. It is never guessed:
-// a file made from an older version would undo the edits since.
+// baseVersion returns the version that the file was made from. It is never guessed:
+// applying a file made from an older version would undo the edits made since.
 func baseVersion(cmd *cli.Command, file *tableFile, current uint64) (uint64, error) {
 	switch {
 	case cmd.IsSet(flagBase):
@@ -197,8 +197,8 @@
 		file.path, current)
 }
 
-// applyID is the same for the same edit of the same base, so that a command
-// whose reply was lost can simply be repeated.
+// applyID returns --apply-id, or an id derived from the edit, its base and its
+// author, so that a command whose reply was lost can simply be repeated.
 func applyID(cmd *cli.Command, parts ...any) string {
 	if id := cmd.String(flagApplyID); id != "" {
 		return id
@@ -210,7 +210,7 @@
 func rollbackCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "rollback",
-		Usage:     "make the text of an older version a new version",
+		Usage:     "apply the text of an older version as a new version",
 		ArgsUsage: "VERSION",
 		Flags:     editFlags(),
 		Action:    runRollback,
@@ -266,7 +266,8 @@
 	return printEntry(cmd, "rolled back", entry)
 }
 
-// confirm shows the difference on stderr and asks, unless --yes is given.
+// confirm shows the difference on stderr and, unless --yes is given, asks the
+// operator. The error is errDeclined unless the answer is y.
 func confirm(cmd *cli.Command, changes []table.Change, question string) error {
 	w := cmd.Root().ErrWriter
 	for _, c := range changes {
@@ -283,7 +284,7 @@
 	return nil
 }
 
-// explainConflict prints the three-way difference of a conflict.
+// explainConflict prints the three-way difference if err is a conflict, and returns err.
 func explainConflict(cmd *cli.Command, err error) error {
 	var conflict *tablestore.ConflictError
 	if !errors.As(err, &conflict) {
@@ -295,7 +296,8 @@
 	return err
 }
 
-// asUsageError gives mistakes in a file the exit status of wrong usage.
+// asUsageError turns mistakes in a file and a missing file into a usage error,
+// which sets the exit status of wrong usage.
 func asUsageError(err error) error {
 	var mistakes table.Errors
 	if errors.As(err, &mistakes) {
--- a/cmd/mulberryctl/command.go
+++ b/cmd/mulberryctl/command.go
@@ -37,11 +37,11 @@
 func command() *cli.Command {
 	return &cli.Command{
 		Name:        "mulberryctl",
-		Usage:       "edit and watch the table of a mulberryscale service",
+		Usage:       "edit and inspect the table of a mulberryscale service",
 		Description: examples,
 		Flags: []cli.Flag{
-			// Values from the environment are checked where they are used, so
-			// that a wrong one does not stop the commands that need none.
+			// Values from the environment are checked where they are used, so that
+			// an invalid one does not fail the commands that do not need it.
 			&cli.StringFlag{
 				Name:    flagTableService,
 				Usage:   "the platform's table service, http://ip:port",
@@ -49,7 +49,7 @@
 			},
 			&cli.StringFlag{
 				Name:    flagTimeout,
-				Usage:   "bound of the command, the time that an operator thinks not counted",
+				Usage:   "time limit of the command, without the time that an operator takes to confirm",
 				Sources: cli.EnvVars(settings.EnvName(flagTimeout)),
 				Value:   defaultTimeout.String(),
 			},
@@ -82,7 +82,7 @@
 	}
 }
 
-// withTimeout adds the bound of the whole command to an action.
+// withTimeout limits the time of an action to the value of --timeout.
 func withTimeout(action cli.ActionFunc) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		timeout, err := commandTimeout(cmd)
@@ -95,14 +95,15 @@
 	}
 }
 
-// confirmedEdit is a command in two steps between which the operator may think: plan
-// shows the difference, commit writes. Each step has the bound by itself.
+// confirmedEdit is a command in two steps, with the operator's confirmation between
+// them: plan computes the difference, commit writes. The timeout applies to each step
+// separately and not to the confirmation.
 type confirmedEdit struct {
 	plan   func(ctx context.Context, cmd *cli.Command) (question string, changes []table.Change, err error)
 	commit func(ctx context.Context, cmd *cli.Command) error
 }
 
-// run asks between the steps, unless the plan has no question.
+// run asks for confirmation between the steps, unless plan returns no question.
 func (e confirmedEdit) run(ctx context.Context, cmd *cli.Command) error {
 	var question string
 	var changes []table.Change
@@ -145,7 +146,7 @@
 	return tablestore.New(httpplatform.NewTable(address)), nil
 }
 
-// checkArgs checks the number of arguments.
+// checkArgs returns a usage error unless the number of arguments is from low to high.
 func checkArgs(cmd *cli.Command, low, high int) error {
 	if n := cmd.Args().Len(); n < low || n > high {
 		return daemon.Usagef("want: mulberryctl %s %s", cmd.Name, cmd.ArgsUsage)
--- a/cmd/mulberryctl/duties.go
+++ b/cmd/mulberryctl/duties.go
@@ -16,7 +16,7 @@
 	"mulberryscale.example/usage"
 )
 
-// dutyLine is the JSON of a subject's term.
+// dutyLine is the JSON of a duty's current or last term.
 type dutyLine struct {
 	Subject    string  `json:"subject"`
 	Holder     string  `json:"holder"`
@@ -24,13 +24,14 @@
 	Token      uint64  `json:"token"`
 	AgeSeconds float64 `json:"age_seconds"`
 	Piece      uint64  `json:"piece"`
-	// State is "done", "acting" while its holder may still send, and "open" after that.
+	// State is "done", "acting" while the holder may still send, or "open" once the
+	// term has expired with the work not done.
 	State string `json:"state"`
-	// Work is what was decided for the piece, in words.
+	// Work describes the work that was decided for the piece.
 	Work string `json:"work"`
 }
 
-// describeWork says what a term's work is, by the subject that it is about.
+// describeWork decodes and describes a term's work. The subject determines its type.
 func describeWork(subject string, work []byte) (string, error) {
 	if strings.HasPrefix(subject, scaling.SubjectPrefix) {
 		var order scaling.Order
@@ -50,10 +51,10 @@
 	return fmt.Sprintf("%d requests of %d organisations", requests, len(report.Counts)), nil
 }
 
-// dutiesCommand shows who holds or last held each duty.
+// dutiesCommand returns the command that shows who holds or last held each duty.
 func dutiesCommand() *cli.Command {
 	return &cli.Command{
-		Name: "duties", Usage: "show who holds, or last held, each duty that one process at a time may do",
+		Name: "duties", Usage: "show who holds, or last held, each duty that only one process at a time may perform",
 		Flags:  []cli.Flag{storeFlag()},
 		Action: withTimeout(showDuties),
 	}
--- a/cmd/mulberryctl/engines.go
+++ b/cmd/mulberryctl/engines.go
@@ -24,9 +24,9 @@
 	Slots    int               `json:"slots"`
 	Draining bool              `json:"draining"`
 	Versions map[string]uint64 `json:"versions"`
-	// Behind names the models whose named version the engine does not have.
+	// Behind lists the models of which the engine has an older version than the named one.
 	Behind []string `json:"behind"`
-	// Unusable says why the row names no instance to use.
+	// Unusable is the reason why the row is no usable instance.
 	Unusable string `json:"unusable,omitempty"`
 }
 
@@ -76,7 +76,7 @@
 	engines := []engineLine{}
 	for _, row := range s.Rows {
 		i, err := operator.DecodeInstance(row.Name, row.Value)
-		if err != nil { // another writer's; the others hold
+		if err != nil { // another process wrote the row; the other rows stay valid
 			engines = append(engines, engineLine{ID: row.Name, Behind: []string{}, Unusable: err.Error()})
 			continue
 		}
--- a/cmd/mulberryctl/explain.go
+++ b/cmd/mulberryctl/explain.go
@@ -13,11 +13,11 @@
 	"mulberryscale.example/stepprofile"
 )
 
-// explainCommand tells the story of an id from logs.
+// explainCommand returns the command that prints the timeline of an id from logs.
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "tell the story of a request, batch job or item from the logs of many processes",
+		Usage:     "show the timeline of a request, batch job or item from the logs of many processes",
 		ArgsUsage: "ID [FILE...]   without files, logs are read from standard input",
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			id := cmd.Args().First()
@@ -29,11 +29,11 @@
 	}
 }
 
-// profileCommand says from logs where the time of steps went.
+// profileCommand returns the command that breaks down the time of steps from logs.
 func profileCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "profile",
-		Usage:     "say where the time of each step went, from the logs of many processes",
+		Usage:     "break down the time of each step, from the logs of many processes",
 		ArgsUsage: "[FILE...]   without files, logs are read from standard input",
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			lines, _, err := readLogs(cmd.Args().Slice(), cmd.Root().Reader)
@@ -49,7 +49,8 @@
 	}
 }
 
-// readLogs reads files, or in if none is named.
+// readLogs parses the named log files, or in if there are none. unreadable counts
+// the lines that could not be parsed.
 func readLogs(files []string, in io.Reader) (lines []logstory.Line, unreadable int, err error) {
 	var logs []io.Reader
 	for _, name := range files {
--- a/cmd/mulberryctl/file.go
+++ b/cmd/mulberryctl/file.go
@@ -13,24 +13,24 @@
 	"mulberryscale.example/table"
 )
 
-// baseLinePrefix begins the comment that get writes as a table file's first line. It
-// names the version from which the file was made, and it is no part of the
-// text that is applied.
+// baseLinePrefix starts the base line: a comment that get writes as the first line
+// of a table file. It holds the version that the file was made from and is not part
+// of the text that is applied.
 const baseLinePrefix = "# mulberryscale table version "
 
 // tableFile is a table file as read from disk.
 type tableFile struct {
 	path   string
 	format string
-	// body is the text without the line of baseMark.
+	// body is the text without the base line.
 	body []byte
-	// base is the version that the line names; hasBase says that there is one.
+	// base is the version in the base line; hasBase is true if there is such a line.
 	base    uint64
 	hasBase bool
 	rows    []table.Row
 }
 
-// readFile reads and checks a table file. Mistakes in it are table.Errors.
+// readFile reads and checks a table file. Mistakes in its rows are returned as table.Errors.
 func readFile(path string) (*tableFile, error) {
 	format, err := table.FormatOfFile(path)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return f, nil
 }
 
-// cutBaseLine takes the line of baseMark off the body.
+// cutBaseLine removes the base line, if any, from the body and sets base and hasBase.
 func (f *tableFile) cutBaseLine() error {
 	rest, ok := bytes.CutPrefix(f.body, []byte(baseLinePrefix))
 	if !ok {
@@ -66,13 +66,13 @@
 	return nil
 }
 
-// prependBaseLine puts the line of baseMark before a text.
+// prependBaseLine returns a text with a base line before it.
 func prependBaseLine(version uint64, body []byte) []byte {
 	return append(fmt.Appendf(nil, "%s%d\n", baseLinePrefix, version), body...)
 }
 
-// rewriteBaseLine renews the line of baseMark in the file, if it has one. The file is
-// replaced whole.
+// rewriteBaseLine updates the version in the file's base line, if it has one. The
+// file is replaced atomically.
 func (f *tableFile) rewriteBaseLine(version uint64) error {
 	if !f.hasBase || f.base == version {
 		return nil
@@ -85,7 +85,7 @@
 	if err != nil {
 		return trace.Wrap(err, "step file.write")
 	}
-	defer os.Remove(temp.Name()) // gone after the rename
+	defer os.Remove(temp.Name()) // fails after the rename, when the file is gone
 	if err := writeAndClose(temp, prependBaseLine(version, f.body), info.Mode()); err != nil {
 		return trace.Wrap(err, "step file.write")
 	}
--- a/cmd/mulberryctl/fleet.go
+++ b/cmd/mulberryctl/fleet.go
@@ -38,20 +38,20 @@
 	return []cli.Flag{
 		&cli.StringFlag{
 			Name:     flagOperators,
-			Usage:    "operators' listeners, ip:port,...",
+			Usage:    "addresses of the processes' operator listeners, ip:port,...",
 			Sources:  cli.EnvVars(settings.EnvName(flagOperators)),
 			Required: true,
 		},
 		&cli.StringFlag{
 			Name:        flagToken,
-			Usage:       "operators' bearer token; better given by the environment",
+			Usage:       "operators' bearer token; better set in the environment",
 			Sources:     cli.EnvVars(settings.EnvName(flagToken)),
 			HideDefault: true,
 		},
 	}
 }
 
-// operatorClient calls operatorClient' listeners.
+// operatorClient calls the operator listeners of processes.
 type operatorClient struct {
 	addresses []string
 	token     string
@@ -69,10 +69,10 @@
 	return o, nil
 }
 
-// noProxyClient passes over the environment's proxies, which must not see the token.
+// noProxyClient ignores the environment's proxies, which must not see the token.
 var noProxyClient = &http.Client{Transport: &http.Transport{}}
 
-// call makes one call and decodes a JSON answer into v, unless v is nil.
+// call makes one call and decodes the JSON response into v, unless v is nil.
 func (o *operatorClient) call(ctx context.Context, method, addr, path string, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -101,7 +101,7 @@
 	return trace.Wrap(json.Unmarshal(body, v), "step operators.call, peer %s", addr)
 }
 
-// responseError is the typed refusal in an answer, or else its status.
+// responseError returns the typed refusal in a response body, or else an error with its status.
 func responseError(addr, status string, body []byte) error {
 	var refusal api.ErrorBody
 	if json.Unmarshal(body, &refusal) == nil && refusal.Error != nil {
@@ -110,7 +110,7 @@
 	return fmt.Errorf("step operators.call, peer %s: %s", addr, status)
 }
 
-// callAll calls all listeners at once and joins their errors.
+// callAll calls all listeners concurrently and joins their errors.
 func (o *operatorClient) callAll(call func(i int, addr string) error) error {
 	errs := make([]error, len(o.addresses))
 	var all sync.WaitGroup
@@ -124,7 +124,7 @@
 func drainCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "drain",
-		Usage: "let processes finish what runs, take nothing new, and stop",
+		Usage: "make processes finish their current work, accept nothing new, and stop",
 		Flags: operatorsFlags(),
 		Action: withTimeout(func(ctx context.Context, cmd *cli.Command) error {
 			if err := checkArgs(cmd, 0, 0); err != nil {
@@ -146,7 +146,8 @@
 	}
 }
 
-// statuses asks all listeners. Of two answers about one process it keeps the fresher.
+// statuses calls all listeners and merges their responses. The error joins those of
+// the listeners that failed; the statuses of the others are returned with it.
 func (o *operatorClient) statuses(ctx context.Context) ([]api.ProcessStatus, error) {
 	answers := make([][]api.ProcessStatus, len(o.addresses))
 	err := o.callAll(func(i int, addr string) error {
@@ -155,6 +156,7 @@
 	return mergeStatuses(answers), err
 }
 
+// mergeStatuses returns one status for each process, the most recent, sorted by role and id.
 func mergeStatuses(answers [][]api.ProcessStatus) []api.ProcessStatus {
 	newest := make(map[string]api.ProcessStatus)
 	for _, answer := range answers {
--- a/cmd/mulberryctl/jobs.go
+++ b/cmd/mulberryctl/jobs.go
@@ -15,9 +15,9 @@
 	"mulberryscale.example/store"
 )
 
-// jobLine is the JSON of a job.
+// jobLine is the JSON of a batch job.
 type jobLine struct {
-	ID           string  `json:"id"` // as its client knows it
+	ID           string  `json:"id"` // the client's id of the job
 	Organisation string  `json:"organisation,omitempty"`
 	Route        string  `json:"route"`
 	Model        string  `json:"model"`
@@ -31,7 +31,8 @@
 	Owners       int     `json:"owners"`
 }
 
-// States of a job, in the order in which they are shown.
+// States of a job, in display order: not all items have results, all items have
+// results, the client has ended the job.
 const (
 	jobOpen     = "open"
 	jobFinished = "finished"
@@ -59,7 +60,7 @@
 	return write(cmd, out, jobs)
 }
 
-// readJobs reads the jobs and counts their results, ended ones only if asked to.
+// readJobs reads the jobs and counts their results. It includes ended jobs if all is true.
 func readJobs(ctx context.Context, rows store.Store, all bool) ([]jobLine, error) {
 	ledger := &batch.Ledger{Store: rows}
 	s, err := rows.List(ctx, store.Range{Table: batch.TableJobs})
--- a/cmd/mulberryctl/keys.go
+++ b/cmd/mulberryctl/keys.go
@@ -17,7 +17,7 @@
 
 const flagDir = "dir"
 
-// Names of key files in the directory.
+// Parts of the file names in the directory.
 const (
 	authorityName = "ca"
 	certSuffix    = ".pem"
@@ -32,11 +32,11 @@
 	}
 	return &cli.Command{
 		Name:  "keys",
-		Usage: "make keys for development and small installations",
+		Usage: "make keys for development and small deployments",
 		Commands: []*cli.Command{
 			{
 				Name:   "authority",
-				Usage:  "make an authority: ca.pem and ca.key; one that exists is kept",
+				Usage:  "make a certificate authority: ca.pem and ca.key; an existing one is never replaced",
 				Flags:  dir(),
 				Action: runAuthority,
 			},
@@ -54,7 +54,7 @@
 	}
 }
 
-// pairFiles are the files of a certificate and its key.
+// pairFiles returns the paths of a certificate and its key.
 func pairFiles(dir, name string) (certFile, keyFile string) {
 	return filepath.Join(dir, name+certSuffix), filepath.Join(dir, name+keySuffix)
 }
--- a/cmd/mulberryctl/main.go
+++ b/cmd/mulberryctl/main.go
@@ -1,6 +1,6 @@
 // Command mulberryctl is the operators' command line: it checks, applies and
-// rolls back the table, shows which version is in force where, drains
-// processes and makes keys.
+// rolls back the table, shows which version each process uses, drains processes,
+// makes keys, and shows the state in the platform's store and in logs.
 package main
 
 import (
--- a/cmd/mulberryctl/main_test.go
+++ b/cmd/mulberryctl/main_test.go
@@ -22,7 +22,7 @@
 	status   int
 }
 
-// run runs mulberryctl in process, with an answer on stdin.
+// run runs mulberryctl in the test's process with the given standard input.
 func run(t *testing.T, stdin string, args ...string) result {
 	t.Helper()
 	var out, errs bytes.Buffer
@@ -33,10 +33,10 @@
 	return result{out.String(), errs.String(), status}
 }
 
-// collapseSpaces makes the columns' widths of no matter.
+// collapseSpaces replaces each run of white space by one space, so that column widths do not matter.
 func collapseSpaces(text string) string { return strings.Join(strings.Fields(text), " ") }
 
-// want fails the test unless the status is right and the texts were printed.
+// want fails the test unless the exit status matches and all texts were printed.
 func (r result) want(t *testing.T, status int, texts ...string) {
 	t.Helper()
 	if r.status != status {
@@ -52,7 +52,7 @@
 	}
 }
 
-// tableFixture is a table service with a directory for files.
+// tableFixture is a table service and a directory for table files.
 type tableFixture struct {
 	service *tableservice.Service
 	url     string
@@ -68,14 +68,14 @@
 	return &tableFixture{service: service, url: server.URL, dir: t.TempDir()}
 }
 
-// file writes a YAML table file of plain rows under a first line.
-func (b *tableFixture) file(t *testing.T, name, firstLine string, rows ...string) string {
+// file writes a YAML table file of a first line and rows of kind plain, and returns its path.
+func (f *tableFixture) file(t *testing.T, name, firstLine string, rows ...string) string {
 	t.Helper()
 	text := firstLine + "rows:\n"
 	for _, r := range rows {
 		text += fmt.Sprintf("  - {%s, kind: plain}\n", r)
 	}
-	path := filepath.Join(b.dir, name)
+	path := filepath.Join(f.dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -91,8 +91,8 @@
 }
 
 func TestCheckNamesEachMistake(t *testing.T) {
-	b := newTableFixture(t)
-	bad := b.file(t, "bad.yaml", "", "name: A, share: 0", "name: b, scorer: c")
+	f := newTableFixture(t)
+	bad := f.file(t, "bad.yaml", "", "name: A, share: 0", "name: b, scorer: c")
 	r := run(t, "", "check", bad)
 	r.want(t, 2, "A   name", "A   share", "b   scorer", "1 of 1 files have mistakes")
 	if strings.Count(r.err, "\n") != 1 {
@@ -117,21 +117,21 @@
 }
 
 func TestApplyAsksFirst(t *testing.T) {
-	b := newTableFixture(t)
-	file := b.file(t, "table.yaml", "", "name: a")
+	f := newTableFixture(t)
+	file := f.file(t, "table.yaml", "", "name: a")
 	run(t, "n\n", "apply", file).want(t, 1, "+ a: kind=plain", "declined")
 	run(t, "", "history").want(t, 0, "VERSION")
 	run(t, "y\n", "apply", file).want(t, 0, "applied: version 1")
 }
 
-// TestGetEditApply is the operators' round: get, edit, apply, look back.
+// TestGetEditApply runs an operator's workflow: get, edit, apply, roll back, read old versions.
 func TestGetEditApply(t *testing.T) {
-	b := newTableFixture(t)
-	run(t, "", "apply", "--yes", b.file(t, "first.yaml", "", "name: a")).want(t, 0)
+	f := newTableFixture(t)
+	run(t, "", "apply", "--yes", f.file(t, "first.yaml", "", "name: a")).want(t, 0)
 	got := run(t, "", "get")
 	got.want(t, 0, baseLinePrefix+"1\n")
 
-	edited := filepath.Join(b.dir, "edited.yaml")
+	edited := filepath.Join(f.dir, "edited.yaml")
 	text := strings.Replace(got.out, "name: a", "name: a, share: 3", 1)
 	if err := os.WriteFile(edited, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -153,44 +153,44 @@
 	}
 }
 
-// TestSecondOperatorIsRefused: of two operators who started from one version
-// the second is shown both edits, and nothing is lost.
+// TestSecondOperatorIsRefused checks that, of two edits based on the same version, the
+// second is refused with the difference of both, so that the first is not overwritten.
 func TestSecondOperatorIsRefused(t *testing.T) {
-	b := newTableFixture(t)
-	run(t, "", "apply", "--yes", b.file(t, "first.yaml", "", "name: a")).want(t, 0)
-	ann := b.file(t, "ann.yaml", baseLinePrefix+"1\n", "name: a, share: 2")
-	bob := b.file(t, "bob.yaml", baseLinePrefix+"1\n", "name: a, share: 3", "name: b")
+	f := newTableFixture(t)
+	run(t, "", "apply", "--yes", f.file(t, "first.yaml", "", "name: a")).want(t, 0)
+	ann := f.file(t, "ann.yaml", baseLinePrefix+"1\n", "name: a, share: 2")
+	bob := f.file(t, "bob.yaml", baseLinePrefix+"1\n", "name: a, share: 3", "name: b")
 	run(t, "", "apply", "--yes", ann).want(t, 0, "applied: version 2")
 	run(t, "", "apply", "--yes", "--author", "bob", bob).want(t, 1,
 		"mine    ~ a.share", "mine    + b", "theirs  ~ a.share", "both    ! a.share", `version 2 by "ann" came first`)
 	run(t, "", "get").want(t, 0, "share: 2")
-	noBase := b.file(t, "nobase.yaml", "", "name: c")
+	noBase := f.file(t, "nobase.yaml", "", "name: c")
 	run(t, "", "apply", "--yes", noBase).want(t, 2, "give --base (the current one is 2)")
 }
 
-// TestRepeatAfterLostReply: the same command, repeated, is the same apply.
+// TestRepeatAfterLostReply checks that a repeated command does not apply the edit twice.
 func TestRepeatAfterLostReply(t *testing.T) {
-	b := newTableFixture(t)
-	file := b.file(t, "first.yaml", "", "name: a")
+	f := newTableFixture(t)
+	file := f.file(t, "first.yaml", "", "name: a")
 	run(t, "", "apply", "--yes", "--base", "0", file).want(t, 0, "version 1")
-	b.service.LoseNextReplies(1)
-	second := b.file(t, "second.yaml", "", "name: b")
+	f.service.LoseNextReplies(1)
+	second := f.file(t, "second.yaml", "", "name: b")
 	run(t, "", "apply", "--yes", "--base", "1", second).want(t, 0, "version 2")
 	run(t, "", "apply", "--yes", "--base", "1", second).want(t, 0, "version 2")
 	run(t, "", "apply", "--yes", "--base", "0", file).want(t, 0, "version 1")
 }
 
 func TestOutageIsOneLine(t *testing.T) {
-	b := newTableFixture(t)
-	b.service.Outage(true)
-	r := run(t, "", "apply", "--yes", b.file(t, "table.yaml", "", "name: a"))
+	f := newTableFixture(t)
+	f.service.Outage(true)
+	r := run(t, "", "apply", "--yes", f.file(t, "table.yaml", "", "name: a"))
 	r.want(t, 1, "step table", "peer")
 	if strings.Count(r.err, "\n") != 1 {
 		t.Fatalf("stderr is not one line: %q", r.err)
 	}
 }
 
-// startOperatorListener answers as a process does.
+// startOperatorListener serves status and drain like a process and returns its address.
 func startOperatorListener(t *testing.T, statuses []api.ProcessStatus) string {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathStatus, func(w http.ResponseWriter, _ *http.Request) {
@@ -207,9 +207,9 @@
 }
 
 func TestStatusAndDrain(t *testing.T) {
-	b := newTableFixture(t)
+	f := newTableFixture(t)
 	for i, share := range []string{"1", "2"} {
-		file := b.file(t, "table.yaml", fmt.Sprintf("%s%d\n", baseLinePrefix, i), "name: a, share: "+share)
+		file := f.file(t, "table.yaml", fmt.Sprintf("%s%d\n", baseLinePrefix, i), "name: a, share: "+share)
 		run(t, "", "apply", "--yes", file).want(t, 0)
 	}
 	one := startOperatorListener(t, []api.ProcessStatus{
--- a/cmd/mulberryctl/platform.go
+++ b/cmd/mulberryctl/platform.go
@@ -28,13 +28,13 @@
 	}
 }
 
-// jobsCommand, enginesCommand and configCommand show what stands in the
-// platform's store. They only read.
+// jobsCommand, enginesCommand and configCommand return the commands that show the
+// contents of the platform's store. They only read.
 func jobsCommand() *cli.Command {
 	return &cli.Command{
-		Name: "jobs", Usage: "show the batch jobs in the platform's store that have not been ended",
+		Name: "jobs", Usage: "show the open batch jobs in the platform's store",
 		Flags: []cli.Flag{storeFlag(), &cli.BoolFlag{
-			Name: flagAll, Usage: "also those that were ended; reads all their results",
+			Name: flagAll, Usage: "include ended jobs; reads all their results",
 		}},
 		Action: withTimeout(showJobs),
 	}
@@ -67,7 +67,8 @@
 	return metastore.New(addr), nil
 }
 
-// readOperatorTable reads the configuration, nil if there is none, and the named versions.
+// readOperatorTable reads the configuration, nil if there is none, and the named
+// weight version of each model.
 func readOperatorTable(ctx context.Context, rows store.Rows) (*fleet.Config, map[string]uint64, error) {
 	s, err := rows.List(ctx, store.Range{Table: operator.TableOperator})
 	if err != nil {
@@ -98,14 +99,14 @@
 	Version  uint64            `json:"version"`
 	Routes   []routeLine       `json:"routes"`
 	Versions map[string]uint64 `json:"weight_versions"`
-	// Organisations never show their keys.
+	// Organisations holds the number of keys of each organisation, never the keys.
 	Organisations []organisationLine `json:"organisations"`
 }
 
 type organisationLine struct {
 	Name     string `json:"name"`
 	Priority int    `json:"priority"`
-	Keys     int    `json:"keys"` // how many it has
+	Keys     int    `json:"keys"` // number of keys
 }
 
 type routeLine struct {
@@ -115,7 +116,7 @@
 	Kind     string   `json:"kind"`
 	Services []string `json:"services"`
 	Timeout  string   `json:"timeout"`
-	// Anonymous says that its clients need no key.
+	// Anonymous is true if clients of the route need no key.
 	Anonymous bool `json:"anonymous"`
 }
 
--- a/cmd/mulberryctl/platform_test.go
+++ b/cmd/mulberryctl/platform_test.go
@@ -20,7 +20,7 @@
 	"mulberryscale.example/usage"
 )
 
-// startPlatformStore serves a store with a configuration, an engine and two jobs.
+// startPlatformStore serves a store that has a configuration, an engine and two jobs.
 func startPlatformStore(t *testing.T) (rows *rowstore.Store, addr string) {
 	t.Helper()
 	rows = rowstore.New()
@@ -71,12 +71,12 @@
 	config.want(t, 0, "look a.example /look/ safe desk 2.5s", "organisation guthi, priority 2, keys: 2", "configuration 7, weights guide=3,meter=3")
 	asJSON := run(t, "", "--output", "json", "config", "--store", addr)
 	if strings.Contains(config.out+asJSON.out, "secret") || !strings.Contains(asJSON.out, "guthi") {
-		t.Errorf("organisations are shown without their keys: got %s and %s", config.out, asJSON.out)
+		t.Errorf("want the organisations without their keys, got %s and %s", config.out, asJSON.out)
 	}
 }
 
-// TestShowsWhoHoldsADuty has one duty done, one whose holder may still act, and
-// one whose holder can no longer.
+// TestShowsWhoHoldsADuty shows a duty that is done, one whose holder may still act,
+// and one whose term has expired.
 func TestShowsWhoHoldsADuty(t *testing.T) {
 	rows, addr := startPlatformStore(t)
 	now, _ := rows.Now()
@@ -106,7 +106,8 @@
 	run(t, "", "duties", "--store", addr).want(t, 1, "duty odd")
 }
 
-// TestShowsAndReleasesTheQuarantine has one content that is held and one suspect.
+// TestShowsAndReleasesTheQuarantine shows a quarantined and a suspect content and
+// releases the quarantined one.
 func TestShowsAndReleasesTheQuarantine(t *testing.T) {
 	rows, addr := startPlatformStore(t)
 	at, err := codec.Marshal(map[string]time.Duration{"At": 0})
@@ -138,7 +139,7 @@
 	}
 }
 
-func TestStoreViewsSayWhatIsWrong(t *testing.T) {
+func TestStoreViewsReportErrors(t *testing.T) {
 	rows, addr := startPlatformStore(t)
 	run(t, "", "jobs", "--store", "here").want(t, 2, `--store or MULBERRY_STORE: want ip:port, got "here"`)
 	rows.Put(store.Row{Key: store.Key{Table: batch.TableJobs, Name: "job-odd"}, Value: []byte("not a job")})
--- a/cmd/mulberryctl/print.go
+++ b/cmd/mulberryctl/print.go
@@ -11,7 +11,7 @@
 	"mulberryscale.example/tablestore"
 )
 
-// write prints a result in the form that --output asks for.
+// write prints a result in the format set by --output.
 func write(cmd *cli.Command, out daemon.Table, value any) error {
 	return daemon.OutputOf(cmd).Write(cmd.Root().Writer, out, value)
 }
--- a/cmd/mulberryctl/quarantine.go
+++ b/cmd/mulberryctl/quarantine.go
@@ -15,7 +15,7 @@
 
 const flagRelease = "release"
 
-// contentLine is the JSON of a content in the quarantine.
+// contentLine is the JSON of a content that is suspect or quarantined.
 type contentLine struct {
 	Content      string   `json:"content"`
 	Endpoints    []string `json:"endpoints"`
@@ -25,11 +25,12 @@
 	WaitSeconds  float64  `json:"wait_seconds"`
 }
 
-// quarantineCommand shows the contents under which endpoints ended.
+// quarantineCommand returns the command that shows the contents under which
+// endpoints crashed, and that releases one.
 func quarantineCommand() *cli.Command {
 	return &cli.Command{
-		Name: "quarantine", Usage: "show the contents of requests under which endpoints ended, or release one",
-		Flags:  []cli.Flag{storeFlag(), &cli.StringFlag{Name: flagRelease, Usage: "the content to release"}},
+		Name: "quarantine", Usage: "show the contents of requests under which endpoints crashed, or release one",
+		Flags:  []cli.Flag{storeFlag(), &cli.StringFlag{Name: flagRelease, Usage: "fingerprint of the content to release"}},
 		Action: withTimeout(showQuarantine),
 	}
 }
--- a/cmd/mulberryctl/status.go
+++ b/cmd/mulberryctl/status.go
@@ -16,12 +16,12 @@
 func statusCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
-		Usage: "show which version of the table is in force where, and which processes lag",
-		Description: "Lag is counted against the table service's version if --table-service is given and answers,\n" +
-			"else against the newest version met.",
+		Usage: "show which version of the table each process uses, and which processes lag",
+		Description: "Lag is counted against the newest version that any process uses or, if --table-service is given\n" +
+			"and answers, that the table service has.",
 		Flags: append(operatorsFlags(), &cli.DurationFlag{
 			Name:  flagWait,
-			Usage: "wait this long until no process lags; exit status 1 if one still does",
+			Usage: "wait up to this long until no process lags; exit status 1 if one still does",
 		}),
 		Action: withTimeout(runStatus),
 	}
@@ -29,7 +29,7 @@
 
 // fleetStatus is the JSON of status.
 type fleetStatus struct {
-	// Newest is the version against which lag is counted.
+	// Newest is the newest version known; processes with an older one lag.
 	Newest uint64 `json:"newest"`
 	// TableServiceError is set when the table service did not answer.
 	TableServiceError string          `json:"table_service_error,omitempty"`
@@ -70,7 +70,8 @@
 	return err
 }
 
-// readFleetStatus gives what was learnt also when some listeners did not answer.
+// readFleetStatus returns the statuses that it received even if some listeners did
+// not answer; the error joins those of the listeners that failed.
 func readFleetStatus(ctx context.Context, cmd *cli.Command, o *operatorClient) (fleetStatus, error) {
 	processes, err := o.statuses(ctx)
 	status := fleetStatus{Processes: []processResult{}}
@@ -88,6 +89,8 @@
 	return status, err
 }
 
+// readCurrentVersion reads the current version from the table service, if its address
+// is set. Version 0 means unknown or none; problem is set if the read failed.
 func readCurrentVersion(ctx context.Context, cmd *cli.Command) (version uint64, problem string) {
 	if cmd.String(flagTableService) == "" {
 		return 0, ""
--- a/cmd/mulberryctl/versions.go
+++ b/cmd/mulberryctl/versions.go
@@ -27,7 +27,7 @@
 		Usage: "print a version of the table as a file, the current one by default",
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: flagVersion, Aliases: []string{"version"}, Usage: "version to print"},
-			&cli.StringFlag{Name: flagFormat, Usage: "csv or yaml: rewrite the file in its canonical form"},
+			&cli.StringFlag{Name: flagFormat, Usage: "csv or yaml: print the table in the canonical form of that format"},
 		},
 		Action: withTimeout(runGet),
 	}
@@ -65,7 +65,7 @@
 func diffCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "diff",
-		Usage:     "show the difference of a file to the current version, or of two versions",
+		Usage:     "show the difference between the current version and a file, or between two versions",
 		ArgsUsage: "FILE | VERSION VERSION",
 		Action:    withTimeout(runDiff),
 	}
@@ -138,7 +138,7 @@
 		Name:  "history",
 		Usage: "list the newest versions",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: flagLimit, Usage: "how many", Value: defaultLimit, Validator: func(n int) error {
+			&cli.IntFlag{Name: flagLimit, Usage: "number of versions", Value: defaultLimit, Validator: func(n int) error {
 				if n < 1 {
 					return errors.New("want at least 1")
 				}
@@ -162,7 +162,7 @@
 	}
 }
 
-// readVersion reads a version; 0 is the current one.
+// readVersion reads a version of the table; version 0 means the current one.
 func readVersion(ctx context.Context, store *tablestore.Store, version uint64) (tablestore.Document, error) {
 	if version == 0 {
 		return store.Get(ctx)
@@ -170,7 +170,7 @@
 	return store.Version(ctx, version)
 }
 
-// readCurrent is the current version, or the zero document before the first.
+// readCurrent reads the current version, or returns the zero document if there is none yet.
 func readCurrent(ctx context.Context, store *tablestore.Store) (tablestore.Document, error) {
 	doc, err := store.Get(ctx)
 	if errors.Is(err, tablestore.ErrNoTable) {
@@ -179,7 +179,7 @@
 	return doc, err
 }
 
-// parseRows reads the rows of a document; the zero document has none.
+// parseRows parses the rows of a document; the zero document has none.
 func parseRows(doc tablestore.Document) ([]table.Row, error) {
 	if doc.Version == 0 {
 		return nil, nil
