--- a/proof/actions_test.go
+++ b/proof/actions_test.go
@@ -15,68 +15,71 @@
 	"mulberryscale.example/transport"
 )
 
-// drainTime is how long a drain among other faults may take before the process is killed.
-const drainTime = 20 * time.Second
+// drainTimeout bounds a drain; the process is killed when it expires. Other faults can keep
+// a drain from completing.
+const drainTimeout = 20 * time.Second
 
-// action is one thing that happens to a world; a and b choose what it happens to.
+// action is one operation or fault of a plan; a and b select its target and parameters.
 type action struct {
 	name  string
 	a, b  int
-	pause time.Duration // the time until the next action
+	pause time.Duration // before the next action
 }
 
 // String implements fmt.Stringer.
 func (a action) String() string { return fmt.Sprintf("%s(%d,%d)+%v", a.name, a.a, a.b, a.pause) }
 
-// actions are all that can happen.
-var actions = map[string]func(w *world, a, b int){
-	"step":           func(w *world, a, b int) { w.trainers[pick([]string{rowTrainer, rowPartial}, a)].submit(4 + b%20) },
-	"lookup":         func(w *world, a, b int) { w.startLookup(a, b%2 == 1, lookupMaxTokens) },
-	"book":           func(w *world, a, b int) { w.startBooking(a, w.newKey()) },
-	"book again":     (*world).bookAgain,
-	"book unkeyed":   (*world).bookUnkeyed,
-	"lookup once":    (*world).lookupOnce,
-	"limited lookup": (*world).limitedLookup,
-	"kill entry":     func(w *world, a, _ int) { w.killEntry(a) },
-	"kill agent":     func(w *world, a, _ int) { w.killAgent(a) },
-	"start":          (*world).startOne,
-	"drain entry":    func(w *world, a, _ int) { w.drainEntry(a) },
-	"drain agent":    func(w *world, a, _ int) { w.drainAgent(a) },
-	"freeze":         func(w *world, a, _ int) { w.fabric.freeze(pick(w.ids(), a)) },
-	"thaw":           func(w *world, a, _ int) { w.fabric.thaw(pick(w.ids(), a)) },
-	"thaw all":       (*world).thawAll,
-	"cut":            func(w *world, a, b int) { w.fabric.Network.Cut(w.link(a, b)) },
-	"mend":           func(w *world, a, b int) { w.fabric.Network.Heal(w.link(a, b)) },
-	"crash engine":   func(w *world, a, _ int) { pick(w.engines(), a).Crash() },
-	"freeze engine":  func(w *world, a, _ int) { pick(w.engines(), a).Freeze() },
-	"thaw engine":    func(w *world, a, _ int) { pick(w.engines(), a).Thaw() },
-	"cut stream":     func(w *world, a, b int) { pick(w.engines(), a).CutNextStream(1 + b%50) },
-	"slow engine":    func(w *world, a, b int) { pick(w.engines(), a).SlowBy(float64(1 + b%20)) },
-	"lag status":     func(w *world, a, b int) { pick(w.engines(), a).StatusLag(time.Duration(b%5) * 500 * time.Millisecond) },
-	"fail load":      func(w *world, a, _ int) { pick(w.engines(), a).FailNextLoads(1) },
-	"lose load":      func(w *world, a, _ int) { pick(w.engines(), a).LoseNextLoadReplies(1) },
-	"publish":        func(w *world, _, _ int) { w.publish() },
-	"outage":         func(w *world, _, _ int) { w.d.Table.Outage(true) },
-	"outage ends":    func(w *world, _, _ int) { w.d.Table.Outage(false) },
-	"lose writes":    func(w *world, _, b int) { w.d.Table.LoseNextReplies(1 + b%3) },
-	"slow table":     func(w *world, _, b int) { w.d.Table.Slow(time.Duration(b%6) * 700 * time.Millisecond) },
-	"lag list":       func(w *world, _, b int) { w.d.Instances.SetLag(time.Duration(b%6) * 2 * time.Second) },
-	"lose answers":   func(w *world, a, b int) { pick(w.bookings, a).LoseNextReplies(1 + b%2) },
-	"break calls":    func(w *world, a, b int) { pick(w.bookings, a).FailNextBeforeRun(1 + b%2) },
-	"refuse calls":   func(w *world, a, b int) { pick(w.bookings, a).RefuseConnections(b%2 == 0) },
-	"stale reads":    func(w *world, _, b int) { w.d.Table.StaleReads(b%2 == 0) },
-	"slow calls":     func(w *world, a, b int) { pick(w.bookings, a).Delay(time.Duration(b%30) * time.Second) },
-	"crash service":  func(w *world, a, _ int) { pick(w.bookings, a).Crash() },
-	"break scoring":  func(w *world, a, b int) { pick(w.scorers, a).FailNextBeforeRun(1 + b%2) },
-	"refuse scoring": func(w *world, a, b int) { pick(w.scorers, a).RefuseConnections(b%2 == 0) },
-	"jump":           func(_ *world, _, b int) { time.Sleep(time.Duration(b%60) * time.Second) },
-}
-
-// often are the actions that are drawn more often than the others.
-var often = []string{"step", "step", "step", "lookup", "lookup", "book", "book", "book again", "book again", "lookup once", "limited lookup", "limited lookup", "start", "thaw all"}
+// actions are the operations and faults by name. rapid selects them by the sorted names.
+var actions = map[string]func(h *harness, a, b int){
+	"step":           func(h *harness, a, b int) { h.trainers[pick([]string{rowTrainer, rowPartial}, a)].submit(4 + b%20) },
+	"lookup":         func(h *harness, a, b int) { h.startLookup(a, b%2 == 1, lookupMaxTokens) },
+	"book":           func(h *harness, a, b int) { h.startBooking(a, h.newKey()) },
+	"book again":     (*harness).bookAgain,
+	"book unkeyed":   (*harness).bookUnkeyed,
+	"lookup once":    (*harness).lookupOnce,
+	"limited lookup": (*harness).limitedLookup,
+	"kill entry":     func(h *harness, a, _ int) { h.killEntry(a) },
+	"kill agent":     func(h *harness, a, _ int) { h.killAgent(a) },
+	"start":          (*harness).startOne,
+	"drain entry":    func(h *harness, a, _ int) { h.drainEntry(a) },
+	"drain agent":    func(h *harness, a, _ int) { h.drainAgent(a) },
+	"freeze":         func(h *harness, a, _ int) { h.fabric.freeze(pick(h.ids(), a)) },
+	"thaw":           func(h *harness, a, _ int) { h.fabric.thaw(pick(h.ids(), a)) },
+	"thaw all":       (*harness).thawAll,
+	"cut":            func(h *harness, a, b int) { h.fabric.Network.Cut(h.link(a, b)) },
+	"mend":           func(h *harness, a, b int) { h.fabric.Network.Heal(h.link(a, b)) },
+	"crash engine":   func(h *harness, a, _ int) { pick(h.engines(), a).Crash() },
+	"freeze engine":  func(h *harness, a, _ int) { pick(h.engines(), a).Freeze() },
+	"thaw engine":    func(h *harness, a, _ int) { pick(h.engines(), a).Thaw() },
+	"cut stream":     func(h *harness, a, b int) { pick(h.engines(), a).CutNextStream(1 + b%50) },
+	"slow engine":    func(h *harness, a, b int) { pick(h.engines(), a).SlowBy(float64(1 + b%20)) },
+	"lag status": func(h *harness, a, b int) {
+		pick(h.engines(), a).StatusLag(time.Duration(b%5) * 500 * time.Millisecond)
+	},
+	"fail load":      func(h *harness, a, _ int) { pick(h.engines(), a).FailNextLoads(1) },
+	"lose load":      func(h *harness, a, _ int) { pick(h.engines(), a).LoseNextLoadReplies(1) },
+	"publish":        func(h *harness, _, _ int) { h.publish() },
+	"outage":         func(h *harness, _, _ int) { h.d.Table.Outage(true) },
+	"outage ends":    func(h *harness, _, _ int) { h.d.Table.Outage(false) },
+	"lose writes":    func(h *harness, _, b int) { h.d.Table.LoseNextReplies(1 + b%3) },
+	"slow table":     func(h *harness, _, b int) { h.d.Table.Slow(time.Duration(b%6) * 700 * time.Millisecond) },
+	"lag list":       func(h *harness, _, b int) { h.d.Instances.SetLag(time.Duration(b%6) * 2 * time.Second) },
+	"lose answers":   func(h *harness, a, b int) { pick(h.bookings, a).LoseNextReplies(1 + b%2) },
+	"break calls":    func(h *harness, a, b int) { pick(h.bookings, a).FailNextBeforeRun(1 + b%2) },
+	"refuse calls":   func(h *harness, a, b int) { pick(h.bookings, a).RefuseConnections(b%2 == 0) },
+	"stale reads":    func(h *harness, _, b int) { h.d.Table.StaleReads(b%2 == 0) },
+	"slow calls":     func(h *harness, a, b int) { pick(h.bookings, a).Delay(time.Duration(b%30) * time.Second) },
+	"crash service":  func(h *harness, a, _ int) { pick(h.bookings, a).Crash() },
+	"break scoring":  func(h *harness, a, b int) { pick(h.scorers, a).FailNextBeforeRun(1 + b%2) },
+	"refuse scoring": func(h *harness, a, b int) { pick(h.scorers, a).RefuseConnections(b%2 == 0) },
+	"jump":           func(_ *harness, _, b int) { time.Sleep(time.Duration(b%60) * time.Second) },
+}
+
+// frequentActions are drawn more often than the others: each entry raises the probability.
+var frequentActions = []string{"step", "step", "step", "lookup", "lookup", "book", "book", "book again", "book again", "lookup once", "limited lookup", "limited lookup", "start", "thaw all"}
 
 func actionNames() []string {
-	names := slices.Clone(often)
+	names := slices.Clone(frequentActions)
 	for name := range actions {
 		names = append(names, name)
 	}
@@ -86,7 +89,7 @@
 
 var pauses = []time.Duration{0, 0, time.Millisecond, 5 * time.Millisecond, 30 * time.Millisecond, 150 * time.Millisecond, time.Second, 4 * time.Second}
 
-// plans draws what happens to a world.
+// plans generates sequences of actions.
 func plans() *rapid.Generator[[]action] {
 	one := rapid.Custom(func(t *rapid.T) action {
 		return action{
@@ -102,138 +105,139 @@
 
 func pick[T any](from []T, n int) T { return from[n%len(from)] }
 
-func (w *world) ids() []string {
+func (h *harness) ids() []string {
 	var ids []string
-	for _, e := range w.d.Entries {
+	for _, e := range h.d.Entries {
 		ids = append(ids, e.ID)
 	}
-	for _, a := range w.d.Agents {
+	for _, a := range h.d.Agents {
 		ids = append(ids, a.ID)
 	}
 	return ids
 }
 
-// link is a link between an entry and another process.
-func (w *world) link(a, b int) (one, other transport.PeerID) {
-	return transport.PeerID(pick(w.d.Entries, a).ID), transport.PeerID(pick(w.d.Agents, b).ID)
+// link selects the network link between an entry and an agent.
+func (h *harness) link(a, b int) (one, other transport.PeerID) {
+	return transport.PeerID(pick(h.d.Entries, a).ID), transport.PeerID(pick(h.d.Agents, b).ID)
 }
 
-func (w *world) bookAgain(a, b int) {
-	w.mu.Lock()
-	n := len(w.keyed)
-	w.mu.Unlock()
+func (h *harness) bookAgain(a, b int) {
+	h.mu.Lock()
+	n := len(h.keyed)
+	h.mu.Unlock()
 	if n == 0 {
 		return
 	}
-	// One of the last few, which may still be running.
-	last := w.keyed[n-1-b%min(n, 4)]
+	// One of the last 4 calls, which may still be running.
+	last := h.keyed[n-1-b%min(n, 4)]
 	if last.header.Get(api.HeaderIdempotencyKey) != "" {
-		w.startBooking(a, last.key)
+		h.startBooking(a, last.key)
 	}
 }
 
-func (w *world) bookUnkeyed(a, _ int) {
-	w.call(a, &keyedCall{key: w.newKey(), header: http.Header{}})
+func (h *harness) bookUnkeyed(a, _ int) {
+	h.call(a, &keyedCall{key: h.newKey(), header: http.Header{}})
 }
 
-func (w *world) lookupOnce(a, b int) {
-	w.begin(a, &lookup{once: true, req: api.CompletionRequest{Model: rowLookups, MaxTokens: lookupMaxTokens, Stream: b%2 == 1}})
+func (h *harness) lookupOnce(a, b int) {
+	h.sendLookup(a, &lookup{atMostOnce: true, req: api.CompletionRequest{Model: rowLookups, MaxTokens: lookupMaxTokens, Stream: b%2 == 1}})
 }
 
-func (w *world) limitedLookup(a, b int) {
-	w.begin(a, &lookup{req: api.CompletionRequest{Model: rowLimited, MaxTokens: lookupMaxTokens, Stream: b%2 == 1}})
+func (h *harness) limitedLookup(a, b int) {
+	h.sendLookup(a, &lookup{req: api.CompletionRequest{Model: rowLimited, MaxTokens: lookupMaxTokens, Stream: b%2 == 1}})
 }
 
-func (w *world) killEntry(n int) {
-	e := pick(w.d.Entries, n)
-	if !w.down[e.ID] {
-		w.down[e.ID] = true
-		w.fabric.thaw(e.ID)
+func (h *harness) killEntry(n int) {
+	e := pick(h.d.Entries, n)
+	if !h.down[e.ID] {
+		h.down[e.ID] = true
+		h.fabric.thaw(e.ID)
 		e.Kill()
 	}
 }
 
-func (w *world) killAgent(n int) {
-	a := pick(w.d.Agents, n)
-	if !w.down[a.ID] {
-		w.down[a.ID] = true
+func (h *harness) killAgent(n int) {
+	a := pick(h.d.Agents, n)
+	if !h.down[a.ID] {
+		h.down[a.ID] = true
 		a.Kill()
 	}
 }
 
-// drainEntry stops an entry. Among other faults it may well be cut off.
-func (w *world) drainEntry(n int) {
-	e := pick(w.d.Entries, n)
-	if !w.down[e.ID] {
-		w.stopEntry(e)
-		w.stops.Wait()
+// drainEntry drains and stops an entry. Other faults can make the drain time out.
+func (h *harness) drainEntry(n int) {
+	e := pick(h.d.Entries, n)
+	if !h.down[e.ID] {
+		h.stopEntry(e)
+		h.drains.Wait()
 	}
 }
 
-// drainAgent stops an agent.
-func (w *world) drainAgent(n int) {
-	a := pick(w.d.Agents, n)
-	if !w.down[a.ID] {
-		w.stopAgent(a)
-		w.stops.Wait()
+// drainAgent drains and stops an agent.
+func (h *harness) drainAgent(n int) {
+	a := pick(h.d.Agents, n)
+	if !h.down[a.ID] {
+		h.stopAgent(a)
+		h.drains.Wait()
 	}
 }
 
-// answerTime is what an entry's HTTP server has after the drain to write the
-// last answers; the daemon waits for them by http.Server.Shutdown.
-const answerTime = time.Millisecond
+// responseFlushTime is how long an entry's HTTP server has after the drain to write the last
+// responses. The daemon waits for them with http.Server.Shutdown.
+const responseFlushTime = time.Millisecond
 
-// stopOf drains an entry, lets the last answers out, and stops it.
-func stopOf(e *deployment.Entry) func(context.Context) error {
+// drainAndStop returns a function that drains an entry, lets it write its last responses and
+// stops it.
+func drainAndStop(e *deployment.Entry) func(context.Context) error {
 	return func(ctx context.Context) error {
 		err := e.Entry.Drain(ctx)
-		time.Sleep(answerTime)
+		time.Sleep(responseFlushTime)
 		return errors.Join(err, e.Stop(ctx))
 	}
 }
 
-// beginStop drains a process while other things go on. The error is kept in w.stopErrs.
-func (w *world) beginStop(id string, stop func(context.Context) error) {
-	w.down[id] = true
-	w.stops.Go(func() {
-		ctx, cancel := context.WithTimeout(w.ctx, drainTime)
+// startDrain drains a process in the background and appends its error to h.drainErrs.
+func (h *harness) startDrain(id string, stop func(context.Context) error) {
+	h.down[id] = true
+	h.drains.Go(func() {
+		ctx, cancel := context.WithTimeout(h.ctx, drainTimeout)
 		defer cancel()
 		if err := stop(ctx); err != nil {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			w.stopErrs = append(w.stopErrs, err)
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			h.drainErrs = append(h.drainErrs, err)
 		}
 	})
 }
 
-func (w *world) startOne(n, _ int) {
-	for _, e := range w.d.Entries {
-		if w.down[e.ID] && n%2 == 0 {
-			w.startAgain(e.ID, e.Start)
+func (h *harness) startOne(n, _ int) {
+	for _, e := range h.d.Entries {
+		if h.down[e.ID] && n%2 == 0 {
+			h.restart(e.ID, e.Start)
 			return
 		}
 	}
-	for _, a := range w.d.Agents {
-		if w.down[a.ID] {
-			w.startAgain(a.ID, a.Start)
+	for _, a := range h.d.Agents {
+		if h.down[a.ID] {
+			h.restart(a.ID, a.Start)
 			return
 		}
 	}
 }
 
-func (w *world) thawAll(_, _ int) {
-	for _, id := range w.ids() {
-		w.fabric.thaw(id)
+func (h *harness) thawAll(_, _ int) {
+	for _, id := range h.ids() {
+		h.fabric.thaw(id)
 	}
-	for _, e := range w.engines() {
+	for _, e := range h.engines() {
 		e.Thaw()
 	}
 }
 
-// publish publishes the next weights; steps from then on count against them.
-func (w *world) publish() {
-	w.version++
-	if err := w.d.Weights.Publish(model, w.version, nil); err != nil {
-		w.breach("weights %d: %v", w.version, err)
+// publish publishes the next version of the weights; later steps declare that version.
+func (h *harness) publish() {
+	h.version++
+	if err := h.d.Weights.Publish(model, h.version, nil); err != nil {
+		h.errorf("weights %d: %v", h.version, err)
 	}
 }
--- a/proof/claim_test.go
+++ b/proof/claim_test.go
@@ -15,8 +15,8 @@
 	"mulberryscale.example/transport"
 )
 
-// claimHook is called once, after a claim was written and before its writer
-// learns of it.
+// claimHook calls a function once, after a claim was committed and before the writer receives
+// the reply.
 type claimHook struct {
 	mu sync.Mutex
 	f  func()
@@ -38,7 +38,7 @@
 	}
 }
 
-// hookedTable is an entry's way to the table service.
+// hookedTable is an entry's table service client that calls the hook after each committed claim.
 type hookedTable struct {
 	platform.TableService
 	hook *claimHook
@@ -53,111 +53,113 @@
 	return etags, err
 }
 
-// small is a small world whose entries' claims call the hook, if there is one.
-func small(h *claimHook) worldOptions {
-	// A sample that makes room for a lookup is cancelled on its engine; here every
-	// cancelled run is to mean that something was cut off. The fuzz test preempts.
+// smallDeployment has two entries and two engines. Claims of the entries call the hook, if any.
+func smallDeployment(hook *claimHook) harnessOptions {
+	// Preemption cancels the run of a sample to free its slot for a lookup. It is off so that
+	// every cancelled run is a failure. The fuzz test covers preemption.
 	keep := func(c *agent.Config) { c.NoPreemption = true }
-	return worldOptions{entries: 2, engines: 2, agent: keep, entry: func(c *entry.Config) {
-		if h != nil {
-			c.Table = hookedTable{c.Table, h}
+	return harnessOptions{entries: 2, engines: 2, agent: keep, entry: func(c *entry.Config) {
+		if hook != nil {
+			c.Table = hookedTable{c.Table, hook}
 		}
 	}}
 }
 
-// prove runs a world through f, heals it and fails the test for each broken promise.
-func prove(t *testing.T, size worldOptions, f func(*world)) {
+// runAndCheck calls f with a new harness, removes all faults and fails the test for each
+// violated guarantee.
+func runAndCheck(t *testing.T, opts harnessOptions, f func(*harness)) {
 	t.Helper()
-	for _, b := range inBubble(t, size, f) {
+	for _, b := range runInBubble(t, opts, f) {
 		t.Error(b)
 	}
 }
 
-// wantAnswer notes a breach unless a call was answered.
-func (w *world) wantAnswer(c *keyedCall) {
+// wantAnswer reports a violation unless a call succeeded.
+func (h *harness) wantAnswer(c *keyedCall) {
 	<-c.done
 	if c.err != nil {
-		w.breach("%s was not answered: %v", c.key, c.err)
+		h.errorf("%s failed: %v", c.key, c.err)
 	}
 }
 
-// wantRefusal notes a breach unless a call was refused with the code and not_run.
-func (w *world) wantRefusal(c *keyedCall, code api.Code, notRun api.NotRun) {
+// wantRefusal reports a violation unless a call was refused with the code and not_run.
+func (h *harness) wantRefusal(c *keyedCall, code api.Code, notRun api.NotRun) {
 	<-c.done
 	r, ok := c.err.(*api.Refusal)
 	if !ok || r.Code != code || r.NotRun != notRun {
-		w.breach("%s: want the refusal %s with not_run %s, got %v", c.key, code, notRun, c.err)
+		h.errorf("%s: want the refusal %s with not_run %s, got %v", c.key, code, notRun, c.err)
 	}
 }
 
-func (w *world) restartBookings() {
-	for _, a := range w.d.Agents {
+func (h *harness) restartBookings() {
+	for _, a := range h.d.Agents {
 		if strings.HasPrefix(a.ID, "bookings") {
 			a.Kill()
 			if err := a.Start(); err != nil {
-				w.breach("%s: %v", a.ID, err)
+				h.errorf("%s: %v", a.ID, err)
 			}
 		}
 	}
 }
 
-// TestKeyOfAnotherRequest uses a key again for a call with another body.
+// TestKeyOfAnotherRequest checks that reusing an idempotency key with another body is refused
+// as a duplicate.
 func TestKeyOfAnotherRequest(t *testing.T) {
-	prove(t, small(nil), func(w *world) {
-		w.wantAnswer(w.startBooking(0, "a"))
-		_, err := w.callService(1, rowBookings, "/book", "another", http.Header{api.HeaderIdempotencyKey: {"a"}})
+	runAndCheck(t, smallDeployment(nil), func(h *harness) {
+		h.wantAnswer(h.startBooking(0, "a"))
+		_, err := h.callService(1, rowBookings, "/book", "another", http.Header{api.HeaderIdempotencyKey: {"a"}})
 		if r, ok := err.(*api.Refusal); !ok || r.Code != api.CodeDuplicate {
-			w.breach("want the refusal %s, got %v", api.CodeDuplicate, err)
+			h.errorf("want the refusal %s, got %v", api.CodeDuplicate, err)
 		}
 	})
 }
 
-// cutBookings cuts an entry off the agents of the bookings service.
-func (w *world) cutBookings(entry int) {
-	for _, a := range w.d.Agents {
+// cutBookings cuts the links between an entry and the agents of the bookings service.
+func (h *harness) cutBookings(entry int) {
+	for _, a := range h.d.Agents {
 		if strings.HasPrefix(a.ID, "bookings") {
-			w.fabric.Network.Cut(transport.PeerID(w.d.Entries[entry].ID), transport.PeerID(a.ID))
+			h.fabric.Network.Cut(transport.PeerID(h.d.Entries[entry].ID), transport.PeerID(a.ID))
 		}
 	}
 }
 
-// TestRefusalSpeaksForAllAttempts loses the answer of a call that may be
-// repeated, and has every repeat refused before it runs: the last refusal must
-// not say that the call did not run.
+// TestRefusalSpeaksForAllAttempts guards against a refusal that covers only the last attempt:
+// the response of an idempotent call is lost and every retry is refused before it runs, so the
+// final refusal must not say not_run=true.
 func TestRefusalSpeaksForAllAttempts(t *testing.T) {
-	prove(t, small(nil), func(w *world) {
-		for _, s := range w.scorers {
+	runAndCheck(t, smallDeployment(nil), func(h *harness) {
+		for _, s := range h.scorers {
 			s.LoseNextReplies(1)
 		}
-		w.callers.Go(func() {
-			_, err := w.callService(0, rowScorer, "/score", `{"text":"a"}`, http.Header{api.HeaderDeadline: {"2s"}})
+		h.callers.Go(func() {
+			_, err := h.callService(0, rowScorer, "/score", `{"text":"a"}`, http.Header{api.HeaderDeadline: {"2s"}})
 			if r, ok := err.(*api.Refusal); !ok || r.NotRun == api.NotRunTrue {
-				w.breach("want a refusal that does not say not_run, got %v", err)
+				h.errorf("want a refusal without not_run=true, got %v", err)
 			}
 		})
-		time.Sleep(2 * time.Millisecond) // it runs, and its answer is on the way
-		for _, s := range w.scorers {
+		time.Sleep(2 * time.Millisecond) // the call runs; its response is not delivered yet
+		for _, s := range h.scorers {
 			s.RefuseConnections(true)
 		}
 		time.Sleep(5 * time.Second)
 	})
 }
 
-// TestAgentsTakeAnotherIncarnation makes many calls of agents that remember
-// few keys: the calls go on, a repeat of a late key is answered, and one of a
-// key that was forgotten does not run again.
+// TestAgentsTakeAnotherIncarnation sends more keys than the agents can remember, so that they
+// start new incarnations: calls continue to succeed, a retry of a recent key gets its response,
+// and a retry of a forgotten key does not run again.
 func TestAgentsTakeAnotherIncarnation(t *testing.T) {
-	size := small(nil)
-	size.agent = func(c *agent.Config) { c.MaxKeys = 20 }
-	prove(t, size, func(w *world) {
-		w.wantAnswer(w.startBooking(0, "old"))
+	opts := smallDeployment(nil)
+	opts.agent = func(c *agent.Config) { c.MaxKeys = 20 }
+	runAndCheck(t, opts, func(h *harness) {
+		h.wantAnswer(h.startBooking(0, "old"))
 		for range 60 {
-			key := w.newKey()
-			w.wantAnswer(w.startBooking(0, key))
-			w.wantAnswer(w.startBooking(1, key))
+			key := h.newKey()
+			h.wantAnswer(h.startBooking(0, key))
+			h.wantAnswer(h.startBooking(1, key))
 			time.Sleep(400 * time.Millisecond)
 		}
-		time.Sleep(5 * time.Minute) // until the answer is not kept any more
-		w.wantRefusal(w.startBooking(1, "old"), api.CodeOutcomeUnknown, api.NotRunUnknown)
+		time.Sleep(5 * time.Minute) // until the stored response has expired
+		h.wantRefusal(h.startBooking(1, "old"), api.CodeOutcomeUnknown, api.NotRunUnknown)
 	})
 }
--- a/proof/control_actions_test.go
+++ b/proof/control_actions_test.go
@@ -10,14 +10,14 @@
 	"mulberryscale.example/transport"
 )
 
-// controlStep is one action of a plan; a and b choose whom it concerns and how much.
+// controlStep is one action of a plan; a and b select its target and parameters.
 type controlStep struct {
 	name  string
 	a, b  int
 	pause time.Duration
 }
 
-// controlPlans draws what happens.
+// controlPlans generates sequences of actions.
 func controlPlans() *rapid.Generator[[]controlStep] {
 	step := rapid.Custom(func(t *rapid.T) controlStep {
 		return controlStep{
@@ -30,154 +30,153 @@
 	return rapid.SliceOfN(step, 5, 40)
 }
 
-// controlNames are the actions, some more often than others.
+// controlNames are the names of the actions. A repeated name is drawn more often.
 var controlNames = []string{
 	"publish", "publish", "publish", "fail loads", "lose loads", "crash", "freeze engine", "thaw engine",
 	"freeze agent", "thaw agent", "replace agent", "replace agent", "kill agent", "start agent", "store outage", "store back",
 	"table outage", "table back", "lose table replies", "cut", "heal links",
 }
 
-// controlActions are what can happen.
-var controlActions = map[string]func(w *controlWorld, a, b int){
-	"publish":            func(w *controlWorld, _, b int) { w.publish(b) },
-	"fail loads":         func(w *controlWorld, a, b int) { w.engines[a].core.FailNextLoads(1 + b%2) },
-	"lose loads":         func(w *controlWorld, a, b int) { w.engines[a].core.LoseNextLoadReplies(1 + b%2) },
-	"crash":              func(w *controlWorld, a, _ int) { w.engines[a].crash() },
-	"freeze engine":      func(w *controlWorld, a, _ int) { w.engines[a].core.Freeze() },
-	"thaw engine":        func(w *controlWorld, a, _ int) { w.engines[a].core.Thaw() },
-	"freeze agent":       func(w *controlWorld, a, _ int) { w.freeze(w.d.Agents[a]) },
-	"thaw agent":         func(w *controlWorld, a, _ int) { w.thaw(w.d.Agents[a]) },
-	"replace agent":      func(w *controlWorld, a, _ int) { w.replace(w.d.Agents[a]) },
-	"kill agent":         func(w *controlWorld, a, _ int) { w.kill(w.d.Agents[a]) },
-	"start agent":        func(w *controlWorld, a, _ int) { w.startAgain(w.d.Agents[a]) },
-	"store outage":       func(w *controlWorld, _, _ int) { w.d.Weights.Outage(true) },
-	"store back":         func(w *controlWorld, _, _ int) { w.d.Weights.Outage(false) },
-	"table outage":       func(w *controlWorld, _, _ int) { w.d.Table.Outage(true) },
-	"table back":         func(w *controlWorld, _, _ int) { w.d.Table.Outage(false) },
-	"lose table replies": func(w *controlWorld, _, b int) { w.d.Table.LoseNextReplies(1 + b%3) },
-	"cut": func(w *controlWorld, a, b int) {
-		w.fabric.Network.Cut(transport.PeerID(w.d.Agents[a].ID), transport.PeerID(w.d.Agents[b%controlEngines].ID))
+// controlActions are the operations and faults by name.
+var controlActions = map[string]func(h *controlHarness, a, b int){
+	"publish":            func(h *controlHarness, _, b int) { h.publish(b) },
+	"fail loads":         func(h *controlHarness, a, b int) { h.engines[a].core.FailNextLoads(1 + b%2) },
+	"lose loads":         func(h *controlHarness, a, b int) { h.engines[a].core.LoseNextLoadReplies(1 + b%2) },
+	"crash":              func(h *controlHarness, a, _ int) { h.engines[a].crash() },
+	"freeze engine":      func(h *controlHarness, a, _ int) { h.engines[a].core.Freeze() },
+	"thaw engine":        func(h *controlHarness, a, _ int) { h.engines[a].core.Thaw() },
+	"freeze agent":       func(h *controlHarness, a, _ int) { h.freeze(h.d.Agents[a]) },
+	"thaw agent":         func(h *controlHarness, a, _ int) { h.thaw(h.d.Agents[a]) },
+	"replace agent":      func(h *controlHarness, a, _ int) { h.replace(h.d.Agents[a]) },
+	"kill agent":         func(h *controlHarness, a, _ int) { h.kill(h.d.Agents[a]) },
+	"start agent":        func(h *controlHarness, a, _ int) { h.restart(h.d.Agents[a]) },
+	"store outage":       func(h *controlHarness, _, _ int) { h.d.Weights.Outage(true) },
+	"store back":         func(h *controlHarness, _, _ int) { h.d.Weights.Outage(false) },
+	"table outage":       func(h *controlHarness, _, _ int) { h.d.Table.Outage(true) },
+	"table back":         func(h *controlHarness, _, _ int) { h.d.Table.Outage(false) },
+	"lose table replies": func(h *controlHarness, _, b int) { h.d.Table.LoseNextReplies(1 + b%3) },
+	"cut": func(h *controlHarness, a, b int) {
+		h.fabric.Network.Cut(transport.PeerID(h.d.Agents[a].ID), transport.PeerID(h.d.Agents[b%controlEngines].ID))
 	},
-	"heal links": func(w *controlWorld, a, _ int) {
-		w.fabric.Network.HealAll(transport.PeerID(w.d.Agents[a].ID))
+	"heal links": func(h *controlHarness, a, _ int) {
+		h.fabric.Network.HealAll(transport.PeerID(h.d.Agents[a].ID))
 	},
 }
 
-// freeze stops an agent's messages and its calls of the engine.
-func (w *controlWorld) freeze(a *deployment.Agent) {
-	w.fabric.Network.StallAll(transport.PeerID(a.ID))
-	w.gateOf(a).freeze()
+// freeze stalls an agent's messages and its calls to the engine.
+func (h *controlHarness) freeze(a *deployment.Agent) {
+	h.fabric.Network.StallAll(transport.PeerID(a.ID))
+	h.gateOf(a).freeze()
 }
 
-func (w *controlWorld) thaw(a *deployment.Agent) {
-	w.fabric.Network.HealAll(transport.PeerID(a.ID))
-	w.gateOf(a).thaw()
+func (h *controlHarness) thaw(a *deployment.Agent) {
+	h.fabric.Network.HealAll(transport.PeerID(a.ID))
+	h.gateOf(a).thaw()
 }
 
-func (w *controlWorld) gateOf(a *deployment.Agent) *gatedEngine {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.gates[a.ID]
+func (h *controlHarness) gateOf(a *deployment.Agent) *gatedEngine {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.gates[a.ID]
 }
 
-// replace starts a new incarnation beside the same engine while the calls of
-// the one before stand still; they go on at the end, or when all is thawed.
-func (w *controlWorld) replace(a *deployment.Agent) {
-	if w.down[a.ID] {
+// replace starts a new incarnation of an agent for the same engine while the calls of the
+// previous one are frozen. They resume after 20 s, or when everything is thawed.
+func (h *controlHarness) replace(a *deployment.Agent) {
+	if h.down[a.ID] {
 		return
 	}
-	w.gateOf(a).freeze()
-	time.Sleep(time.Second) // until calls stand at the gate
-	w.fabric.Network.HealAll(transport.PeerID(a.ID))
+	h.gateOf(a).freeze()
+	time.Sleep(time.Second) // until calls wait at the gate
+	h.fabric.Network.HealAll(transport.PeerID(a.ID))
 	if err := a.Start(); err != nil {
-		w.breach("%s was not replaced: %v", a.ID, err)
+		h.errorf("%s was not replaced: %v", a.ID, err)
 	}
-	time.AfterFunc(20*time.Second, w.thawOld)
+	time.AfterFunc(20*time.Second, h.thawReplaced)
 }
 
-// thawOld lets the calls of replaced incarnations go on.
-func (w *controlWorld) thawOld() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, g := range w.old {
+// thawReplaced resumes the calls of replaced incarnations.
+func (h *controlHarness) thawReplaced() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, g := range h.replaced {
 		g.thaw()
 	}
-	w.old = nil
+	h.replaced = nil
 }
 
-func (w *controlWorld) thawAll() {
-	w.thawOld()
-	for _, a := range w.d.Agents {
-		if g := w.gateOf(a); g != nil {
+func (h *controlHarness) thawAll() {
+	h.thawReplaced()
+	for _, a := range h.d.Agents {
+		if g := h.gateOf(a); g != nil {
 			g.thaw()
 		}
 	}
-	for _, e := range w.engines {
+	for _, e := range h.engines {
 		if e.core != nil {
 			e.core.Thaw()
 		}
 	}
 }
 
-func (w *controlWorld) kill(a *deployment.Agent) {
-	if w.down[a.ID] {
+func (h *controlHarness) kill(a *deployment.Agent) {
+	if h.down[a.ID] {
 		return
 	}
-	w.down[a.ID] = true
-	w.gateOf(a).thaw() // a killed process holds nothing up
+	h.down[a.ID] = true
+	h.gateOf(a).thaw() // a killed process must not block calls
 	a.Kill()
 }
 
-func (w *controlWorld) startAgain(a *deployment.Agent) {
-	if !w.down[a.ID] {
+func (h *controlHarness) restart(a *deployment.Agent) {
+	if !h.down[a.ID] {
 		return
 	}
-	delete(w.down, a.ID)
+	delete(h.down, a.ID)
 	if err := a.Start(); err != nil {
-		w.breach("%s did not start again: %v", a.ID, err)
+		h.errorf("%s did not restart: %v", a.ID, err)
 	}
 }
 
-// heal ends every fault and starts again what is down.
-func (w *controlWorld) heal() {
-	w.d.Weights.Outage(false)
-	w.d.Table.Outage(false)
-	w.d.Table.LoseNextReplies(0)
-	for _, e := range w.engines {
+// heal removes every injected fault and restarts all agents that are down.
+func (h *controlHarness) heal() {
+	h.d.Weights.Outage(false)
+	h.d.Table.Outage(false)
+	h.d.Table.LoseNextReplies(0)
+	for _, e := range h.engines {
 		e.core.FailNextLoads(0)
 		e.core.LoseNextLoadReplies(0)
 	}
-	w.thawAll()
-	for _, a := range w.d.Agents {
-		w.fabric.Network.HealAll(transport.PeerID(a.ID))
-		w.startAgain(a)
+	h.thawAll()
+	for _, a := range h.d.Agents {
+		h.fabric.Network.HealAll(transport.PeerID(a.ID))
+		h.restart(a)
 	}
 }
 
-// awaitNewest waits until every engine has the newest weights, and sees that
-// they keep them.
-func (w *controlWorld) awaitNewest() {
-	time.Sleep(controlLate)
-	for began := time.Now(); time.Since(began) < controlSettle && len(w.behind()) > 0; {
+// awaitNewest waits until every engine has the newest weights and checks that it keeps them.
+func (h *controlHarness) awaitNewest() {
+	time.Sleep(controlOrderDelay)
+	for began := time.Now(); time.Since(began) < controlConvergeTimeout && len(h.outdatedEngines()) > 0; {
 		time.Sleep(time.Second)
 	}
-	time.Sleep(controlLate / 5)
-	for _, b := range w.behind() {
-		w.breach("%s, the newest is %d", b, w.newest())
+	time.Sleep(controlOrderDelay / 5)
+	for _, b := range h.outdatedEngines() {
+		h.errorf("%s, the newest is %d", b, h.newest())
 	}
 }
 
-// behind tells of the engines that have not got the newest weights.
-func (w *controlWorld) behind() []string {
-	var behind []string
-	for i, e := range w.engines {
-		e.look()
+// outdatedEngines describes the engines that do not have the newest weights ready.
+func (h *controlHarness) outdatedEngines() []string {
+	var outdatedEngines []string
+	for i, e := range h.engines {
+		e.recordState()
 		e.mu.Lock()
-		last := e.had[len(e.had)-1]
+		last := e.states[len(e.states)-1]
 		e.mu.Unlock()
-		if !last.ready || last.version != w.newest() {
-			behind = append(behind, fmt.Sprintf("%s has version %d (ready: %v)", engineID(i), last.version, last.ready))
+		if !last.ready || last.version != h.newest() {
+			outdatedEngines = append(outdatedEngines, fmt.Sprintf("%s has version %d (ready: %v)", engineID(i), last.version, last.ready))
 		}
 	}
-	return behind
+	return outdatedEngines
 }
--- a/proof/control_gates_test.go
+++ b/proof/control_gates_test.go
@@ -12,99 +12,101 @@
 	"mulberryscale.example/platform"
 )
 
-// watchedEngine is an engine with the orders that reached it and what it had
-// at each moment. All incarnations of its agent share it.
+// watchedEngine wraps a stand-in engine and records the load orders that reach it and its
+// weights over time. All incarnations of its agent share it.
 type watchedEngine struct {
 	core        *engine.Engine
 	ignoreFence bool
 
-	mu       sync.Mutex
-	obeyed   uint64 // newest fencing number that was obeyed
-	disorder []uint64
-	had      []truth
+	mu          sync.Mutex
+	newestFence uint64 // highest fencing token that the engine accepted
+	staleFences []uint64
+	states      []engineState
 }
 
-// truth is what an engine had when it was looked at.
-type truth struct {
+// engineState is the weights of an engine at one time.
+type engineState struct {
 	at      time.Time
 	version uint64
 	ready   bool
 }
 
-// load gives the engine an order and notes whether it obeyed an older one.
+// load passes an order to the engine. It records the order's fencing token in staleFences if
+// the engine executes the order although a newer one was executed before.
 func (w *watchedEngine) load(ctx context.Context, o endpoint.Order) error {
 	w.mu.Lock()
-	newest := w.obeyed
+	newest := w.newestFence
 	w.mu.Unlock()
-	w.look()
+	w.recordState()
 	err := w.core.Load(ctx, o)
-	w.look() // the next order may come at the same moment
+	w.recordState() // the next order may arrive at the same fake time
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if errors.Is(err, platform.ErrStaleFence) {
 		return err
 	}
 	if o.Fence < newest && !w.ignoreFence && err == nil {
-		w.disorder = append(w.disorder, o.Fence)
+		w.staleFences = append(w.staleFences, o.Fence)
 	}
-	w.obeyed = max(w.obeyed, o.Fence)
+	w.newestFence = max(w.newestFence, o.Fence)
 	return err
 }
 
-// crash loses the engine's weights and its memory of fencing numbers.
+// crash makes the engine lose its weights and the highest fencing token it has seen.
 func (w *watchedEngine) crash() {
-	w.look()
+	w.recordState()
 	w.core.Crash()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.obeyed = 0
+	w.newestFence = 0
 }
 
-// look notes what the engine has; a frozen one has what it had.
-func (w *watchedEngine) look() {
+// recordState records the weights that the engine has now. A frozen engine keeps its last
+// recorded state.
+func (w *watchedEngine) recordState() {
 	ctx, cancel := context.WithCancel(context.Background())
-	cancel() // a frozen engine is not waited for
+	cancel() // do not wait for a frozen engine
 	status, err := w.core.Status(ctx)
 	if err != nil {
 		return
 	}
-	now := truth{at: time.Now()}
+	now := engineState{at: time.Now()}
 	for _, m := range status.Models {
 		now.version, now.ready = m.Version, m.State == endpoint.LoadReady
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.had = append(w.had, now)
+	w.states = append(w.states, now)
 }
 
-// hadReady says whether the engine had a version ready at some time of a span.
-func (w *watchedEngine) hadReady(version uint64, from, to time.Time) bool {
+// wasReady reports whether the engine had a version ready at any time between from and to.
+func (w *watchedEngine) wasReady(version uint64, from, to time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	first, _ := slices.BinarySearchFunc(w.had, from, func(h truth, at time.Time) int { return h.at.Compare(at) })
-	first = max(0, first-1) // what it had at from was seen before
-	for _, h := range w.had[first:] {
-		if h.at.After(to) {
+	first, _ := slices.BinarySearchFunc(w.states, from, func(s engineState, at time.Time) int { return s.at.Compare(at) })
+	first = max(0, first-1) // the state at from was recorded before from
+	for _, s := range w.states[first:] {
+		if s.at.After(to) {
 			return false
 		}
-		if h.ready && h.version == version {
+		if s.ready && s.version == version {
 			return true
 		}
 	}
 	return false
 }
 
-// gatedEngine is one incarnation's way to the engine. While the incarnation is
-// frozen its calls stand still before they reach the engine.
+// gatedEngine is the engine as one incarnation of the agent calls it. While the incarnation is
+// frozen, its calls block before they reach the engine.
 type gatedEngine struct {
-	to *watchedEngine
+	engine *watchedEngine
 
 	mu     sync.Mutex
 	thawed chan struct{} // closed unless the incarnation is frozen
 }
 
 func newGatedEngine(to *watchedEngine) *gatedEngine {
-	g := &gatedEngine{to: to, thawed: make(chan struct{})}
+	g := &gatedEngine{engine: to, thawed: make(chan struct{})}
 	close(g.thawed)
 	return g
 }
@@ -129,7 +131,7 @@
 	}
 }
 
-// await waits for the thaw or the end of ctx.
+// await waits until the incarnation is thawed or ctx is done.
 func (g *gatedEngine) await(ctx context.Context) error {
 	g.mu.Lock()
 	thawed := g.thawed
@@ -147,7 +149,7 @@
 	if err := g.await(ctx); err != nil {
 		return nil, &endpoint.NotStartedError{Err: err}
 	}
-	return g.to.core.Generate(ctx, req)
+	return g.engine.core.Generate(ctx, req)
 }
 
 // Status implements endpoint.Engine.
@@ -155,17 +157,17 @@
 	if err := g.await(ctx); err != nil {
 		return endpoint.Status{}, err
 	}
-	return g.to.core.Status(ctx)
+	return g.engine.core.Status(ctx)
 }
 
-// Load implements endpoint.Engine. An order that was held up arrives although
-// its sender has given it up.
+// Load implements endpoint.Engine. A delayed order still reaches the engine after its sender
+// has cancelled the call.
 func (g *gatedEngine) Load(ctx context.Context, o endpoint.Order) error {
 	done := make(chan error, 1)
 	go func() {
 		late := context.WithoutCancel(ctx)
-		_ = g.await(late) // which never ends
-		done <- g.to.load(late, o)
+		_ = g.await(late) // late is never cancelled, so there is no error
+		done <- g.engine.load(late, o)
 	}()
 	select {
 	case err := <-done:
--- a/proof/delivery_test.go
+++ b/proof/delivery_test.go
@@ -7,110 +7,111 @@
 	"mulberryscale.example/api"
 )
 
-// three is a world with an entry to spare.
-var three = worldOptions{entries: 3, engines: 3}
+// threeEntries is a deployment that keeps two entries when one of them fails.
+var threeEntries = harnessOptions{entries: 3, engines: 3}
 
-// firstEntry is the entry that a trainer asks first.
+// firstEntry is the index of the entry that a trainer tries first.
 const firstEntry = 0
 
-// TestTwoSessionsOfOneStep submits a step through two entries at a time. Both
-// trainers get each sample, and each sample ran once.
+// TestTwoSessionsOfOneStep submits the same step through two entries concurrently. Both
+// trainers must get every sample, and each sample must run once.
 func TestTwoSessionsOfOneStep(t *testing.T) {
-	prove(t, worldOptions{entries: 2, engines: 1}, func(w *world) {
-		first := w.trainers[rowTrainer]
-		w.startTrainer(rowTrainer)
-		second := w.trainers[rowTrainer]
-		second.client = w.newClient(rowTrainer, 1)
+	runAndCheck(t, harnessOptions{entries: 2, engines: 1}, func(h *harness) {
+		first := h.trainers[rowTrainer]
+		h.startTrainer(rowTrainer)
+		second := h.trainers[rowTrainer]
+		second.client = h.newClient(rowTrainer, 1)
 		first.submit(4)
 		second.submit(4)
 		first.finish()
-		<-first.ended
-		first.check(w.records())
+		<-first.done
+		first.check(h.records())
 		second.finish()
-		<-second.ended
+		<-second.done
 		for id := range first.got {
 			if first.got[id][0].Sample.Text != second.got[id][0].Sample.Text {
-				w.breach("the trainers got different texts of sample %s", id)
+				h.errorf("the trainers got different texts for sample %s", id)
 			}
 		}
-		if n := len(w.records()); n != 4 {
-			w.breach("4 samples took %d runs", n)
+		if n := len(h.records()); n != 4 {
+			h.errorf("4 samples took %d runs", n)
 		}
 	})
 }
 
-// TestNewSessionEndsTheOld posts a step again at the same entry: the older
-// connection is closed with a refusal, and an older session is refused.
+// TestNewSessionEndsTheOld posts a step again to the same entry with a newer session: the
+// connection of the older session is closed with a refusal, and a later post with an older
+// session number is refused.
 func TestNewSessionEndsTheOld(t *testing.T) {
-	prove(t, worldOptions{entries: 1, engines: 1}, func(w *world) {
+	runAndCheck(t, harnessOptions{entries: 1, engines: 1}, func(h *harness) {
 		old := make(chan error, 1)
-		w.callers.Go(func() { old <- w.postStep(7) })
+		h.callers.Go(func() { old <- h.postStep(7) })
 		time.Sleep(30 * time.Millisecond)
 		newer := make(chan error, 1)
-		w.callers.Go(func() { newer <- w.postStep(9) })
+		h.callers.Go(func() { newer <- h.postStep(9) })
 		time.Sleep(30 * time.Millisecond)
-		late := w.postStep(8)
+		late := h.postStep(8)
 		if r, ok := late.(*api.Refusal); !ok || r.Code != api.CodeFenced {
-			w.breach("an older session: want the refusal %s, got %v", api.CodeFenced, late)
+			h.errorf("an older session: want the refusal %s, got %v", api.CodeFenced, late)
 		}
 		if err := <-old; err == nil {
-			w.breach("the old session went on to its end")
+			h.errorf("the old session completed without a refusal")
 		}
 		if err := <-newer; err != nil {
-			w.breach("the new session: %v", err)
+			h.errorf("the new session: %v", err)
 		}
 	})
 }
 
-// TestDrainHandsAStepOver stops the entry of a step that cannot end in time:
-// the trainer is told, and another entry goes on.
+// TestDrainHandsAStepOver drains the entry of a step that cannot complete before the drain
+// deadline: the trainer gets a refusal, and another entry continues the step.
 func TestDrainHandsAStepOver(t *testing.T) {
-	prove(t, three, func(w *world) {
-		w.slowEngines(2000)
-		ended := make(chan error, 1)
-		w.callers.Go(func() { ended <- w.postStep(1) })
-		w.trainers[rowTrainer].submit(8)
+	runAndCheck(t, threeEntries, func(h *harness) {
+		h.slowEngines(2000)
+		done := make(chan error, 1)
+		h.callers.Go(func() { done <- h.postStep(1) })
+		h.trainers[rowTrainer].submit(8)
 		time.Sleep(50 * time.Millisecond)
-		w.stopEntry(w.d.Entries[firstEntry])
-		w.stops.Wait()
-		err := <-ended
+		h.stopEntry(h.d.Entries[firstEntry])
+		h.drains.Wait()
+		err := <-done
 		if r, ok := err.(*api.Refusal); !ok || r.Code != api.CodeDraining || r.RetryAfter <= 0 {
-			w.breach("want the refusal %s, got %v", api.CodeDraining, err)
+			h.errorf("want the refusal %s, got %v", api.CodeDraining, err)
 		}
-		w.wantDrained()
+		h.wantDrained()
 	})
 }
 
-// wantNothingCut notes each drain that did not end, each lookup without an
-// answer, and each run that was cancelled.
-func (w *world) wantNothingCut() {
-	w.wantDrained()
-	w.wantAnswers()
-	w.wantNoneCancelled()
+// wantNothingCut reports each drain that did not complete, each failed lookup and each
+// cancelled run.
+func (h *harness) wantNothingCut() {
+	h.wantDrained()
+	h.wantAnswers()
+	h.wantNoneCancelled()
 }
 
-// wantNoneCancelled notes each run that was cancelled.
-func (w *world) wantNoneCancelled() {
-	for _, r := range w.records() {
+// wantNoneCancelled reports each cancelled run.
+func (h *harness) wantNoneCancelled() {
+	for _, r := range h.records() {
 		if r.Cancelled {
-			w.breach("run %s was cut off", r.RunID)
+			h.errorf("run %s was cancelled", r.RunID)
 		}
 	}
 }
 
-// wantDrained notes each drain that did not end.
-func (w *world) wantDrained() {
-	for _, err := range w.stopErrs {
-		w.breach("a drain was cut off: %v", err)
+// wantDrained reports each drain that did not complete.
+func (h *harness) wantDrained() {
+	for _, err := range h.drainErrs {
+		h.errorf("a drain did not complete: %v", err)
 	}
 }
 
-// wantAnswers notes each lookup without an answer.
-func (w *world) wantAnswers() {
-	for _, l := range w.lookups {
+// wantAnswers reports each failed lookup.
+func (h *harness) wantAnswers() {
+	for _, l := range h.lookups {
 		<-l.done
 		if l.err != nil {
-			w.breach("lookup %q was not answered: %v", l.req.Prompt, l.err)
+			h.errorf("lookup %q failed: %v", l.req.Prompt, l.err)
 		}
 	}
 }
--- a/proof/doc.go
+++ b/proof/doc.go
@@ -1,5 +1,6 @@
-// Package proof holds the proofs of the request side: a stateful fuzz test and
-// focused tests of failures over whole deployments in memory, checked against
-// what the stand-ins recorded. docs/PROOFS.md lists what each test proves and
-// how it was seen to fail. It has no code outside its tests.
+// Package proof holds end-to-end fault tests of request serving and of weight
+// updates: stateful fuzz tests and focused failure scenarios that run whole
+// deployments in memory and check the outcome against the stand-ins' records.
+// docs/PROOFS.md lists what each test proves and which faults made it fail.
+// The package has no code outside its tests.
 package proof
--- a/proof/fabric_test.go
+++ b/proof/fabric_test.go
@@ -8,8 +8,8 @@
 	"mulberryscale.example/transport"
 )
 
-// fabric is the fabric in memory where, besides, a process that starts again
-// listens at its old address, and a frozen entry answers no caller.
+// fabric is an in-memory fabric in which a restarted process listens on its previous address
+// and a frozen entry sends no responses.
 type fabric struct {
 	*deployment.Memory
 	mu    sync.Mutex
@@ -45,11 +45,11 @@
 	url, stop, err := f.Memory.Serve(id, &gatedHandler{next: h, gate: g})
 	return url, func() {
 		stop()
-		g.open() // what the dead process holds back reaches nobody
+		g.open() // release blocked handlers; their writes reach no caller
 	}, err
 }
 
-// freeze stops a process's messages as SIGSTOP does.
+// freeze stalls all messages of a process, as SIGSTOP would.
 func (f *fabric) freeze(id string) {
 	f.Network.StallAll(transport.PeerID(id))
 	if g := f.gateOf(id); g != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// thaw lets a frozen process go on, and ends every cut of its links.
+// thaw resumes a frozen process and heals all its cut links.
 func (f *fabric) thaw(id string) {
 	f.Network.HealAll(transport.PeerID(id))
 	if g := f.gateOf(id); g != nil {
@@ -71,7 +71,7 @@
 	return f.gates[id]
 }
 
-// gate holds callers back while it is shut.
+// gate blocks HTTP handlers while it is shut.
 type gate struct {
 	mu     sync.Mutex
 	opened chan struct{} // closed while the gate is open
@@ -103,7 +103,7 @@
 	}
 }
 
-// await waits until the gate is open or the caller has gone.
+// await waits until the gate is open or the request is cancelled.
 func (g *gate) await(r *http.Request) {
 	g.mu.Lock()
 	opened := g.opened
@@ -114,6 +114,7 @@
 	}
 }
 
+// gatedHandler delays requests and writes of responses while its gate is shut.
 type gatedHandler struct {
 	next http.Handler
 	gate *gate
@@ -125,6 +126,7 @@
 	h.next.ServeHTTP(&gatedWriter{ResponseWriter: w, gate: h.gate, r: r}, r)
 }
 
+// gatedWriter waits for the gate before each write and flush.
 type gatedWriter struct {
 	http.ResponseWriter
 	gate *gate
@@ -140,5 +142,5 @@
 // Flush implements http.Flusher.
 func (w *gatedWriter) Flush() {
 	w.gate.await(w.r)
-	_ = http.NewResponseController(w.ResponseWriter).Flush() // a broken connection shows at the caller
+	_ = http.NewResponseController(w.ResponseWriter).Flush() // the caller sees a broken connection
 }
--- a/proof/fuzz_test.go
+++ b/proof/fuzz_test.go
@@ -11,61 +11,61 @@
 	"mulberryscale.example/service/agent"
 )
 
-// TestRequestsSurviveFaults brings faults in random order over a deployment
-// under use and then checks every promise of the request side.
+// TestRequestsSurviveFaults injects faults in random order into a deployment under load and
+// then checks every guarantee of request serving.
 func TestRequestsSurviveFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		size := worldOptions{
+		opts := harnessOptions{
 			entries: rapid.IntRange(2, 3).Draw(rt, "entries"),
 			engines: rapid.IntRange(2, 4).Draw(rt, "engines"),
 		}
-		// Some agents remember so few keys that they take another incarnation now and then.
+		// With a limit of 16 keys, agents start new incarnations during the test.
 		maxKeys := rapid.SampledFrom([]int{0, 16}).Draw(rt, "maxKeys")
-		size.agent = func(c *agent.Config) { c.MaxKeys = maxKeys }
+		opts.agent = func(c *agent.Config) { c.MaxKeys = maxKeys }
 		plan := plans().Draw(rt, "plan")
-		if broken := inBubble(t, size, func(w *world) { w.follow(plan) }); len(broken) > 0 {
-			rt.Fatalf("broken promises:\n%s", strings.Join(broken, "\n"))
+		if violations := runInBubble(t, opts, func(h *harness) { h.execute(plan) }); len(violations) > 0 {
+			rt.Fatalf("violated guarantees:\n%s", strings.Join(violations, "\n"))
 		}
 	})
 }
 
-// inBubble runs a world through f, ends all faults, and returns the promises
-// that were broken.
-func inBubble(t *testing.T, size worldOptions, f func(*world)) (broken []string) {
+// runInBubble calls f with a new harness in a synctest bubble, removes all faults and returns
+// the violated guarantees.
+func runInBubble(t *testing.T, opts harnessOptions, f func(*harness)) (violations []string) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
-		w, err := newWorld(size)
-		defer w.close()
+		h, err := newHarness(opts)
+		defer h.close()
 		if err != nil {
-			broken = []string{"the world did not start: " + err.Error()}
+			violations = []string{"the deployment did not start: " + err.Error()}
 			return
 		}
-		f(w)
-		w.heal()
-		w.settle()
-		w.check()
-		broken = w.broken
+		f(h)
+		h.heal()
+		h.awaitCallers()
+		h.check()
+		violations = h.violations
 	})
-	return broken
+	return violations
 }
 
-// follow lets the plan happen.
-func (w *world) follow(plan []action) {
+// execute runs the actions of a plan in order.
+func (h *harness) execute(plan []action) {
 	for _, a := range plan {
-		actions[a.name](w, a.a, a.b)
+		actions[a.name](h, a.a, a.b)
 		time.Sleep(a.pause)
 	}
 }
 
-// check checks every promise once the world has settled.
-func (w *world) check() {
-	records := w.records()
-	for _, t := range w.trainers {
+// check checks every guarantee. It runs after awaitCallers.
+func (h *harness) check() {
+	records := h.records()
+	for _, t := range h.trainers {
 		t.check(records)
 	}
-	for _, l := range w.lookups {
-		l.check(w)
+	for _, l := range h.lookups {
+		l.check(h)
 	}
-	w.checkKeyed()
-	w.checkScores()
+	h.checkKeyed()
+	h.checkScores()
 }
--- a/proof/harness_test.go
+++ b/proof/harness_test.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	model         = "guide"
-	rowLookups    = "visitors"
-	rowLimited    = "families"       // has limits
-	rowTrainer    = "guide-training" // waits for all samples; its scorer may be repeated
-	rowPartial    = "meter-training" // waits for a part; its scorer may not be repeated
-	rowBookings   = "bookings"       // calls may not be repeated
-	rowScorer     = "guide-scorer"
-	rowMeter      = "meter-scorer"
-	staleBound    = 1
-	firstVersion  = 3
-	readyTime     = time.Minute
-	settleTime    = 30 * time.Minute
-	afterlifeTime = 5 * time.Minute
-	linger        = 30 * time.Second
-	serviceTime   = 40 * time.Millisecond // a call of a plain service
+	model          = "guide"
+	rowLookups     = "visitors"
+	rowLimited     = "families"       // has rate, concurrency and queue limits
+	rowTrainer     = "guide-training" // waits for all samples; its scorer is idempotent
+	rowPartial     = "meter-training" // waits for 0.7 of the samples; its scorer is not idempotent
+	rowBookings    = "bookings"       // non-idempotent calls
+	rowScorer      = "guide-scorer"
+	rowMeter       = "meter-scorer"
+	stalenessBound = 1
+	firstVersion   = 3
+	readyTimeout   = time.Minute
+	answerTimeout  = 30 * time.Minute
+	cleanupTime    = 5 * time.Minute
+	retention      = 30 * time.Second
+	serviceTime    = 40 * time.Millisecond // of one call to a plain service
 )
 
 const tableText = `name,kind,model,share,staleness_bound,max_rps,max_tps,max_concurrency,max_queue,deadline,wait_share,leftover,scorer,swap,repeatable
@@ -44,45 +44,47 @@
 meter-scorer,plain,,1,,,,,4000,10s,,,,,false
 `
 
-// world is a deployment with its callers and trainers, and what they got.
-type world struct {
+// harness is a deployment with its callers and trainers and the responses that they received.
+type harness struct {
 	d        *deployment.Deployment
 	fabric   *fabric
 	ctx      context.Context
 	cancel   context.CancelFunc
 	bookings []*plain.Service
 	scorers  []*plain.Service
-	version  uint64 // newest weights published
+	version  uint64 // newest published version of the weights
 	callers  sync.WaitGroup
 	trainers map[string]*trainerRun
-	down     map[string]bool // processes that were killed or stopped
-	stops    sync.WaitGroup  // drains under way
-
-	mu      sync.Mutex
-	lookups []*lookup
-	keyed   []*keyedCall
-	broken  []string // promises that were seen broken
-	// stopErrs are the errors of drains that were cut off.
-	stopErrs []error
+	down     map[string]bool // killed or stopped processes, by id
+	drains   sync.WaitGroup  // drains in progress
+
+	mu         sync.Mutex
+	lookups    []*lookup
+	keyed      []*keyedCall
+	violations []string // violated guarantees, one message each
+	// drainErrs are the errors of drains that did not complete.
+	drainErrs []error
 }
 
-// worldOptions say what a world is made of.
-type worldOptions struct {
+// harnessOptions set the size of the deployment and adjust the configuration of its
+// agents and entries.
+type harnessOptions struct {
 	entries, engines int
 	agent            func(*agent.Config)
 	entry            func(*entry.Config)
 }
 
-func newWorld(o worldOptions) (*world, error) {
-	w := &world{fabric: newFabric(), version: firstVersion, trainers: map[string]*trainerRun{}, down: map[string]bool{}}
-	w.ctx, w.cancel = context.WithCancel(context.Background())
+func newHarness(o harnessOptions) (*harness, error) {
+	h := &harness{fabric: newFabric(), version: firstVersion, trainers: map[string]*trainerRun{}, down: map[string]bool{}}
+	h.ctx, h.cancel = context.WithCancel(context.Background())
 	zones := []string{"patan", "bhaktapur"}
 	opts := deployment.Options{
-		Fabric: w.fabric, Table: tableText, Log: observe.Discard(), Seed: 7, Retention: linger, Entry: o.entry,
+		Fabric: h.fabric, Table: tableText, Log: observe.Discard(), Seed: 7, Retention: retention, Entry: o.entry,
 		Agent: func(c *agent.Config) {
 			c.TargetInterval = 200 * time.Millisecond
 			if c.Engine != nil {
-				// An engine may lose its weights together with its agent.
+				// An engine can lose its weights while its agent is down; the new agent then
+				// does not learn the models from it.
 				c.Models = []string{model}
 			}
 			if o.agent != nil {
@@ -97,63 +99,63 @@
 		}})
 	}
 	for i := range 2 {
-		w.bookings = append(w.bookings, plain.New(plain.Options{ID: fmt.Sprint("bookings-", i+1), Delay: serviceTime}))
+		h.bookings = append(h.bookings, plain.New(plain.Options{ID: fmt.Sprint("bookings-", i+1), Delay: serviceTime}))
 		opts.Services = append(opts.Services, deployment.ServiceSpec{
-			Zone: zones[i], ID: fmt.Sprint("bookings-", i+1), Rows: []string{rowBookings}, StandIn: w.bookings[i],
+			Zone: zones[i], ID: fmt.Sprint("bookings-", i+1), Rows: []string{rowBookings}, StandIn: h.bookings[i],
 		})
-		w.scorers = append(w.scorers, scorer.New(plain.Options{ID: fmt.Sprint("scorer-", i+1), Delay: serviceTime}))
+		h.scorers = append(h.scorers, scorer.New(plain.Options{ID: fmt.Sprint("scorer-", i+1), Delay: serviceTime}))
 		opts.Services = append(opts.Services, deployment.ServiceSpec{
-			Zone: zones[i], ID: fmt.Sprint("scorer-", i+1), Rows: []string{rowScorer, rowMeter}, StandIn: w.scorers[i],
+			Zone: zones[i], ID: fmt.Sprint("scorer-", i+1), Rows: []string{rowScorer, rowMeter}, StandIn: h.scorers[i],
 		})
 	}
 	for i := range o.entries {
 		opts.Entries = append(opts.Entries, deployment.EntrySpec{Zone: zones[i%2], ID: fmt.Sprintf("entry-%d", i+1)})
 	}
-	return w, w.start(opts)
+	return h, h.start(opts)
 }
 
-func (w *world) start(opts deployment.Options) (err error) {
-	if w.d, err = deployment.Start(w.ctx, opts); err != nil {
+func (h *harness) start(opts deployment.Options) (err error) {
+	if h.d, err = deployment.Start(h.ctx, opts); err != nil {
 		return err
 	}
-	if err := w.d.Weights.Publish(model, firstVersion, nil); err != nil {
+	if err := h.d.Weights.Publish(model, firstVersion, nil); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(w.ctx, readyTime)
+	ctx, cancel := context.WithTimeout(h.ctx, readyTimeout)
 	defer cancel()
-	if err := w.d.AwaitReady(ctx); err != nil {
+	if err := h.d.AwaitReady(ctx); err != nil {
 		return err
 	}
 	for _, row := range []string{rowTrainer, rowPartial} {
-		w.startTrainer(row)
+		h.startTrainer(row)
 	}
 	return nil
 }
 
-// breach notes a broken promise.
-func (w *world) breach(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.broken = append(w.broken, fmt.Sprintf(format, args...))
+// errorf records a violated guarantee.
+func (h *harness) errorf(format string, args ...any) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
-// engines are the stand-in engines.
-func (w *world) engines() []*engine.Engine {
-	var cores []*engine.Engine
-	for _, a := range w.d.Agents {
+// engines returns the stand-in engines.
+func (h *harness) engines() []*engine.Engine {
+	var engines []*engine.Engine
+	for _, a := range h.d.Agents {
 		if a.StandIn != nil {
-			cores = append(cores, a.StandIn)
+			engines = append(engines, a.StandIn)
 		}
 	}
-	return cores
+	return engines
 }
 
-func (w *world) records() oracle.Records { return oracle.Collect(w.engines()...) }
+func (h *harness) records() oracle.Records { return oracle.Collect(h.engines()...) }
 
-// bookingRuns counts how often a booking ran, over all services.
-func (w *world) bookingRuns(name string) int { return runs(w.bookings, name) }
+// bookingRuns returns how often a booking was executed, over all instances of the service.
+func (h *harness) bookingRuns(name string) int { return countRuns(h.bookings, name) }
 
-func runs(services []*plain.Service, name string) int {
+func countRuns(services []*plain.Service, name string) int {
 	n := 0
 	for _, s := range services {
 		for _, r := range s.Records() {
@@ -165,15 +167,15 @@
 	return n
 }
 
-// heal ends every fault and starts again what is down.
-func (w *world) heal() {
-	w.stops.Wait()
-	w.d.Table.Outage(false)
-	w.d.Table.LoseNextReplies(0)
-	w.d.Table.Slow(0)
-	w.d.Table.StaleReads(false)
-	w.d.Instances.SetLag(0)
-	for _, e := range w.engines() {
+// heal removes every injected fault and restarts all processes that are down.
+func (h *harness) heal() {
+	h.drains.Wait()
+	h.d.Table.Outage(false)
+	h.d.Table.LoseNextReplies(0)
+	h.d.Table.Slow(0)
+	h.d.Table.StaleReads(false)
+	h.d.Instances.SetLag(0)
+	for _, e := range h.engines() {
 		e.Thaw()
 		e.FailNextLoads(0)
 		e.LoseNextLoadReplies(0)
@@ -182,58 +184,59 @@
 		e.RefuseConnections(false)
 		e.SlowBy(1)
 	}
-	for _, s := range append(append([]*plain.Service(nil), w.bookings...), w.scorers...) {
+	for _, s := range append(append([]*plain.Service(nil), h.bookings...), h.scorers...) {
 		s.RefuseConnections(false)
 		s.LoseNextReplies(0)
 		s.FailNextBeforeRun(0)
 		s.Delay(serviceTime)
 	}
-	for _, e := range w.d.Entries {
-		w.fabric.thaw(e.ID)
-		w.startAgain(e.ID, e.Start)
+	for _, e := range h.d.Entries {
+		h.fabric.thaw(e.ID)
+		h.restart(e.ID, e.Start)
 	}
-	for _, a := range w.d.Agents {
-		w.fabric.thaw(a.ID)
-		w.startAgain(a.ID, a.Start)
+	for _, a := range h.d.Agents {
+		h.fabric.thaw(a.ID)
+		h.restart(a.ID, a.Start)
 	}
 }
 
-// startAgain starts a process if it is down.
-func (w *world) startAgain(id string, start func() error) {
-	if !w.down[id] {
+// restart starts a process if it is down.
+func (h *harness) restart(id string, start func() error) {
+	if !h.down[id] {
 		return
 	}
-	delete(w.down, id)
+	delete(h.down, id)
 	if err := start(); err != nil {
-		w.breach("%s did not start again: %v", id, err)
+		h.errorf("%s did not restart: %v", id, err)
 	}
 }
 
-// settle waits for all callers, and for the trainers' last steps.
-func (w *world) settle() {
-	settled := make(chan struct{})
+// awaitCallers waits until all callers have their responses and all trainers have completed
+// their last step.
+func (h *harness) awaitCallers() {
+	allDone := make(chan struct{})
 	go func() {
-		for _, t := range w.trainers {
+		for _, t := range h.trainers {
 			t.finish()
 		}
-		w.callers.Wait()
-		close(settled)
+		h.callers.Wait()
+		close(allDone)
 	}()
 	select {
-	case <-settled:
-	case <-time.After(settleTime):
-		w.breach("callers were not answered within %v after all faults ended", settleTime)
-		w.cancel()
-		<-settled
+	case <-allDone:
+	case <-time.After(answerTimeout):
+		h.errorf("callers got no response within %v after all faults were removed", answerTimeout)
+		h.cancel()
+		<-allDone
 	}
 }
 
-// close ends the world and lets what it left behind end.
-func (w *world) close() {
-	w.cancel()
-	if w.d != nil {
-		w.d.Close()
+// close stops the deployment and waits until its remaining goroutines have returned.
+func (h *harness) close() {
+	h.cancel()
+	if h.d != nil {
+		h.d.Close()
 	}
-	w.fabric.Close()
-	time.Sleep(afterlifeTime)
+	h.fabric.Close()
+	time.Sleep(cleanupTime)
 }
--- a/proof/main_test.go
+++ b/proof/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Defaults of rapid's flags here; the command line wins.
+// Defaults of rapid's flags in this package; flags on the command line override them.
 const (
 	fixedSeed   = "20261202"
 	fixedChecks = "40"
--- a/proof/scenario_test.go
+++ b/proof/scenario_test.go
@@ -11,53 +11,52 @@
 	"mulberryscale.example/internal/deployment"
 )
 
-// TestScenarios runs each file of testdata/scenarios: it takes a world through
-// the steps, ends all faults and says which promises were broken.
+// TestScenarios runs each file of testdata/scenarios: it executes the steps on a new harness,
+// removes all faults and prints the violated guarantees, or "kept" if there are none.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/scenarios", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			h := &claimHook{}
-			size := small(h)
-			d.ScanArgs(t, "entries", &size.entries)
-			d.ScanArgs(t, "engines", &size.engines)
+			hook := &claimHook{}
+			opts := smallDeployment(hook)
+			d.ScanArgs(t, "entries", &opts.entries)
+			d.ScanArgs(t, "engines", &opts.engines)
 			var steps []*step
 			for line := range strings.Lines(d.Input) {
 				steps = append(steps, parseStep(t, line))
 			}
-			broken := inBubble(t, size, func(w *world) {
+			violations := runInBubble(t, opts, func(h *harness) {
 				for _, s := range steps {
-					verbs[s.verb](&scenario{w, h}, s)
+					verbs[s.verb](&scenario{h, hook}, s)
 					time.Sleep(s.pause)
 				}
 			})
-			if len(broken) == 0 {
+			if len(violations) == 0 {
 				return "kept\n"
 			}
-			return strings.Join(broken, "\n")
+			return strings.Join(violations, "\n")
 		})
 	})
 }
 
-// scenario is a world that goes through steps.
+// scenario is the harness on which the steps of one file run.
 type scenario struct {
-	*world
+	*harness
 	hook *claimHook
 }
 
-// step is one line of a scenario. Entries, agents, engines and calls are
-// counted from 0.
+// step is one line of a scenario. Entries, agents, engines and calls are numbered from 0.
 type step struct {
 	verb                       string
 	entry, agent, engine, call int
 	n, tokens                  int
 	stream                     bool
 	trainer, key               string
-	code, notRun               string // of a refusal
-	then                       string // verb that a claim sets off
+	code, notRun               string // expected in a refusal
+	then                       string // verb to run when the next claim is committed
 	delay, pause               time.Duration
 }
 
-// parseStep reads a line; a mistake fails the test.
+// parseStep parses a line. It fails the test on an unknown verb or parameter.
 func parseStep(t *testing.T, line string) *step {
 	t.Helper()
 	cmd, args, err := datadriven.ParseLine(line)
@@ -97,51 +96,51 @@
 	return d
 }
 
-// verbs are what a step does or wants.
-var verbs map[string]func(w *scenario, s *step)
-
-func init() { // here, since on-claim looks a verb up
-	verbs = map[string]func(w *scenario, s *step){
-		"submit":           func(w *scenario, s *step) { w.trainers[s.trainer].submit(s.n) },
-		"finish":           func(w *scenario, s *step) { w.trainers[s.trainer].finish(); <-w.trainers[s.trainer].ended },
-		"lookup":           func(w *scenario, s *step) { w.startLookup(s.entry, s.stream, s.tokens) },
-		"lookups":          func(w *scenario, s *step) { w.startLookups(s.n, s.tokens) },
-		"limited-lookup":   func(w *scenario, s *step) { w.limitedLookup(s.entry, 0) },
-		"book":             func(w *scenario, s *step) { w.startBooking(s.entry, s.key) },
-		"await-call":       func(w *scenario, s *step) { <-w.keyed[s.call].done },
-		"on-claim":         func(w *scenario, s *step) { w.hook.set(func() { verbs[s.then](w, s) }) },
-		"publish":          func(w *scenario, _ *step) { w.publish() },
-		"outage":           func(w *scenario, _ *step) { w.d.Table.Outage(true) },
-		"outage-ends":      func(w *scenario, _ *step) { w.d.Table.Outage(false) },
-		"slow-table":       func(w *scenario, s *step) { w.d.Table.Slow(s.delay) },
-		"lose-writes":      func(w *scenario, s *step) { w.d.Table.LoseNextReplies(s.n) },
-		"freeze":           func(w *scenario, s *step) { w.fabric.freeze(w.d.Entries[s.entry].ID) },
-		"thaw":             func(w *scenario, s *step) { w.fabric.thaw(w.d.Entries[s.entry].ID) },
-		"cut-bookings":     func(w *scenario, s *step) { w.cutBookings(s.entry) },
-		"restart-bookings": func(w *scenario, _ *step) { w.restartBookings() },
-		"slow-engines":     func(w *scenario, s *step) { w.slowEngines(s.n) },
-		"fail-loads":       func(w *scenario, s *step) { w.engines()[s.engine].FailNextLoads(s.n) },
-		"kill-entry":       func(w *scenario, s *step) { w.killEntry(s.entry) },
-		"kill-agent":       func(w *scenario, s *step) { w.killAgent(s.agent) },
-		"start-entry":      func(w *scenario, s *step) { w.startAgain(w.d.Entries[s.entry].ID, w.d.Entries[s.entry].Start) },
-		"start-agent":      func(w *scenario, s *step) { w.startAgain(w.d.Agents[s.agent].ID, w.d.Agents[s.agent].Start) },
-		"stop-entry":       func(w *scenario, s *step) { w.stopEntry(w.d.Entries[s.entry]) },
-		"stop-entries":     func(w *scenario, _ *step) { each(w.d.Entries, w.stopEntry) },
-		"stop-agent":       func(w *scenario, s *step) { w.stopAgent(w.d.Agents[s.agent]) },
-		"stop-agents":      func(w *scenario, _ *step) { each(w.d.Agents, w.stopAgent) },
-		"stops-end":        func(w *scenario, _ *step) { w.stops.Wait() },
-
-		"want-answer":             func(w *scenario, s *step) { w.wantAnswer(w.keyed[s.call]) },
-		"want-refusal":            func(w *scenario, s *step) { w.wantRefusal(w.keyed[s.call], api.Code(s.code), api.NotRun(s.notRun)) },
-		"want-not-refused-as-run": func(w *scenario, s *step) { w.wantNotRefusedAsRun(w.keyed[s.call]) },
-		"want-booking-runs":       func(w *scenario, s *step) { w.wantCount("runs of "+s.key, w.bookingRuns(s.key), s.n) },
-		"want-delivered":          func(w *scenario, s *step) { w.wantCount("samples delivered", len(w.trainers[s.trainer].got), s.n) },
-		"want-none-refused":       func(w *scenario, s *step) { w.wantCount("samples refused", len(w.trainers[s.trainer].refused), 0) },
-		"want-runs":               func(w *scenario, s *step) { w.wantCount("runs", len(w.records()), s.n) },
-		"want-none-cancelled":     func(w *scenario, _ *step) { w.wantNoneCancelled() },
-		"want-answers":            func(w *scenario, _ *step) { w.wantAnswers() },
-		"want-nothing-cut":        func(w *scenario, _ *step) { w.wantNothingCut() },
-		"want-resumed":            func(w *scenario, _ *step) { w.wantResumed() },
+// verbs are the operations, faults and checks that a step can name.
+var verbs map[string]func(h *scenario, s *step)
+
+func init() { // in init, since on-claim refers to verbs
+	verbs = map[string]func(h *scenario, s *step){
+		"submit":           func(h *scenario, s *step) { h.trainers[s.trainer].submit(s.n) },
+		"finish":           func(h *scenario, s *step) { h.trainers[s.trainer].finish(); <-h.trainers[s.trainer].done },
+		"lookup":           func(h *scenario, s *step) { h.startLookup(s.entry, s.stream, s.tokens) },
+		"lookups":          func(h *scenario, s *step) { h.startLookups(s.n, s.tokens) },
+		"limited-lookup":   func(h *scenario, s *step) { h.limitedLookup(s.entry, 0) },
+		"book":             func(h *scenario, s *step) { h.startBooking(s.entry, s.key) },
+		"await-call":       func(h *scenario, s *step) { <-h.keyed[s.call].done },
+		"on-claim":         func(h *scenario, s *step) { h.hook.set(func() { verbs[s.then](h, s) }) },
+		"publish":          func(h *scenario, _ *step) { h.publish() },
+		"outage":           func(h *scenario, _ *step) { h.d.Table.Outage(true) },
+		"outage-ends":      func(h *scenario, _ *step) { h.d.Table.Outage(false) },
+		"slow-table":       func(h *scenario, s *step) { h.d.Table.Slow(s.delay) },
+		"lose-writes":      func(h *scenario, s *step) { h.d.Table.LoseNextReplies(s.n) },
+		"freeze":           func(h *scenario, s *step) { h.fabric.freeze(h.d.Entries[s.entry].ID) },
+		"thaw":             func(h *scenario, s *step) { h.fabric.thaw(h.d.Entries[s.entry].ID) },
+		"cut-bookings":     func(h *scenario, s *step) { h.cutBookings(s.entry) },
+		"restart-bookings": func(h *scenario, _ *step) { h.restartBookings() },
+		"slow-engines":     func(h *scenario, s *step) { h.slowEngines(s.n) },
+		"fail-loads":       func(h *scenario, s *step) { h.engines()[s.engine].FailNextLoads(s.n) },
+		"kill-entry":       func(h *scenario, s *step) { h.killEntry(s.entry) },
+		"kill-agent":       func(h *scenario, s *step) { h.killAgent(s.agent) },
+		"start-entry":      func(h *scenario, s *step) { h.restart(h.d.Entries[s.entry].ID, h.d.Entries[s.entry].Start) },
+		"start-agent":      func(h *scenario, s *step) { h.restart(h.d.Agents[s.agent].ID, h.d.Agents[s.agent].Start) },
+		"stop-entry":       func(h *scenario, s *step) { h.stopEntry(h.d.Entries[s.entry]) },
+		"stop-entries":     func(h *scenario, _ *step) { each(h.d.Entries, h.stopEntry) },
+		"stop-agent":       func(h *scenario, s *step) { h.stopAgent(h.d.Agents[s.agent]) },
+		"stop-agents":      func(h *scenario, _ *step) { each(h.d.Agents, h.stopAgent) },
+		"stops-end":        func(h *scenario, _ *step) { h.drains.Wait() },
+
+		"want-answer":             func(h *scenario, s *step) { h.wantAnswer(h.keyed[s.call]) },
+		"want-refusal":            func(h *scenario, s *step) { h.wantRefusal(h.keyed[s.call], api.Code(s.code), api.NotRun(s.notRun)) },
+		"want-not-refused-as-run": func(h *scenario, s *step) { h.wantNotRefusedAsRun(h.keyed[s.call]) },
+		"want-booking-runs":       func(h *scenario, s *step) { h.wantCount("runs of "+s.key, h.bookingRuns(s.key), s.n) },
+		"want-delivered":          func(h *scenario, s *step) { h.wantCount("samples delivered", len(h.trainers[s.trainer].got), s.n) },
+		"want-none-refused":       func(h *scenario, s *step) { h.wantCount("samples refused", len(h.trainers[s.trainer].refused), 0) },
+		"want-runs":               func(h *scenario, s *step) { h.wantCount("runs", len(h.records()), s.n) },
+		"want-none-cancelled":     func(h *scenario, _ *step) { h.wantNoneCancelled() },
+		"want-answers":            func(h *scenario, _ *step) { h.wantAnswers() },
+		"want-nothing-cut":        func(h *scenario, _ *step) { h.wantNothingCut() },
+		"want-resumed":            func(h *scenario, _ *step) { h.wantResumed() },
 	}
 }
 
@@ -151,43 +150,43 @@
 	}
 }
 
-// startLookups makes lookups at the entries in turn, every second one streamed.
-func (w *world) startLookups(n, tokens int) {
+// startLookups sends n lookups to the entries in rotation; every second one is streamed.
+func (h *harness) startLookups(n, tokens int) {
 	for i := range n {
-		w.startLookup(i, i%2 == 0, tokens)
+		h.startLookup(i, i%2 == 0, tokens)
 	}
 }
 
-func (w *world) slowEngines(by int) {
-	for _, e := range w.engines() {
+func (h *harness) slowEngines(by int) {
+	for _, e := range h.engines() {
 		e.SlowBy(float64(by))
 	}
 }
 
-func (w *world) stopEntry(e *deployment.Entry) { w.beginStop(e.ID, stopOf(e)) }
+func (h *harness) stopEntry(e *deployment.Entry) { h.startDrain(e.ID, drainAndStop(e)) }
 
-func (w *world) stopAgent(a *deployment.Agent) { w.beginStop(a.ID, a.Stop) }
+func (h *harness) stopAgent(a *deployment.Agent) { h.startDrain(a.ID, a.Stop) }
 
-func (w *world) wantCount(what string, got, want int) {
+func (h *harness) wantCount(what string, got, want int) {
 	if got != want {
-		w.breach("%s: %d, want %d", what, got, want)
+		h.errorf("%s: %d, want %d", what, got, want)
 	}
 }
 
-// wantNotRefusedAsRun notes a breach if a call was refused as one that ran.
-func (w *world) wantNotRefusedAsRun(c *keyedCall) {
+// wantNotRefusedAsRun reports a violation if a call was refused with not_run=false.
+func (h *harness) wantNotRefusedAsRun(c *keyedCall) {
 	<-c.done
 	if r, ok := c.err.(*api.Refusal); ok && r.NotRun == api.NotRunFalse {
-		w.breach("refused as run: %v", r)
+		h.errorf("refused with not_run=false: %v", r)
 	}
 }
 
-// wantResumed notes a breach unless a sample went on from a prefix.
-func (w *world) wantResumed() {
-	for _, r := range w.records() {
+// wantResumed reports a violation unless a sample was resumed from a prefix.
+func (h *harness) wantResumed() {
+	for _, r := range h.records() {
 		if r.Prefix != "" && len(r.Spans) > 0 {
 			return
 		}
 	}
-	w.breach("no sample was resumed: the scenario proves nothing")
+	h.errorf("no sample was resumed, so the scenario does not test resumption")
 }
--- a/proof/trainers_test.go
+++ b/proof/trainers_test.go
@@ -20,39 +20,39 @@
 	queuedSteps     = 64
 )
 
-// trainerRun is a trainer that takes its steps one after the other.
+// trainerRun is a trainer that runs its queued steps one after another.
 type trainerRun struct {
-	w      *world
+	h      *harness
 	row    string
 	client *trainer.Client
 	steps  chan trainer.Step
 	n      int
-	// requests are all samples ever asked for, by id; got is what was delivered.
+	// requests are all requested samples, by id; got are the deliveries of each.
 	requests map[string]api.SampleRequest
 	got      map[string][]oracle.Delivery
-	// refused are samples that ended with a truthful refusal.
+	// refused are samples that were refused because the outcome of their scoring call is unknown.
 	refused  map[string]bool
 	lastStep uint64 // version of the newest step
-	ended    chan struct{}
+	done     chan struct{}
 	closed   bool
 }
 
-// newClient makes a trainer's client that asks the entries from the nth on.
-func (w *world) newClient(row string, n int) *trainer.Client {
-	urls := w.d.EntryURLs()
+// newClient returns a trainer client that tries the entries in rotation, beginning with the nth.
+func (h *harness) newClient(row string, n int) *trainer.Client {
+	urls := h.d.EntryURLs()
 	client, err := trainer.New(trainer.Config{
-		Row: row, Entries: append(urls[n:len(urls):len(urls)], urls[:n]...), HTTP: w.fabric.Client(), StalenessBound: staleBound,
+		Row: row, Entries: append(urls[n:len(urls):len(urls)], urls[:n]...), HTTP: h.fabric.Client(), StalenessBound: stalenessBound,
 	})
 	if err != nil {
-		w.breach("the client of %s: %v", row, err)
+		h.errorf("the client of %s: %v", row, err)
 	}
 	return client
 }
 
-// postStep posts a step of two samples as a session, without the client
-// library, and returns the refusal that ends it, if any.
-func (w *world) postStep(session uint64) error {
-	req := api.StepRequest{Session: session, Version: w.version}
+// postStep posts a step of two samples with a session number, without the client library. It
+// returns nil once the step is complete, or the refusal that closes the stream.
+func (h *harness) postStep(session uint64) error {
+	req := api.StepRequest{Session: session, Version: h.version}
 	for _, id := range []string{"x", "y"} {
 		req.Samples = append(req.Samples, api.SampleRequest{ID: id, Prompt: "Describe gate " + id + ".", MaxTokens: 400, Seed: 1})
 	}
@@ -60,12 +60,12 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(w.ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(h.ctx, callTimeout)
 	defer cancel()
-	url := w.url(0) + api.PathTrainers + rowTrainer + "/steps/raw"
-	answer, err := caller.Do(ctx, w.fabric.Client(), caller.Call{URL: url, Body: body})
+	url := h.url(0) + api.PathTrainers + rowTrainer + "/steps/raw"
+	answer, err := caller.Do(ctx, h.fabric.Client(), caller.Call{URL: url, Body: body})
 	if err != nil {
-		return w.refusalOf(err)
+		return h.refusalOf(err)
 	}
 	defer answer.Close()
 	for ev, err := range sse.Read(answer, nil) {
@@ -85,14 +85,14 @@
 	return caller.ErrTruncated
 }
 
-func (w *world) startTrainer(row string) {
+func (h *harness) startTrainer(row string) {
 	t := &trainerRun{
-		w: w, row: row, client: w.newClient(row, 0), steps: make(chan trainer.Step, queuedSteps),
+		h: h, row: row, client: h.newClient(row, 0), steps: make(chan trainer.Step, queuedSteps),
 		requests: map[string]api.SampleRequest{}, got: map[string][]oracle.Delivery{},
-		refused: map[string]bool{}, ended: make(chan struct{}),
+		refused: map[string]bool{}, done: make(chan struct{}),
 	}
-	w.trainers[row] = t
-	w.callers.Go(t.run)
+	h.trainers[row] = t
+	h.callers.Go(t.run)
 }
 
 // submit queues a step of n new samples.
@@ -101,7 +101,7 @@
 		return
 	}
 	t.n++
-	step := trainer.Step{Name: fmt.Sprint(t.n), Version: t.w.version}
+	step := trainer.Step{Name: fmt.Sprint(t.n), Version: t.h.version}
 	for i := range n {
 		id := fmt.Sprintf("%d-%d", t.n, i)
 		step.Samples = append(step.Samples, api.SampleRequest{
@@ -113,7 +113,7 @@
 	t.steps <- step
 }
 
-// finish lets the trainer end once it holds all its samples.
+// finish closes the queue of steps. The trainer returns once it has all its samples.
 func (t *trainerRun) finish() {
 	if !t.closed {
 		t.closed = true
@@ -122,71 +122,71 @@
 }
 
 func (t *trainerRun) run() {
-	defer close(t.ended)
+	defer close(t.done)
 	carried := 0
 	for step := range t.steps {
 		carried = t.step(step)
 	}
-	// A last step waits for all that was carried over.
-	for round := 0; carried > 0 && t.w.ctx.Err() == nil; round++ {
+	// The last steps wait for all samples that were carried over.
+	for round := 0; carried > 0 && t.h.ctx.Err() == nil; round++ {
 		carried = t.step(trainer.Step{Name: fmt.Sprint("last-", round), Version: t.lastStep, WaitFor: carried})
 	}
 }
 
-// step takes a step and returns how many samples were carried over.
+// step runs a step and returns how many samples were carried over.
 func (t *trainerRun) step(step trainer.Step) int {
 	t.lastStep = step.Version
-	result, err := t.client.RunStep(t.w.ctx, step, func(s api.Sample) error {
+	result, err := t.client.RunStep(t.h.ctx, step, func(s api.Sample) error {
 		t.got[s.ID] = append(t.got[s.ID], oracle.Delivery{Sample: s, Version: step.Version})
 		return nil
 	})
 	if err != nil {
-		t.w.breach("step %s of %s: %v", step.Name, t.row, err)
+		t.h.errorf("step %s of %s: %v", step.Name, t.row, err)
 		return 0
 	}
 	for _, u := range result.Refused {
-		if t.lostScore(u.Reason) {
+		if t.scoreOutcomeUnknown(u.Reason) {
 			t.refused[u.ID] = true
 			continue
 		}
-		t.w.breach("sample %s of %s was refused for good: %v", u.ID, t.row, u.Reason)
+		t.h.errorf("sample %s of %s was refused permanently: %v", u.ID, t.row, u.Reason)
 	}
 	for _, id := range result.Cancelled {
-		t.w.breach("sample %s of %s was given up", id, t.row)
+		t.h.errorf("sample %s of %s was cancelled", id, t.row)
 	}
 	return len(result.CarriedOver)
 }
 
-// lostScore says whether a refusal tells of a scoring call that may not be
-// repeated and whose outcome is lost: its sample cannot be delivered any more.
-func (t *trainerRun) lostScore(r *api.Refusal) bool {
+// scoreOutcomeUnknown reports whether a refusal is due to a non-idempotent scoring call whose
+// outcome is unknown. Its sample can no longer be delivered.
+func (t *trainerRun) scoreOutcomeUnknown(r *api.Refusal) bool {
 	return t.row == rowPartial && r.NotRun != api.NotRunTrue &&
 		(r.Code == api.CodeOutcomeUnknown || r.Code == api.CodeDuplicate)
 }
 
-// check compares what was delivered with what was asked for and what ran.
+// check compares the deliveries with the requests and with the records of the engines.
 func (t *trainerRun) check(records oracle.Records) {
 	for id, req := range t.requests {
 		got := t.got[id]
 		if t.refused[id] && len(got) == 0 {
 			continue
 		}
-		if err := records.CheckScoredSample(&req, got, staleBound); err != nil {
-			t.w.breach("sample %s of %s: %v", id, t.row, err)
+		if err := records.CheckScoredSample(&req, got, stalenessBound); err != nil {
+			t.h.errorf("sample %s of %s: %v", id, t.row, err)
 		}
 	}
 	for id := range t.got {
 		if _, asked := t.requests[id]; !asked {
-			t.w.breach("sample %s of %s was never asked for", id, t.row)
+			t.h.errorf("sample %s of %s was not requested", id, t.row)
 		}
 	}
 }
 
-// checkScores says which non-repeatable scoring calls ran twice.
-func (w *world) checkScores() {
+// checkScores reports non-idempotent scoring calls that ran more than once.
+func (h *harness) checkScores() {
 	prefix := rowPartial + "/"
 	seen := map[string]int{}
-	for _, s := range w.scorers {
+	for _, s := range h.scorers {
 		for _, r := range s.Records() {
 			if len(r.Request) > len(prefix) && r.Request[:len(prefix)] == prefix {
 				seen[r.Request]++
@@ -195,7 +195,7 @@
 	}
 	for name, n := range seen {
 		if n > 1 {
-			w.breach("the scoring call %s, which may not be repeated, ran %d times", name, n)
+			h.errorf("non-idempotent scoring call %s ran %d times", name, n)
 		}
 	}
 }
