--- a/batch/ledger_test.go
+++ b/batch/ledger_test.go
@@ -53,14 +53,14 @@
 		}, func(t *testing.T, s *rowstore.Store) bool { return len(s.Rows(resultsTable("j"))) == 1 }},
 	}
 	outcomes := map[string]rowstore.Outcome{
-		"done": rowstore.Done, "refused": rowstore.Refused, "lost": rowstore.Lost, "dropped": rowstore.Dropped, "late": rowstore.Late,
+		"done": rowstore.Done, "refused": rowstore.Refused, "lost": rowstore.ReplyLost, "dropped": rowstore.RequestLost, "late": rowstore.Late,
 	}
 	for _, w := range writes {
 		for name, outcome := range outcomes {
 			t.Run(w.name+"/"+name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					s := rowstore.New()
-					s.Next(outcome)
+					s.QueueOutcomes(outcome)
 					if err := w.do(t.Context(), newLedger(s)); err != nil {
 						t.Fatalf("got %v", err)
 					}
@@ -82,17 +82,17 @@
 func TestSubmitSaysRefusedOnlyWhenNothingCanFollow(t *testing.T) {
 	const many = 50 // more attempts than fit into the deadline
 	for name, outcome := range map[string]rowstore.Outcome{
-		"refused": rowstore.Refused, "dropped": rowstore.Dropped, "late": rowstore.Late, "late, then refused": rowstore.Late,
+		"refused": rowstore.Refused, "dropped": rowstore.RequestLost, "late": rowstore.Late, "late, then refused": rowstore.Late,
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := rowstore.New()
-				s.Next(outcome)
+				s.QueueOutcomes(outcome)
 				next := outcome
 				if name == "late, then refused" {
 					next = rowstore.Refused
 				}
-				s.Next(slices.Repeat([]rowstore.Outcome{next}, many)...)
+				s.QueueOutcomes(slices.Repeat([]rowstore.Outcome{next}, many)...)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
 				err := newLedger(s).Submit(ctx, someJob("j", 4), someItems(4))
--- a/batch/reader_test.go
+++ b/batch/reader_test.go
@@ -136,10 +136,10 @@
 		rig := newReaderRig(t, 8)
 		rig.append("a")
 		rig.want(0, "a")
-		rig.store.Forget()
-		rig.client.Cut(fmt.Errorf("%w: away", store.ErrUnknown))
+		rig.store.DropHistory()
+		rig.client.SetError(fmt.Errorf("%w: away", store.ErrUnknown))
 		time.Sleep(3 * time.Second) // the feed call times out
-		rig.client.Cut(nil)
+		rig.client.SetError(nil)
 		rig.want(0, "a") // read entirely before the feed is available
 		rig.append("b")
 		time.Sleep(2 * time.Second) // the feed is available, at a newer version
@@ -154,7 +154,7 @@
 		rig := newReaderRig(t, 4)
 		rig.append("a", "b")
 		rig.want(0, "a", "b")
-		rig.client.Cut(store.ErrRefused)
+		rig.client.SetError(store.ErrRefused)
 		time.Sleep(5 * time.Second)
 		rig.want(0, "a", "b")
 		rig.want(1, "b")
@@ -168,11 +168,11 @@
 		rig := newReaderRig(t, 8)
 		rig.append("a")
 		rig.want(0, "a")
-		rig.store.HoldFeeds(true)
+		rig.store.BlockFeeds(true)
 		rig.append("b")
 		time.Sleep(time.Second)
 		rig.want(1, "b")
-		rig.store.HoldFeeds(false)
+		rig.store.BlockFeeds(false)
 	})
 }
 
@@ -181,11 +181,11 @@
 		rig := newReaderRig(t, 8)
 		rig.append("a")
 		rig.want(0, "a")
-		rig.store.Silence(true)
+		rig.store.MuteFeeds(true)
 		rig.append("b")
 		rig.append("c")
-		rig.store.Forget()
-		rig.store.Silence(false)
+		rig.store.DropHistory()
+		rig.store.MuteFeeds(false)
 		time.Sleep(2 * time.Second)
 		rig.append("d")
 		time.Sleep(time.Second)
@@ -203,7 +203,7 @@
 		if n := len(rig.reader.jobs); n != 0 {
 			t.Errorf("%d jobs cached that do not exist", n)
 		}
-		rig.client.Cut(store.ErrRefused)
+		rig.client.SetError(store.ErrRefused)
 		if _, err := rig.reader.Read(t.Context(), "third", 0, 1, 0); err == nil || errors.Is(err, ErrNoJob) {
 			t.Fatalf("got %v", err)
 		}
--- a/batch/worker_test.go
+++ b/batch/worker_test.go
@@ -314,7 +314,7 @@
 		rig := newWorkerRig(t, 2)
 		rig.submit("j", 10, nil)
 		time.Sleep(100 * time.Millisecond)
-		rig.store.Next(rowstore.Lost, rowstore.Refused, rowstore.Dropped, rowstore.Late, rowstore.Refused)
+		rig.store.QueueOutcomes(rowstore.ReplyLost, rowstore.Refused, rowstore.RequestLost, rowstore.Late, rowstore.Refused)
 		l := rig.await("j", 10, 10*time.Second)
 		rig.requireComplete(l)
 		seen := map[string]bool{}
@@ -336,7 +336,7 @@
 		}
 		rig.submit("j", 9, nil)
 		time.Sleep(time.Second)
-		rig.storeClients[engineAddr(1)].Cut(fmt.Errorf("%w: silent", store.ErrUnknown))
+		rig.storeClients[engineAddr(1)].SetError(fmt.Errorf("%w: silent", store.ErrUnknown))
 		rig.requireComplete(rig.await("j", 9, 2500*time.Millisecond))
 	})
 }
--- a/duty/fuzz_test.go
+++ b/duty/fuzz_test.go
@@ -32,7 +32,7 @@
 			machine: rapid.IntRange(0, machines-1).Draw(t, "machine"),
 			length:  time.Duration(rapid.IntRange(1, 9000).Draw(t, "length")) * time.Millisecond,
 			store: rapid.SliceOfN(rapid.SampledFrom([]rowstore.Outcome{
-				rowstore.Refused, rowstore.Lost, rowstore.Dropped, rowstore.Late, rowstore.Done,
+				rowstore.Refused, rowstore.ReplyLost, rowstore.RequestLost, rowstore.Late, rowstore.Done,
 			}), 1, 4).Draw(t, "store"),
 			calls: rapid.SliceOfN(rapid.SampledFrom([]outcome{answerLost, refused, requestLost, answered}), 1, 4).Draw(t, "calls"),
 		}
@@ -91,7 +91,7 @@
 		w.freezeAfterWrite = e.length
 		w.mu.Unlock()
 	case "store":
-		w.store.Next(e.store...)
+		w.store.QueueOutcomes(e.store...)
 	case "calls":
 		w.platform.mu.Lock()
 		w.platform.outcomes = append(w.platform.outcomes, e.calls...)
--- a/duty/term_test.go
+++ b/duty/term_test.go
@@ -103,7 +103,7 @@
 func TestClaimWithoutAnAnswerIsNotHeld(t *testing.T) {
 	rows := rowstore.New()
 	a, _ := newTermStore(rows, "a")
-	rows.Next(rowstore.Lost)
+	rows.QueueOutcomes(rowstore.ReplyLost)
 	if _, err := a.Claim(t.Context(), StoredTerm{}, 7, nil); !errors.Is(err, store.ErrUnknown) {
 		t.Fatalf("got %v", err)
 	}
--- a/e2e/soak_faults_test.go
+++ b/e2e/soak_faults_test.go
@@ -30,7 +30,7 @@
 		span(rng, 500, 2500)
 		w.store.rows.Slow(0)
 	}},
-	{"store forgets", func(w *soakWorld, _ *rand.Rand) { w.store.rows.Forget() }},
+	{"store forgets", func(w *soakWorld, _ *rand.Rand) { w.store.rows.DropHistory() }},
 	{"store loses answers", func(w *soakWorld, rng *rand.Rand) { w.loseAnswers(rng) }},
 	{"store path", func(w *soakWorld, rng *rand.Rand) { m := w.instance(rng); harm(rng, m.storeLinks...) }},
 	{"engine path", func(w *soakWorld, rng *rand.Rand) { harm(rng, w.agents[rng.IntN(len(w.agents))].link) }},
@@ -216,9 +216,9 @@
 
 // loseAnswers leaves the outcomes of the next writes open.
 func (w *soakWorld) loseAnswers(rng *rand.Rand) {
-	outcomes := []rowstore.Outcome{rowstore.Refused, rowstore.Lost, rowstore.Dropped, rowstore.Late}
+	outcomes := []rowstore.Outcome{rowstore.Refused, rowstore.ReplyLost, rowstore.RequestLost, rowstore.Late}
 	for range 3 + rng.IntN(6) {
-		w.store.rows.Next(outcomes[rng.IntN(len(outcomes))])
+		w.store.rows.QueueOutcomes(outcomes[rng.IntN(len(outcomes))])
 	}
 }
 
--- a/internal/deployment/crash_test.go
+++ b/internal/deployment/crash_test.go
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	for _, a := range d.Agents {
-		a.StandIn.EndUnder(crashPrompt, crashDown)
+		a.StandIn.CrashOnPrompt(crashPrompt, crashDown)
 	}
 	if err := d.AwaitReady(t.Context()); err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 
 func (r *crashRig) ends() (n int) {
 	for _, a := range r.d.Agents {
-		n += a.StandIn.Ends()
+		n += a.StandIn.PromptCrashes()
 	}
 	return n
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -144,7 +144,7 @@
 	for name, version := range opts.Models {
 		e.models[name] = &model{version: version, state: endpoint.LoadReady}
 	}
-	e.history.Note(time.Now(), e.statusLocked())
+	e.history.Record(time.Now(), e.statusLocked())
 	return e
 }
 
@@ -322,5 +322,5 @@
 // noteLocked wakes the waiting and keeps the status for the lagging reports.
 func (e *Engine) noteLocked() {
 	e.broadcastLocked()
-	e.history.Note(time.Now(), e.statusLocked())
+	e.history.Record(time.Now(), e.statusLocked())
 }
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -48,9 +48,9 @@
 	e.noteLocked()
 }
 
-// EndUnder makes the engine end as soon as it begins to run a prompt. It refuses
+// CrashOnPrompt makes the engine end as soon as it begins to run a prompt. It refuses
 // connections for a while then, and is back with its weights.
-func (e *Engine) EndUnder(prompt string, down time.Duration) {
+func (e *Engine) CrashOnPrompt(prompt string, down time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.endsUnder == nil {
@@ -66,8 +66,8 @@
 	return e.faults.refuse
 }
 
-// Ends is how often the engine ended under a prompt.
-func (e *Engine) Ends() int {
+// PromptCrashes is how often the engine ended under a prompt.
+func (e *Engine) PromptCrashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults.ends
--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -42,7 +42,7 @@
 // New makes an empty list.
 func New(o Options) *List {
 	l := &List{Gate: gate.New(o.Limits), lag: o.Lag, current: make(map[string]platform.Instance)}
-	l.history.Note(time.Now(), nil)
+	l.history.Record(time.Now(), nil)
 	return l
 }
 
@@ -82,7 +82,7 @@
 	defer l.mu.Unlock()
 	f()
 	byID := func(a, b platform.Instance) int { return strings.Compare(a.ID, b.ID) }
-	l.history.Note(time.Now(), slices.SortedFunc(maps.Values(l.current), byID))
+	l.history.Record(time.Now(), slices.SortedFunc(maps.Values(l.current), byID))
 }
 
 // Instances implements platform.InstanceList; the list is ordered by id.
--- a/internal/standin/lagging/lagging.go
+++ b/internal/standin/lagging/lagging.go
@@ -19,8 +19,8 @@
 // History holds past states, oldest first. It is not safe for concurrent use.
 type History[T any] struct{ entries []entry[T] }
 
-// Note adds the state from now on.
-func (h *History[T]) Note(now time.Time, value T) {
+// Record adds the state from now on.
+func (h *History[T]) Record(now time.Time, value T) {
 	h.entries = append(h.entries, entry[T]{now, value})
 	if len(h.entries) > maxEntries {
 		h.entries = slices.Clone(h.entries[maxEntries/2:])
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -24,10 +24,10 @@
 	Done Outcome = iota
 	// Refused writes nothing and says so.
 	Refused
-	// Lost writes and gives no answer.
-	Lost
-	// Dropped writes nothing and gives no answer.
-	Dropped
+	// ReplyLost writes and gives no answer.
+	ReplyLost
+	// RequestLost writes nothing and gives no answer.
+	RequestLost
 	// Late gives no answer and writes after LateBy if its conditions hold then.
 	Late
 )
@@ -60,8 +60,8 @@
 	}
 }
 
-// Next sets the outcomes of the next writes; those after them are Done.
-func (s *Store) Next(outcomes ...Outcome) {
+// QueueOutcomes sets the outcomes of the next writes; those after them are Done.
+func (s *Store) QueueOutcomes(outcomes ...Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outcomes = append(s.outcomes, outcomes...)
@@ -74,24 +74,24 @@
 	s.delay = d
 }
 
-// Forget drops the history up to now: feeds that ask for more start anew.
-func (s *Store) Forget() {
+// DropHistory drops the history up to now: feeds that ask for more start anew.
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.oldest, s.history = s.version, nil
 	s.wake()
 }
 
-// Silence lets feeds hear nothing while it is on.
-func (s *Store) Silence(on bool) {
+// MuteFeeds lets feeds hear nothing while it is on.
+func (s *Store) MuteFeeds(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = on
 	s.wake()
 }
 
-// HoldFeeds gives feeds no answer while it is on; lists are answered.
-func (s *Store) HoldFeeds(on bool) {
+// BlockFeeds gives feeds no answer while it is on; lists are answered.
+func (s *Store) BlockFeeds(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.held = on
@@ -177,7 +177,7 @@
 	switch outcome {
 	case Refused:
 		return store.Snapshot{}, store.ErrRefused
-	case Dropped:
+	case RequestLost:
 		return store.Snapshot{}, store.ErrUnknown
 	case Late:
 		time.AfterFunc(LateBy, func() {
@@ -186,7 +186,7 @@
 			_, _ = s.apply(tx) // nobody waits for it
 		})
 		return store.Snapshot{}, store.ErrUnknown
-	case Lost:
+	case ReplyLost:
 		_, _ = s.apply(tx) // its answer is lost
 		return store.Snapshot{}, store.ErrUnknown
 	}
@@ -345,8 +345,8 @@
 // Client returns a way to the store.
 func (s *Store) Client() *Client { return &Client{Store: s} }
 
-// Cut makes each call fail with err; nil mends it.
-func (c *Client) Cut(err error) {
+// SetError makes each call fail with err; nil mends it.
+func (c *Client) SetError(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cut = err
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -47,8 +47,8 @@
 	for name, outcomes := range map[string][]rowstore.Outcome{
 		"written":            nil,
 		"refused once":       {rowstore.Refused},
-		"answer lost":        {rowstore.Lost},
-		"request lost twice": {rowstore.Dropped, rowstore.Dropped},
+		"answer lost":        {rowstore.ReplyLost},
+		"request lost twice": {rowstore.RequestLost, rowstore.RequestLost},
 		"applied late":       {rowstore.Late},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 				s := rowstore.New()
 				trackers := startTrackers(t, s, 3)
 				time.Sleep(time.Second)
-				s.Next(outcomes...)
+				s.QueueOutcomes(outcomes...)
 				trackers[0].ReportCrash(brokenRun(0))
 				trackers[1].ReportCrash(brokenRun(1))
 				trackers[1].ReportCrash(brokenRun(1)) // noticed by two sends at once
@@ -89,7 +89,7 @@
 		s := rowstore.New()
 		tracker := startTracker(t.Context(), s)
 		time.Sleep(time.Second)
-		s.Next(rowstore.Refused)
+		s.QueueOutcomes(rowstore.Refused)
 		tracker.ReportCrash(brokenRun(0))
 		tracker.ReportCrash(brokenRun(1))
 		tracker.Replace(store.Snapshot{}) // read before they were written
@@ -150,14 +150,14 @@
 
 // A claim with an unknown outcome does not count as won.
 func TestTrialWithoutAnAnswerIsNotMade(t *testing.T) {
-	for _, outcome := range []rowstore.Outcome{rowstore.Refused, rowstore.Lost, rowstore.Dropped, rowstore.Late} {
+	for _, outcome := range []rowstore.Outcome{rowstore.Refused, rowstore.ReplyLost, rowstore.RequestLost, rowstore.Late} {
 		synctest.Test(t, func(t *testing.T) {
 			s := rowstore.New()
 			tracker := startTracker(t.Context(), s)
 			tracker.ReportCrash(brokenRun(0))
 			tracker.ReportCrash(brokenRun(1))
 			time.Sleep(propagationTime + trialDelays[0])
-			s.Next(outcome)
+			s.QueueOutcomes(outcome)
 			if state, wait := tracker.Admit(t.Context(), content, RequestLimit); state != Quarantined || wait <= 0 {
 				t.Fatalf("outcome %v: state %v, wait %v", outcome, state, wait)
 			}
--- a/scaling/orders_test.go
+++ b/scaling/orders_test.go
@@ -98,7 +98,7 @@
 	s := rowstore.New()
 	o, view := newOrders(s, 3)
 	client := s.Client()
-	client.Cut(store.ErrRefused)
+	client.SetError(store.ErrRefused)
 	o.Rows = client
 	if _, err := o.Decide(t.Context(), 1, nil); err == nil {
 		t.Error("decided without the store")
--- a/service/node/watch_test.go
+++ b/service/node/watch_test.go
@@ -86,10 +86,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newListRig(t)
-				r.client.Cut(store.ErrRefused)
+				r.client.SetError(store.ErrRefused)
 				r.remove("a")
 				time.Sleep(5 * time.Second)
-				r.client.Cut(nil)
+				r.client.SetError(nil)
 				time.Sleep(1500 * time.Millisecond)
 				if !r.known("a") {
 					t.Fatal("removed before the end of returnGrace")
@@ -136,7 +136,7 @@
 // does not use its authority, since the store may hold another one.
 func TestAuthorityWhoseWriteIsOpenIsNotUsed(t *testing.T) {
 	rows := rowstore.New()
-	rows.Next(rowstore.Dropped)
+	rows.QueueOutcomes(rowstore.RequestLost)
 	if _, err := loadAuthority(t.Context(), rows); !errors.Is(err, store.ErrUnknown) {
 		t.Fatalf("got %v", err)
 	}
--- a/store/follow_test.go
+++ b/store/follow_test.go
@@ -31,9 +31,9 @@
 		go store.Follow(ctx, client, store.Source{Table: "table"}, w)
 		for range 2 {
 			time.Sleep(5 * time.Second)
-			client.Cut(fmt.Errorf("%w: away", store.ErrUnknown))
+			client.SetError(fmt.Errorf("%w: away", store.ErrUnknown))
 			time.Sleep(3 * time.Second)
-			client.Cut(nil)
+			client.SetError(nil)
 		}
 		time.Sleep(5 * time.Second)
 		cancel()
--- a/store/pace_test.go
+++ b/store/pace_test.go
@@ -104,10 +104,10 @@
 		client, w := s.Client(), &callRecorder{}
 		go store.Follow(t.Context(), client, store.Source{Table: "t"}, w)
 		time.Sleep(2 * time.Second)
-		client.Cut(store.ErrRefused)
+		client.SetError(store.ErrRefused)
 		s.Put(store.Row{Key: store.Key{Table: "t", Name: "a"}, Value: []byte("v")})
 		time.Sleep(4 * time.Second)
-		client.Cut(nil)
+		client.SetError(nil)
 		time.Sleep(2 * time.Second)
 		if got := fmt.Sprint(w.calls.Load()); got != "[lost regained rows]" {
 			t.Errorf("calls of the watcher: %s", got)
--- a/store/relay/relay_test.go
+++ b/store/relay/relay_test.go
@@ -87,8 +87,8 @@
 func TestCallsGoOnThroughOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFixture()
-		r.direct.Cut(errBusy)
-		r.peers[0].Cut(errBusy) // is refused too
+		r.direct.SetError(errBusy)
+		r.peers[0].SetError(errBusy) // is refused too
 		start := time.Now()
 		if _, err := r.relayed.Commit(t.Context(), put("a")); err != nil {
 			t.Fatalf("commit: %v", err)
@@ -142,14 +142,14 @@
 		r := newFixture()
 		var switches []bool
 		r.relayed.OnSwitch = func(relaying bool) { switches = append(switches, relaying) }
-		r.direct.Cut(errBusy)
+		r.direct.SetError(errBusy)
 		for i := range 5 {
 			if _, err := r.relayed.Commit(t.Context(), put(fmt.Sprint("a", i))); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(700 * time.Millisecond)
 		}
-		r.direct.Cut(nil)
+		r.direct.SetError(nil)
 		time.Sleep(1500 * time.Millisecond)
 		before := r.peerCalls.Load()
 		for i := range 10 {
@@ -173,7 +173,7 @@
 		r := newFixture()
 		clients := append([]*rowstore.Client{r.direct}, r.peers...)
 		for _, client := range clients {
-			client.Cut(errBusy)
+			client.SetError(errBusy)
 		}
 		for range 100 {
 			if _, err := r.relayed.Commit(t.Context(), put("a")); !errors.Is(err, store.ErrRefused) {
@@ -185,7 +185,7 @@
 			t.Errorf("%d calls were relayed in ten seconds, want at most 15", n)
 		}
 		for _, client := range clients {
-			client.Cut(nil)
+			client.SetError(nil)
 		}
 		if _, err := r.relayed.Commit(t.Context(), put("a")); err != nil {
 			t.Errorf("after the outage: %v", err)
@@ -198,12 +198,12 @@
 // be ErrUnknown, not ErrRefused.
 func TestRefusedOnlyIfNoWayLeavesItOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, outcome := range []rowstore.Outcome{rowstore.Lost, rowstore.Dropped, rowstore.Late} {
+		for _, outcome := range []rowstore.Outcome{rowstore.ReplyLost, rowstore.RequestLost, rowstore.Late} {
 			r := newFixture()
 			for _, peer := range r.peers {
-				peer.Cut(errBusy)
+				peer.SetError(errBusy)
 			}
-			r.store.Next(outcome)
+			r.store.QueueOutcomes(outcome)
 			if _, err := r.relayed.Commit(t.Context(), put("a")); !errors.Is(err, store.ErrUnknown) {
 				t.Errorf("got %v, want ErrUnknown", err)
 			}
@@ -267,7 +267,7 @@
 		}
 		r := newFixture()
 		r.relayed.Peers = silentPeers{}
-		r.direct.Cut(errBusy)
+		r.direct.SetError(errBusy)
 		start := time.Now()
 		if _, err := r.relayed.Commit(t.Context(), put("a")); err == nil {
 			t.Fatal("want an error")
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -90,13 +90,13 @@
 			truth[window][organisation]++
 			switch i % 9 {
 			case 2:
-				s.Next(rowstore.Lost)
+				s.QueueOutcomes(rowstore.ReplyLost)
 			case 4:
-				s.Next(rowstore.Dropped)
+				s.QueueOutcomes(rowstore.RequestLost)
 			case 6:
-				s.Next(rowstore.Refused)
+				s.QueueOutcomes(rowstore.Refused)
 			case 8:
-				s.Next(rowstore.Late)
+				s.QueueOutcomes(rowstore.Late)
 			}
 		}
 		time.Sleep(ReportDelay(testDue))
@@ -119,10 +119,10 @@
 		s := rowstore.New()
 		e := startEntry(s, "z", "entry")
 		window := testWindows.Index(time.Now())
-		e.client.Cut(store.ErrUnknown)
+		e.client.SetError(store.ErrUnknown)
 		e.counter.Add("guthi", time.Now())
 		time.Sleep(testWindows.Length + 3*time.Second)
-		e.client.Cut(nil)
+		e.client.SetError(nil)
 		time.Sleep(time.Second)
 		if got := decide(t, s, window); got["guthi"] != 1 {
 			t.Errorf("got %v", got)
