--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -48,9 +48,9 @@
 	e.noteLocked()
 }
 
-// EndUnder makes the engine end as soon as it begins to run a prompt. It refuses
+// CrashOnPrompt makes the engine end as soon as it begins to run a prompt. It refuses
 // connections for a while then, and is back with its weights.
-func (e *Engine) EndUnder(prompt string, down time.Duration) {
+func (e *Engine) CrashOnPrompt(prompt string, down time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.endsUnder == nil {
@@ -59,15 +59,15 @@
 	e.faults.endsUnder[prompt] = down
 }
 
-// Ended implements endpoint.Prober.
-func (e *Engine) Ended(context.Context) bool {
+// Exited implements endpoint.Prober.
+func (e *Engine) Exited(context.Context) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults.refuse
 }
 
-// Ends is how often the engine ended under a prompt.
-func (e *Engine) Ends() int {
+// PromptCrashes is how often the engine ended under a prompt.
+func (e *Engine) PromptCrashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults.ends
