--- a/cmd/mulberryctl/command.go
+++ b/cmd/mulberryctl/command.go
@@ -37,11 +37,11 @@
 func command() *cli.Command {
 	return &cli.Command{
 		Name:        "mulberryctl",
-		Usage:       "edit and watch the table of a mulberryscale service",
+		Usage:       "edit and inspect the table of a mulberryscale service",
 		Description: examples,
 		Flags: []cli.Flag{
-			// Values from the environment are checked where they are used, so
-			// that a wrong one does not stop the commands that need none.
+			// Values from the environment are checked where they are used, so that
+			// an invalid one does not fail the commands that do not need it.
 			&cli.StringFlag{
 				Name:    flagTableService,
 				Usage:   "the platform's table service, http://ip:port",
@@ -49,7 +49,7 @@
 			},
 			&cli.StringFlag{
 				Name:    flagTimeout,
-				Usage:   "bound of the command, the time that an operator thinks not counted",
+				Usage:   "time limit of the command, without the time that an operator takes to confirm",
 				Sources: cli.EnvVars(settings.EnvName(flagTimeout)),
 				Value:   defaultTimeout.String(),
 			},
@@ -82,10 +82,10 @@
 	}
 }
 
-// bounded adds the bound of the whole command to an action.
-func bounded(action cli.ActionFunc) cli.ActionFunc {
+// withTimeout limits the time of an action to the value of --timeout.
+func withTimeout(action cli.ActionFunc) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
-		timeout, err := timeoutOf(cmd)
+		timeout, err := commandTimeout(cmd)
 		if err != nil {
 			return err
 		}
@@ -95,18 +95,19 @@
 	}
 }
 
-// edit is a command in two steps between which the operator may think: plan
-// shows the difference, commit writes. Each step has the bound by itself.
-type edit struct {
+// confirmedEdit is a command in two steps, with the operator's confirmation between
+// them: plan computes the difference, commit writes. The timeout applies to each step
+// separately and not to the confirmation.
+type confirmedEdit struct {
 	plan   func(ctx context.Context, cmd *cli.Command) (question string, changes []table.Change, err error)
 	commit func(ctx context.Context, cmd *cli.Command) error
 }
 
-// run asks between the steps, unless the plan has no question.
-func (e edit) run(ctx context.Context, cmd *cli.Command) error {
+// run asks for confirmation between the steps, unless plan returns no question.
+func (e confirmedEdit) run(ctx context.Context, cmd *cli.Command) error {
 	var question string
 	var changes []table.Change
-	err := bounded(func(ctx context.Context, cmd *cli.Command) (err error) {
+	err := withTimeout(func(ctx context.Context, cmd *cli.Command) (err error) {
 		question, changes, err = e.plan(ctx, cmd)
 		return err
 	})(ctx, cmd)
@@ -118,10 +119,10 @@
 			return err
 		}
 	}
-	return bounded(e.commit)(ctx, cmd)
+	return withTimeout(e.commit)(ctx, cmd)
 }
 
-func timeoutOf(cmd *cli.Command) (time.Duration, error) {
+func commandTimeout(cmd *cli.Command) (time.Duration, error) {
 	text := cmd.String(flagTimeout)
 	if text == "" {
 		return defaultTimeout, nil
@@ -145,8 +146,8 @@
 	return tablestore.New(httpplatform.NewTable(address)), nil
 }
 
-// wantArgs checks the number of arguments.
-func wantArgs(cmd *cli.Command, low, high int) error {
+// checkArgs returns a usage error unless the number of arguments is from low to high.
+func checkArgs(cmd *cli.Command, low, high int) error {
 	if n := cmd.Args().Len(); n < low || n > high {
 		return daemon.Usagef("want: mulberryctl %s %s", cmd.Name, cmd.ArgsUsage)
 	}
