--- a/endpoint/httpendpoint/engine.go
+++ b/endpoint/httpendpoint/engine.go
@@ -16,14 +16,15 @@
 	"mulberryscale.example/platform"
 )
 
-// Bounds on what an endpoint may answer, in bytes.
+// Limits of an engine's responses, in bytes. Of an error's body, more than
+// maxErrorText is ignored.
 const (
-	maxAnswer = 1 << 20
-	maxEvent  = 1 << 20
-	maxError  = 512
+	maxStatusBody = 1 << 20
+	maxEventBytes = 1 << 20
+	maxErrorText  = 512
 )
 
-// Engine implements endpoint.Engine.
+// Engine is an HTTP client of a model engine. It implements endpoint.Engine.
 type Engine struct {
 	base string
 	once *httponce.Client
@@ -31,12 +32,12 @@
 
 var _ endpoint.Engine = (*Engine)(nil)
 
-// NewEngine makes a client of the engine at baseURL ("http://ip:port").
+// NewEngine returns a client of the engine at baseURL ("http://ip:port").
 func NewEngine(baseURL string) *Engine {
 	return &Engine{base: strings.TrimSuffix(baseURL, "/"), once: httponce.New()}
 }
 
-// Generate implements endpoint.Engine. The stream lives until ctx ends.
+// Generate implements endpoint.Engine. Cancelling ctx cancels the stream.
 func (e *Engine) Generate(ctx context.Context, req endpoint.GenerateRequest) (endpoint.Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	resp, err := e.post(ctx, PathCompletions, NewCompletionBody(req))
@@ -46,14 +47,15 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer cancel()
-		return nil, e.refused("engine.generate", resp)
+		return nil, e.rejectionError("engine.generate", resp)
 	}
 	return newStream(e.base, cancel, resp.Body), nil
 }
 
-// refused maps an answer that starts no stream. An engine checks a request
-// before it runs it, so a 4xx answer, but for a timeout, proves that nothing ran.
-func (e *Engine) refused(step string, resp *http.Response) error {
+// rejectionError returns the error for a response without a stream. An engine
+// checks a request before it runs it, so a 4xx status other than 408 (request
+// timeout) proves that nothing ran.
+func (e *Engine) rejectionError(step string, resp *http.Response) error {
 	err := statusError(resp)
 	if resp.StatusCode/100 == 4 && resp.StatusCode != http.StatusRequestTimeout {
 		err = &endpoint.NotStartedError{Err: err}
@@ -76,7 +78,7 @@
 		return s, trace.Wrap(statusError(resp), "engine.status: engine %s", e.base)
 	}
 	defer resp.Body.Close()
-	body, err := httponce.ReadBody(resp.Body, maxAnswer)
+	body, err := httponce.ReadBody(resp.Body, maxStatusBody)
 	if err == nil {
 		err = json.Unmarshal(body, &s)
 	}
@@ -99,7 +101,8 @@
 	return trace.Wrap(statusError(resp), "engine.load: engine %s", e.base)
 }
 
-// post sends a JSON body once; a NotStartedError proves that it was not sent.
+// post sends a JSON body once, without retries. A NotStartedError proves that it
+// was not sent.
 func (e *Engine) post(ctx context.Context, path string, v any) (*http.Response, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -114,7 +117,8 @@
 	return resp, mapUnsent(err)
 }
 
-// mapUnsent says "not started" of a request that was never sent.
+// mapUnsent turns the error of a request that was never sent into a
+// NotStartedError, and returns other errors unchanged.
 func mapUnsent(err error) error {
 	var unsent *httponce.UnsentError
 	if errors.As(err, &unsent) {
@@ -123,9 +127,10 @@
 	return err
 }
 
-// statusError is the error of an unwanted status, with the start of its body.
+// statusError returns the error for an unexpected status, with the start of the
+// response's body. It closes the body.
 func statusError(resp *http.Response) error {
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxError)) // what came is enough
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText)) // a partial text is good enough
 	return trace.Errorf("status %s: %s", resp.Status, strings.TrimSpace(string(text)))
 }
--- a/endpoint/httpendpoint/fuzz_test.go
+++ b/endpoint/httpendpoint/fuzz_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Whatever an engine sends, a stream ends with io.EOF only after a finish reason.
+// FuzzStream checks that whatever an engine sends, Next returns io.EOF only after
+// a finish reason.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte("data: {\"choices\":[{\"text\":\" a\",\"finish_reason\":\"stop\"}],\"tokens\":1}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("data: {\"choices\":[{\"text\":\" a\"}]}\n\ndata: [DONE]\n\n"))
--- a/endpoint/httpendpoint/httpendpoint_test.go
+++ b/endpoint/httpendpoint/httpendpoint_test.go
@@ -71,11 +71,12 @@
 		t.Fatalf("got %+v, %v", spans, err)
 	}
 	if _, again := s.Next(); !errors.Is(again, httpendpoint.ErrStreamBroken) {
-		t.Fatalf("asked again: %v", again)
+		t.Fatalf("second Next after the error: %v", again)
 	}
 }
 
-// An engine that ends its answer in good order but without a finish reason.
+// An engine may complete its response properly but without a finish reason. The
+// stream must report that as broken.
 func TestStreamWithoutFinishReasonIsNeverEOF(t *testing.T) {
 	for _, tail := range []string{"", "data: [DONE]\n\n"} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -112,7 +113,7 @@
 		t.Fatalf("Next after Close: %v", err)
 	}
 	for !core.Records()[0].Cancelled {
-		time.Sleep(time.Millisecond) // the test's own timeout ends a run that never is
+		time.Sleep(time.Millisecond) // if it is never cancelled, the test times out
 	}
 }
 
@@ -197,7 +198,7 @@
 	} {
 		core, client := startService(t)
 		if _, err := client.Call(t.Context(), endpoint.ServiceRequest{Method: http.MethodGet, Path: "/"}); err != nil {
-			t.Fatal(err) // leaves a connection to be used again
+			t.Fatal(err) // leaves an idle connection that the next call reuses
 		}
 		c.arm(core)
 		_, err := client.Call(t.Context(), serviceRequest(http.MethodGet))
--- a/endpoint/httpendpoint/probe.go
+++ b/endpoint/httpendpoint/probe.go
@@ -14,13 +14,13 @@
 )
 
 // Exited implements endpoint.Prober.
-func (e *Engine) Exited(ctx context.Context) bool { return ended(ctx, e.base) }
+func (e *Engine) Exited(ctx context.Context) bool { return refusesConnections(ctx, e.base) }
 
 // Exited implements endpoint.Prober.
-func (s *Service) Exited(ctx context.Context) bool { return ended(ctx, s.base) }
+func (s *Service) Exited(ctx context.Context) bool { return refusesConnections(ctx, s.base) }
 
-// ended asks the address of a base URL.
-func ended(ctx context.Context, base string) bool {
+// refusesConnections reports whether the address of a base URL refuses connections.
+func refusesConnections(ctx context.Context, base string) bool {
 	u, err := url.Parse(base)
 	return err == nil && httponce.Refuses(ctx, u.Host)
 }
--- a/endpoint/httpendpoint/protocol.go
+++ b/endpoint/httpendpoint/protocol.go
@@ -1,5 +1,5 @@
-// Package httpendpoint speaks HTTP to the endpoint beside an agent: an
-// OpenAI-style model engine with a few extensions, or a plain service.
+// Package httpendpoint implements the interfaces of package endpoint over HTTP,
+// for a model engine with an extended OpenAI-style API and for a plain service.
 package httpendpoint
 
 import "mulberryscale.example/endpoint"
@@ -11,7 +11,7 @@
 	PathLoad        = "/load"
 )
 
-// DoneData is the data of a stream's last event.
+// DoneData is the data of the last server-sent event of a stream.
 const DoneData = "[DONE]"
 
 // CompletionBody is the body of POST /v1/completions. The fields after Stream
@@ -29,15 +29,15 @@
 	PrefixTokens int    `json:"prefix_tokens,omitempty"`
 }
 
-// ChoiceBody is the one choice of an event.
+// ChoiceBody is the only choice of an event.
 type ChoiceBody struct {
 	Index        int    `json:"index"`
 	Text         string `json:"text"`
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// EventBody is the data of a stream's event. Tokens and WeightsVersion extend
-// the OpenAI fields.
+// EventBody is the data of a server-sent event of a stream. Tokens and
+// WeightsVersion extend the OpenAI fields.
 type EventBody struct {
 	ID             string       `json:"id"`
 	Object         string       `json:"object"`
@@ -47,7 +47,7 @@
 	WeightsVersion uint64       `json:"weights_version"`
 }
 
-// NewCompletionBody is the body of a request.
+// NewCompletionBody returns the body for a request.
 func NewCompletionBody(req endpoint.GenerateRequest) CompletionBody {
 	return CompletionBody{
 		Model: req.Model, Prompt: req.Prompt, MaxTokens: req.MaxTokens, Temperature: req.Temperature,
@@ -55,7 +55,8 @@
 	}
 }
 
-// Request is the request of a body.
+// Request returns the request that the body was made from, the inverse of
+// NewCompletionBody.
 func (b CompletionBody) Request() endpoint.GenerateRequest {
 	return endpoint.GenerateRequest{
 		RunID: b.RunID, Model: b.Model, Prompt: b.Prompt, MaxTokens: b.MaxTokens, Temperature: b.Temperature,
@@ -63,7 +64,7 @@
 	}
 }
 
-// NewEventBody is the event of a chunk.
+// NewEventBody returns the event data for a chunk.
 func NewEventBody(req endpoint.GenerateRequest, c endpoint.Chunk) EventBody {
 	return EventBody{
 		ID: req.RunID, Object: "text_completion", Model: req.Model,
@@ -72,7 +73,7 @@
 	}
 }
 
-// Chunk is the chunk of an event.
+// Chunk returns the chunk in the event data, the inverse of NewEventBody.
 func (b EventBody) Chunk() endpoint.Chunk {
 	c := endpoint.Chunk{Tokens: b.Tokens, Version: b.WeightsVersion}
 	if len(b.Choices) > 0 {
--- a/endpoint/httpendpoint/service.go
+++ b/endpoint/httpendpoint/service.go
@@ -13,16 +13,16 @@
 	"mulberryscale.example/internal/httponce"
 )
 
-// maxServiceAnswer bounds a plain service's answer, in bytes.
-const maxServiceAnswer = 8 << 20
+// maxServiceBody limits the body of a plain service's response, in bytes.
+const maxServiceBody = 8 << 20
 
-// hopHeaders concern one connection only and are not passed on (RFC 9110, section 7.6.1).
+// hopHeaders are the hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1).
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Service implements endpoint.Service.
+// Service is an HTTP client of a plain service. It implements endpoint.Service.
 type Service struct {
 	base string
 	once *httponce.Client
@@ -30,13 +30,13 @@
 
 var _ endpoint.Service = (*Service)(nil)
 
-// NewService makes a client of the plain service at baseURL ("http://ip:port").
+// NewService returns a client of the plain service at baseURL ("http://ip:port").
 func NewService(baseURL string) *Service {
 	return &Service{base: strings.TrimSuffix(baseURL, "/"), once: httponce.New()}
 }
 
-// Call implements endpoint.Service. Every status is an answer, not an error;
-// redirects are passed back.
+// Call implements endpoint.Service. A response of any status is returned without
+// an error; redirects are returned, not followed.
 func (s *Service) Call(ctx context.Context, in endpoint.ServiceRequest) (endpoint.ServiceResponse, error) {
 	var out endpoint.ServiceResponse
 	req, err := s.request(ctx, in)
@@ -48,7 +48,7 @@
 		return out, trace.Wrap(mapUnsent(err), "service.call: service %s", s.base)
 	}
 	defer resp.Body.Close()
-	body, err := httponce.ReadBody(resp.Body, maxServiceAnswer)
+	body, err := httponce.ReadBody(resp.Body, maxServiceBody)
 	if err != nil {
 		return out, trace.Wrap(err, "service.call: service %s", s.base)
 	}
@@ -70,7 +70,7 @@
 	return req, nil
 }
 
-// endToEnd copies the headers that are passed on.
+// endToEnd returns a copy of the end-to-end headers, those that are forwarded.
 func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
--- a/endpoint/httpendpoint/stream.go
+++ b/endpoint/httpendpoint/stream.go
@@ -16,14 +16,15 @@
 	"mulberryscale.example/endpoint"
 )
 
-// ErrStreamBroken says that a stream ended without a finish reason.
+// ErrStreamBroken is returned when a stream stops without a finish reason.
 var ErrStreamBroken = errors.New("stream ended without a finish reason")
 
-// drainTime bounds the wait for the end of a whole answer.
-const drainTime = 100 * time.Millisecond
+// drainTimeout limits the wait for the engine to close a response whose finish
+// reason has arrived.
+const drainTimeout = 100 * time.Millisecond
 
-// stream reads a generation's server-sent events. Next is for one goroutine at
-// a time; Close may be called beside it.
+// stream reads a generation's server-sent events. Close may be called
+// concurrently with Next.
 type stream struct {
 	peer   string
 	cancel context.CancelFunc
@@ -33,11 +34,11 @@
 	next     func() (sse.Event, error, bool)
 	stop     func()
 	finished bool
-	err      error // the error that ended the stream, told again by each Next
+	err      error // the error that ended the stream, returned by each further Next
 }
 
 func newStream(peer string, cancel context.CancelFunc, body io.ReadCloser) *stream {
-	next, stop := iter.Pull2(sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEvent}))
+	next, stop := iter.Pull2(sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}))
 	return &stream{peer: peer, cancel: cancel, body: body, next: next, stop: stop}
 }
 
@@ -77,17 +78,19 @@
 	return chunk, nil
 }
 
-// drain reads the rest of a whole answer, so that the connection can be used
-// again; a peer that does not end it in time loses the connection.
+// drain reads the rest of a finished response, so that the connection can be
+// reused. If the engine doesn't close the response within drainTimeout, drain
+// closes the connection.
 func (s *stream) drain() {
-	timer := time.AfterFunc(drainTime, s.cancel)
+	timer := time.AfterFunc(drainTimeout, s.cancel)
 	defer timer.Stop()
 	for ok := true; ok; {
 		_, _, ok = s.next()
 	}
 }
 
-// Close implements endpoint.Stream: the engine cancels a run whose connection closes.
+// Close implements endpoint.Stream. It closes the connection, upon which the
+// engine cancels the run.
 func (s *stream) Close() error {
 	s.cancel()
 	err := s.body.Close()
--- a/internal/benchmeter/benchmeter.go
+++ b/internal/benchmeter/benchmeter.go
@@ -1,4 +1,4 @@
-// Package benchmeter reads the memory and processor time of the process in benchmarks.
+// Package benchmeter measures the memory and CPU time of the process in benchmarks.
 package benchmeter
 
 import (
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// MemoryInUse is the heap and stack memory in use after a collection, in bytes.
+// MemoryInUse returns the heap and stack memory in use after a garbage
+// collection, in bytes.
 func MemoryInUse() int64 {
 	runtime.GC()
-	runtime.GC() // what the first one made free by finalizers
+	runtime.GC() // collects what the finalizers of the first one released
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// CPUTime is the user and system time that this process has used.
+// CPUTime returns the user and system CPU time that this process has used.
 func CPUTime(tb testing.TB) time.Duration {
 	tb.Helper()
 	var usage syscall.Rusage
@@ -27,7 +28,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// CPUMicrosPerOp is the processor time since before for each of n things, in microseconds.
+// CPUMicrosPerOp returns the CPU time used since before, a result of CPUTime,
+// divided by n operations, in microseconds.
 func CPUMicrosPerOp(tb testing.TB, before time.Duration, n float64) float64 {
 	tb.Helper()
 	return float64(CPUTime(tb)-before) / float64(time.Microsecond) / n
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,6 +1,6 @@
-// Package boottime reads the clock that goes on while the machine is suspended.
-// The one behind package time may stand still then, so that a process which
-// wakes up would take what it knew before for fresh.
+// Package boottime reads the clock that continues while the machine is suspended.
+// The monotonic clock of package time may stop then, so that a resumed process
+// would treat stale data as fresh.
 package boottime
 
 import (
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the time since the machine was started, suspensions included.
+// Now returns the time since the machine booted, including suspensions.
 func Now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -56,9 +56,10 @@
 	return d
 }
 
-// BenchmarkPath is the processor time of one streamed completion by the most tokens allowed:
-// of the caller, an entry, an agent and the stand-in engine together, and of
-// the same calls made directly at the engine. Run it with -benchtime=1x.
+// BenchmarkPath measures the CPU time of one streamed completion, by its maximum
+// number of tokens: of the caller, an entry, an agent and the stand-in engine
+// together, and of the same calls sent directly to the engine. Run it with
+// -benchtime=1x.
 func BenchmarkPath(b *testing.B) {
 	for _, tokens := range []int{8, 32, 64, 256} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
@@ -99,7 +100,7 @@
 	b.ReportMetric(through-alone, "cpu-us/overhead")
 }
 
-// cpuOfCalls is the processor time of this process for one call, in microseconds.
+// cpuOfCalls returns the CPU time of this process for one call, in microseconds.
 func cpuOfCalls(b *testing.B, call func(i int) error) float64 {
 	var callers sync.WaitGroup
 	before := benchmeter.CPUTime(b)
@@ -131,7 +132,7 @@
 	return err
 }
 
-// callEngine returns how many tokens the engine generated.
+// callEngine runs one generation and returns how many tokens the engine generated.
 func callEngine(ctx context.Context, e endpoint.Engine, tokens, i int) (generated int, err error) {
 	s, err := e.Generate(ctx, endpoint.GenerateRequest{RunID: fmt.Sprintf("direct-%d", i), Model: "guide", Prompt: fmt.Sprintf("square %d", i), MaxTokens: tokens, Seed: int64(i)})
 	if err != nil {
@@ -150,9 +151,9 @@
 	}
 }
 
-// BenchmarkStepMemory is the memory of a step's samples in progress, of the
-// trainer's client and the entry together: the one engine is so slow that
-// nearly all wait at the entry. Run it with -benchtime=1x.
+// BenchmarkStepMemory measures the memory of a step's samples in progress, in the
+// trainer's client and the entry together: the only engine is so slow that nearly
+// all samples wait at the entry. Run it with -benchtime=1x.
 func BenchmarkStepMemory(b *testing.B) {
 	for _, n := range []int{512, 1024, 2048, 4096} {
 		b.Run(fmt.Sprintf("samples=%d", n), func(b *testing.B) {
@@ -183,15 +184,15 @@
 		defer close(ended)
 		_, _ = client.RunStep(ctx, trainer.Step{Name: "1", Version: 1, Samples: samples}, func(api.Sample) error { return nil })
 	}()
-	time.Sleep(2 * time.Second) // all samples are placed or wait
+	time.Sleep(2 * time.Second) // until all samples are placed or waiting
 	used := benchmeter.MemoryInUse() - before
 	cancel()
 	<-ended
 	return float64(used)
 }
 
-// BenchmarkEntryMemory is the memory of idle entries of one process, by their
-// number, with one agent. Run it with -benchtime=1x.
+// BenchmarkEntryMemory measures the memory of idle entries in one process, by
+// their number, with one agent. Run it with -benchtime=1x.
 func BenchmarkEntryMemory(b *testing.B) {
 	for _, n := range []int{1, 8, 16, 32} {
 		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
@@ -202,8 +203,9 @@
 	}
 }
 
-// BenchmarkAgentMemory is the memory of idle agents and their stand-in engines
-// of one process, by their number, with one entry. Run it with -benchtime=1x.
+// BenchmarkAgentMemory measures the memory of idle agents and their stand-in
+// engines in one process, by their number, with one entry. Run it with
+// -benchtime=1x.
 func BenchmarkAgentMemory(b *testing.B) {
 	for _, n := range []int{1, 8, 16, 32} {
 		b.Run(fmt.Sprintf("agents=%d", n), func(b *testing.B) {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Marks in docs/CAPACITY.md around what the program writes.
+// Markers in docs/CAPACITY.md around the program's output.
 const (
 	pageFile  = "../../docs/CAPACITY.md"
 	pageBegin = "<!-- made by: mulberryscale capacity --output markdown -->\n"
@@ -23,7 +23,7 @@
 	return Compute(PlannedSize(), PlannedBudget(), PlannedPlatform(), slopes)
 }
 
-// TestPage checks that the page shows what the program works out.
+// TestPage checks that the page contains the program's current output.
 func TestPage(t *testing.T) {
 	page, err := os.ReadFile(pageFile)
 	if err != nil {
@@ -32,10 +32,10 @@
 	_, rest, found := strings.Cut(string(page), pageBegin)
 	made, _, ended := strings.Cut(rest, pageEnd)
 	if !found || !ended {
-		t.Fatal("the page has no place for the program's tables")
+		t.Fatal("the page lacks the markers around the program's tables")
 	}
 	if want := plannedReport(t).Markdown(); made != want {
-		t.Errorf("the page is not what the program works out; run: go run ./cmd/mulberryscale capacity --output markdown\n%s", firstDifference(made, want))
+		t.Errorf("the page differs from the program's output; run: go run ./cmd/mulberryscale capacity --output markdown\n%s", firstDifference(made, want))
 	}
 }
 
@@ -49,7 +49,7 @@
 	return "one is longer"
 }
 
-// TestFit fits an exact line and refuses what was measured at too few sizes.
+// TestFit fits an exact line and refuses a slope measured at too few sizes.
 func TestFit(t *testing.T) {
 	s := &Slope{Scale: 2, Points: []Point{{1, 5}, {2, 7}, {3, 9}, {10, 23}}}
 	if err := s.fit(); err != nil {
@@ -59,11 +59,12 @@
 		t.Errorf("fitted %v + %v*n, error %v", s.Base, s.PerUnit, s.Error)
 	}
 	if err := (&Slope{Name: "few", Points: []Point{{1, 1}, {2, 2}, {3, 3}}}).fit(); err == nil {
-		t.Error("a slope of three sizes was taken")
+		t.Error("a slope of three sizes was accepted")
 	}
 }
 
-// TestBadSlopes refuses files that lack a slope, name one twice or have unknown fields.
+// TestBadSlopes refuses files that lack a slope, define one twice or have unknown
+// fields.
 func TestBadSlopes(t *testing.T) {
 	for name, file := range map[string]string{
 		"missing": "- {name: a, points: [{n: 1, value: 1}, {n: 2, value: 1}, {n: 3, value: 1}, {n: 4, value: 1}]}",
@@ -72,13 +73,13 @@
 		"text":    "no list",
 	} {
 		if _, err := parseSlopes([]byte(file)); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// TestTotals checks that a total is the sum of its lines and that a verdict
-// turns when the bound is passed.
+// TestTotals checks that a total is the sum of its lines and that a limit check
+// fails once the value exceeds the limit.
 func TestTotals(t *testing.T) {
 	lines := []Line{{Messages: 1, Bytes: 10, CPU: 0.01, Memory: 100, Reads: 2, Writes: 3}, {Bytes: 5, Memory: 1}}
 	r := newRole("entry", 1, lines, Budget{CPU: 0.02, Memory: 201, Bytes: 15})
@@ -86,12 +87,13 @@
 		t.Errorf("total %+v", r.Total)
 	}
 	if !r.Checks[0].OK || !r.Checks[1].OK || r.Checks[2].OK {
-		t.Errorf("verdicts %v", r.Checks)
+		t.Errorf("checks %v", r.Checks)
 	}
 }
 
-// TestTableChanges checks that twice the changes of the table cost twice in
-// their line and nothing elsewhere, but for the polls that they do not change.
+// TestTableChanges checks that doubling the table's changes doubles the CPU time
+// in their line and in no other. Polls don't depend on the changes, but cost only
+// reads and bytes.
 func TestTableChanges(t *testing.T) {
 	slopes, err := LoadSlopes()
 	if err != nil {
@@ -114,7 +116,8 @@
 	}
 }
 
-// TestDesignCheck refuses sizes that make no sense.
+// TestDesignCheck checks that the planned size is valid and that the error names
+// each invalid number.
 func TestDesignCheck(t *testing.T) {
 	if err := PlannedSize().Check(); err != nil {
 		t.Error(err)
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,4 +1,4 @@
-// Package capacity works out what each role of the system costs at the size
-// that it is designed for, from slopes that benchmarks have measured, and
-// compares it with the budget of a node. The slopes stand in slopes.yaml.
+// Package capacity computes the cost of each role of the system at the size that
+// it is designed for, from slopes fitted to benchmark results, and compares it
+// with the budget of a node. The benchmark results are in slopes.yaml.
 package capacity
--- a/internal/capacity/markdown.go
+++ b/internal/capacity/markdown.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// cell formats of the tables.
+// Units of the memory cells.
 const (
 	kib = 1 << 10
 	mib = 1 << 20
 )
 
-// grid is a table of text.
+// grid is a table of text cells.
 type grid struct {
 	head []string
 	rows [][]string
@@ -27,17 +27,17 @@
 	b.WriteString("\n")
 }
 
-// Markdown writes the report as the tables of docs/CAPACITY.md.
+// Markdown returns the report as the tables of docs/CAPACITY.md.
 func (r *Report) Markdown() string {
 	var b strings.Builder
 	for _, role := range r.Roles {
 		fmt.Fprintf(&b, "### One %s of %d: control\n\n", role.Name, role.Nodes)
 		g := roleGrid(&role)
 		g.markdown(&b)
-		verdictGrid("budget of a node", role.Checks).markdown(&b)
+		checkGrid("budget of a node", role.Checks).markdown(&b)
 	}
 	b.WriteString("### The platform and the goals\n\n")
-	verdictGrid("bound", append(r.Platform, r.Goals...)).markdown(&b)
+	checkGrid("bound", append(r.Platform, r.Goals...)).markdown(&b)
 	b.WriteString("### The data path\n\n")
 	dataGrid(r.Data).markdown(&b)
 	b.WriteString("### The slopes\n\n")
@@ -53,9 +53,9 @@
 	return g
 }
 
-func verdictGrid(head string, verdicts []LimitCheck) *grid {
+func checkGrid(head string, checks []LimitCheck) *grid {
 	g := &grid{head: []string{head, "worked out", "bound", "verdict"}}
-	for _, v := range verdicts {
+	for _, v := range checks {
 		g.add(v.What, number(v.Value), number(v.Bound), v.String())
 	}
 	return g
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -6,17 +6,18 @@
 	"mulberryscale.example/membership"
 )
 
-// Role is what one node of a kind costs.
+// Role is the cost of one node of a role.
 type Role struct {
 	Name  string `json:"role"`
 	Nodes int    `json:"nodes"`
 	Lines []Line `json:"lines"`
 	Total Line   `json:"total"`
-	// Checks say for each bound of the budget whether the total keeps it.
+	// Checks compare the total with each limit of the budget.
 	Checks []LimitCheck `json:"verdicts"`
 }
 
-// LimitCheck compares a sum with its bound.
+// LimitCheck compares a value with its limit; OK is true if the value doesn't
+// exceed it.
 type LimitCheck struct {
 	What  string  `json:"what"`
 	Value float64 `json:"value"`
@@ -24,7 +25,7 @@
 	OK    bool    `json:"ok"`
 }
 
-// String says how the value stands to its bound.
+// String returns the value as a percentage of its limit, or the excess.
 func (v LimitCheck) String() string {
 	if v.OK {
 		return fmt.Sprintf("OK, %.0f%% of it", 100*v.Value/v.Bound)
@@ -32,11 +33,11 @@
 	return fmt.Sprintf("EXCEEDS by %.0f%%", 100*(v.Value/v.Bound-1))
 }
 
-func verdict(what string, value, bound float64) LimitCheck {
+func newLimitCheck(what string, value, bound float64) LimitCheck {
 	return LimitCheck{What: what, Value: value, Bound: bound, OK: value <= bound}
 }
 
-// Figure is one figure of the data path or of the platform, with its explanation.
+// Figure is one number of the data path or of the platform, with its origin.
 type Figure struct {
 	What  string  `json:"what"`
 	Value float64 `json:"value"`
@@ -44,7 +45,7 @@
 	From  string  `json:"from"`
 }
 
-// Report is all that the program works out.
+// Report is the complete result of a computation.
 type Report struct {
 	Design   Design       `json:"design"`
 	Budget   Budget       `json:"budget"`
@@ -55,28 +56,29 @@
 	Slopes   []*Slope     `json:"slopes"`
 }
 
-// Compute works the costs of a size out of the measured slopes.
+// Compute computes the costs of a design from the measured slopes and compares
+// them with the budgets.
 func Compute(d Design, b Budget, p PlatformBudget, s *Slopes) *Report {
 	m := &model{d: d, s: s}
 	entry := newRole("entry", d.Entries, m.entryLines(), b)
 	agent := newRole("agent", d.Agents, m.agentLines(), b)
-	busiest := &model{d: d, s: s, busiest: mostWatched * m.watched()}
-	most := newRole("entry", 1, busiest.entryLines(), b)
+	busiest := &model{d: d, s: s, busiest: maxWatchedRatio * m.watched()}
+	busiestEntry := newRole("entry", 1, busiest.entryLines(), b)
 	reads := entry.Total.Reads*float64(d.Entries) + agent.Total.Reads*float64(d.Agents)
 	writes := entry.Total.Writes*float64(d.Entries) + agent.Total.Writes*float64(d.Agents)
 	return &Report{
 		Design: d, Budget: b, Roles: []Role{entry, agent}, Slopes: s.All(), Data: m.dataPath(),
 		Platform: []LimitCheck{
-			verdict("table service, reads a second", reads, p.Reads),
-			verdict("table service, writes a second", writes, p.Writes),
-			verdict("table service, reads a second while all engines swap, for engines that check no fencing number", reads+float64(d.Agents)/d.SwapTime.Seconds(), p.Reads),
+			newLimitCheck("table service, reads a second", reads, p.Reads),
+			newLimitCheck("table service, writes a second", writes, p.Writes),
+			newLimitCheck("table service, reads a second while all engines swap, for engines that check no fencing number", reads+float64(d.Agents)/d.SwapTime.Seconds(), p.Reads),
 		},
 		Goals: []LimitCheck{
-			verdict("bytes a second of the entry that watches most agents", most.Total.Bytes, b.Bytes),
-			verdict("share of a core of the entry that watches most agents", most.Total.CPU, b.CPU),
-			verdict("seconds until a table version is in force everywhere", s.at("spread_time", float64(d.Entries)), d.TableTime.Seconds()),
-			verdict("bytes of an entry with one step in progress and its control", entry.Total.Memory+2*s.at("step_memory", float64(d.StepSamples)), b.Memory),
-			verdict("bytes of an entry with two steps in progress and its control", entry.Total.Memory+4*s.at("step_memory", float64(d.StepSamples)), b.Memory),
+			newLimitCheck("bytes a second of the entry that watches most agents", busiestEntry.Total.Bytes, b.Bytes),
+			newLimitCheck("share of a core of the entry that watches most agents", busiestEntry.Total.CPU, b.CPU),
+			newLimitCheck("seconds until a table version is in force everywhere", s.at("spread_time", float64(d.Entries)), d.TableTime.Seconds()),
+			newLimitCheck("bytes of an entry with one step in progress and its control", entry.Total.Memory+2*s.at("step_memory", float64(d.StepSamples)), b.Memory),
+			newLimitCheck("bytes of an entry with two steps in progress and its control", entry.Total.Memory+4*s.at("step_memory", float64(d.StepSamples)), b.Memory),
 		},
 	}
 }
@@ -91,18 +93,19 @@
 		total.Reads += l.Reads
 		total.Writes += l.Writes
 	}
-	// The collector lets the heap grow to twice what lives (GOGC=100).
+	// The garbage collector lets the heap grow to twice the live memory (GOGC=100).
 	headroom := Line{What: "collector's headroom", Mechanism: "as much again as what lives (GOGC=100)", Memory: total.Memory}
 	lines = append(lines, headroom)
 	total.Memory += headroom.Memory
 	return Role{Name: name, Nodes: nodes, Lines: lines, Total: total, Checks: []LimitCheck{
-		verdict("bytes a second", total.Bytes, b.Bytes),
-		verdict("share of a core", total.CPU, b.CPU),
-		verdict("bytes of memory", total.Memory, b.Memory),
+		newLimitCheck("bytes a second", total.Bytes, b.Bytes),
+		newLimitCheck("share of a core", total.CPU, b.CPU),
+		newLimitCheck("bytes of memory", total.Memory, b.Memory),
 	}}
 }
 
-// dataPath is what the requests themselves need; the budget is of control only.
+// dataPath returns the cost of the requests themselves, for information: the
+// budget covers control only.
 func (m *model) dataPath() []Figure {
 	tokens := m.d.TokensPerSecond / m.d.RequestsPerSecond
 	perRequest := m.s.at("path_cpu", tokens)
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -9,63 +9,69 @@
 	"mulberryscale.example/weights"
 )
 
-// Constants of the protocols that the lines below multiply slopes with.
+// Protocol constants by which the lines below multiply slopes.
 const (
-	// gossipPeers and exchangesPerSecond are service/entry's: an entry begins
-	// one exchange a second with one of so many neighbours and answers one.
+	// gossipPeers and exchangesPerSecond are the values of service/entry: every
+	// second an entry starts one exchange with one of gossipPeers neighbours and
+	// answers one.
 	gossipPeers        = 8
 	exchangesPerSecond = 2
-	// streamBytes is what a stream of two messages adds to them on QUIC, both ways.
+	// streamBytes is the overhead of a QUIC stream with two messages, in both
+	// directions together.
 	streamBytes = 150
-	// measuredReport is the size of the message in report_quic_size.
-	measuredReport = 254
-	// noticeBytes is a notice and its answer as CBOR (B/notice of BenchmarkSpread).
+	// measuredReportBytes is the size of the report that report_quic_size was
+	// measured with.
+	measuredReportBytes = 254
+	// noticeBytes is the size of a notice and its answer as CBOR (B/notice of
+	// BenchmarkSpread).
 	noticeBytes = 104
-	// rowBytes is a row of the table as YAML (B/document of BenchmarkSpread).
+	// rowBytes is the size of a row of the table as YAML (B/document of
+	// BenchmarkSpread).
 	rowBytes = 42
-	// pollsPerSecond is how often an agent asks its engine for the status.
+	// pollsPerSecond is how often an agent polls its engine's status.
 	pollsPerSecond = 2
-	// tableCallBytes is a small read or write of the table service with its headers; an estimate.
+	// tableCallBytes is the size of a small read or write of the table service with
+	// its headers; an estimate.
 	tableCallBytes = 600
 	secondsPerDay  = 24 * 60 * 60
-	// mostWatched is the largest subset that BenchmarkEvenness shows, as a
-	// ratio to the mean.
-	mostWatched = 70.0 / 48.8
+	// maxWatchedRatio is the ratio of the largest subset in BenchmarkEvenness to
+	// the mean.
+	maxWatchedRatio = 70.0 / 48.8
 )
 
-// needed are the slopes that the lines use.
-var needed = []string{
+// requiredSlopes are the names of the slopes that the computation uses.
+var requiredSlopes = []string{
 	"report_size", "report_quic_size", "report_quic_cpu", "report_take_cpu", "connection_bytes", "connection_cpu",
 	"connection_memory", "exchange_size", "exchange_cpu", "list_size", "list_cpu", "subset_cpu", "spread_cpu",
 	"spread_time", "spread_notices", "step_memory", "results_memory", "waiting_memory", "admit_cpu", "pick_cpu", "queue_cpu",
 	"claims_per_commit", "path_cpu", "call_cpu", "entry_memory", "agent_memory",
 }
 
-// Line is one kind of state or traffic of one node.
+// Line is the cost of one kind of state or traffic of one node.
 type Line struct {
 	What      string `json:"what"`
 	Mechanism string `json:"mechanism"`
-	// Messages, Bytes and CPU are a second: both ways, and seconds of one core.
+	// Messages, Bytes and CPU are per second: messages and bytes in both
+	// directions, and seconds of one core.
 	Messages float64 `json:"messages_per_second"`
 	Bytes    float64 `json:"bytes_per_second"`
 	CPU      float64 `json:"cpu_share_of_a_core"`
 	// Memory is in bytes.
 	Memory float64 `json:"memory_bytes"`
-	// Reads and Writes are of the table service, a second.
+	// Reads and Writes are calls of the table service per second.
 	Reads  float64 `json:"table_reads_per_second"`
 	Writes float64 `json:"table_writes_per_second"`
 }
 
-// model works lines out.
+// model computes the lines of a design from slopes.
 type model struct {
 	d Design
 	s *Slopes
-	// busiest is the number of agents that the entry watches, 0 for the mean.
+	// busiest is the number of agents that the entry watches; 0 means the mean.
 	busiest float64
 }
 
-// watched is the mean number of agents that an entry watches, watchers the
-// number of entries that watch an agent.
+// watched returns the number of agents that the entry watches.
 func (m *model) watched() float64 {
 	if m.busiest > 0 {
 		return m.busiest
@@ -73,24 +79,27 @@
 	return m.watchers() * float64(m.d.Agents) / float64(m.d.Entries)
 }
 
+// watchers returns the mean number of entries that watch an agent.
 func (m *model) watchers() float64 {
 	mean := math.Round(membership.DefaultSubset * float64(m.d.Entries) / float64(m.d.Agents))
 	return min(float64(m.d.Entries), max(2, mean))
 }
 
+// reportsPerSecond returns the reports per second of one watch.
 func (m *model) reportsPerSecond() float64 {
 	shortest, _ := membership.WatchIntervals(membership.DefaultMinInterval, membership.DefaultMaxInterval, int(m.watched()), m.d.Agents)
 	return 1 / shortest.Seconds()
 }
 
+// reportBytes returns the bytes of one report over QUIC.
 func (m *model) reportBytes() float64 {
-	overhead := m.s.at("report_quic_size", m.watched()) - measuredReport
+	overhead := m.s.at("report_quic_size", m.watched()) - measuredReportBytes
 	return m.s.at("report_size", float64(m.d.AgentRows)) + overhead
 }
 
 func (m *model) changesPerSecond() float64 { return m.d.TableChangesPerDay / secondsPerDay }
 
-// connections is a line of idle connections; reports and calls come on top.
+// connections returns the line of n idle connections, without reports and calls.
 func (m *model) connections(n float64, mechanism string) Line {
 	return Line{
 		What: "connections, idle", Mechanism: mechanism, Messages: 2 * n,
@@ -99,28 +108,29 @@
 	}
 }
 
-// reports is a line of reports on a number of watches.
-func (m *model) reports(n, take float64, mechanism string) Line {
+// reports returns the line of the load reports on n watches; receiveCPU is the
+// CPU time in seconds that processing a report takes besides QUIC.
+func (m *model) reports(n, receiveCPU float64, mechanism string) Line {
 	perSecond := n * m.reportsPerSecond()
 	return Line{
 		What: "load reports", Mechanism: mechanism, Messages: perSecond,
-		Bytes: perSecond * m.reportBytes(), CPU: perSecond * (m.s.at("report_quic_cpu", n) + take),
+		Bytes: perSecond * m.reportBytes(), CPU: perSecond * (m.s.at("report_quic_cpu", n) + receiveCPU),
 	}
 }
 
-// list is a line of reading the instance list; choose is the processor time
-// that each reading takes besides its decoding.
-func (m *model) list(intervalSeconds, choose float64, mechanism string) Line {
+// list returns the line of reading the instance list; selectCPU is the CPU time in
+// seconds that each read takes besides decoding.
+func (m *model) list(intervalSeconds, selectCPU float64, mechanism string) Line {
 	lines := float64(m.d.Entries + m.d.Agents)
 	return Line{
 		What: "instance list", Mechanism: mechanism, Messages: 1 / intervalSeconds,
-		Bytes: m.s.at("list_size", lines) / intervalSeconds, CPU: (m.s.at("list_cpu", lines) + choose) / intervalSeconds,
+		Bytes: m.s.at("list_size", lines) / intervalSeconds, CPU: (m.s.at("list_cpu", lines) + selectCPU) / intervalSeconds,
 		Memory: 3 * m.s.at("list_size", lines),
 	}
 }
 
-// table is a line of spreading table versions; notices is how many this node
-// sends or gets for each.
+// table returns the line of spreading table versions; notices is how many notices
+// the node sends or receives for each version.
 func (m *model) table(notices float64, mechanism string) Line {
 	document := rowBytes * float64(m.d.Rows)
 	return Line{
@@ -131,16 +141,16 @@
 	}
 }
 
-// entryLines are the control traffic and state of an entry.
+// entryLines returns the control traffic and state of an entry.
 func (m *model) entryLines() []Line {
 	watched := m.watched()
 	lines := float64(m.d.Entries + m.d.Agents)
 	interval := membership.ListInterval(membership.DefaultListInterval, int(lines)).Seconds()
-	told := float64(min(m.d.LimitedRows, limits.MaxRowsPerMessage))
+	rowsPerMessage := float64(min(m.d.LimitedRows, limits.MaxRowsPerMessage))
 	gossip := Line{
 		What: "demand of limited rows", Mechanism: "epidemic averaging with 8 neighbours (limits.Averager)",
-		Messages: 2 * exchangesPerSecond, Bytes: exchangesPerSecond * (m.s.at("exchange_size", told) + streamBytes),
-		CPU: exchangesPerSecond * (m.s.at("exchange_cpu", told)/2 + m.s.at("report_quic_cpu", gossipPeers)),
+		Messages: 2 * exchangesPerSecond, Bytes: exchangesPerSecond * (m.s.at("exchange_size", rowsPerMessage) + streamBytes),
+		CPU: exchangesPerSecond * (m.s.at("exchange_cpu", rowsPerMessage)/2 + m.s.at("report_quic_cpu", gossipPeers)),
 	}
 	table := m.table(watched+2*gossipPeers, "notices to 8 neighbours and the watched agents, one pull; sparse polls (tablesync)")
 	polls := 1 / tablesync.Interval(m.d.Entries, tablesync.DefaultReadsPerSecond, tablesync.DefaultMinInterval, tablesync.DefaultMaxInterval).Seconds()
@@ -158,7 +168,7 @@
 	}
 }
 
-// agentLines are the control traffic and state of an agent.
+// agentLines returns the control traffic and state of an agent.
 func (m *model) agentLines() []Line {
 	watchers := m.watchers()
 	interval := weights.ListInterval(m.d.Agents).Seconds()
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -13,8 +13,8 @@
 //go:embed slopes.yaml
 var slopesFile []byte
 
-// leastPoints is how many sizes a slope must have been measured at.
-const leastPoints = 4
+// minPoints is the minimum number of sizes that a slope must be measured at.
+const minPoints = 4
 
 // Point is a value measured at one size.
 type Point struct {
@@ -22,28 +22,28 @@
 	Value float64 `yaml:"value" json:"value"`
 }
 
-// Slope is a quantity measured at several sizes, and the line fitted to it by
-// least squares: Base + PerUnit*n, in the unit named.
+// Slope is a quantity measured at several sizes n and the line Base + PerUnit*n
+// fitted to it by least squares, in Unit.
 type Slope struct {
 	Name string `yaml:"name" json:"name"`
 	Unit string `yaml:"unit" json:"unit"`
-	// By says what the sizes count.
+	// By is what the sizes count.
 	By        string `yaml:"by" json:"by"`
 	Benchmark string `yaml:"benchmark" json:"benchmark"`
 	Command   string `yaml:"command" json:"command"`
-	// Scale brings the values to Unit; 1 when not given.
+	// Scale converts the values to Unit; 0 or absent means 1.
 	Scale   float64 `yaml:"scale" json:"scale"`
 	Points  []Point `yaml:"points" json:"points"`
 	Base    float64 `yaml:"-" json:"base"`
 	PerUnit float64 `yaml:"-" json:"per_unit"`
-	// Error is the root mean square of the residuals, as a share of the mean value.
+	// Error is the root mean square of the residuals, relative to the mean value.
 	Error float64 `yaml:"-" json:"error"`
 }
 
-// At is the fitted value at a size; never below zero.
+// At returns the fitted value at size n, at least 0.
 func (s *Slope) At(n float64) float64 { return max(0, s.Base+s.PerUnit*n) }
 
-// Largest is the largest size measured.
+// Largest returns the largest size measured.
 func (s *Slope) Largest() float64 {
 	largest := 0.0
 	for _, p := range s.Points {
@@ -52,9 +52,11 @@
 	return largest
 }
 
+// fit sets Base, PerUnit and Error. It returns an error if there are fewer than
+// minPoints sizes.
 func (s *Slope) fit() error {
-	if len(s.Points) < leastPoints {
-		return trace.BadParameter("slope %q: %d sizes measured, at least %d are needed", s.Name, len(s.Points), leastPoints)
+	if len(s.Points) < minPoints {
+		return trace.BadParameter("slope %q: %d sizes measured, at least %d are needed", s.Name, len(s.Points), minPoints)
 	}
 	if s.Scale == 0 {
 		s.Scale = 1
@@ -80,7 +82,7 @@
 	byName map[string]*Slope
 }
 
-// LoadSlopes reads the slopes that the program carries, and fits them.
+// LoadSlopes parses the embedded slopes.yaml and fits the slopes.
 func LoadSlopes() (*Slopes, error) { return parseSlopes(slopesFile) }
 
 func parseSlopes(file []byte) (*Slopes, error) {
@@ -92,14 +94,14 @@
 	}
 	for _, slope := range s.all {
 		if s.byName[slope.Name] != nil {
-			return nil, trace.BadParameter("slope %q stands twice", slope.Name)
+			return nil, trace.BadParameter("slope %q is defined twice", slope.Name)
 		}
 		if err := slope.fit(); err != nil {
 			return nil, err
 		}
 		s.byName[slope.Name] = slope
 	}
-	for _, name := range needed {
+	for _, name := range requiredSlopes {
 		if s.byName[name] == nil {
 			return nil, trace.BadParameter("slope %q is missing", name)
 		}
@@ -107,8 +109,8 @@
 	return s, nil
 }
 
-// All lists the slopes in the file's order. Callers must not change it.
+// All returns the slopes in the file's order. Callers must not modify it.
 func (s *Slopes) All() []*Slope { return s.all }
 
-// at is the value of a needed slope at a size.
+// at returns the fitted value of a required slope at size n.
 func (s *Slopes) at(name string, n float64) float64 { return s.byName[name].At(n) }
--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -1,4 +1,4 @@
-// Package digest identifies contents by a hash of their parts.
+// Package digest hashes sequences of strings.
 package digest
 
 import (
@@ -7,8 +7,8 @@
 	"fmt"
 )
 
-// Of returns the SHA-256 of parts as hexadecimal text. Parts are told apart by
-// their lengths, so that "a", "bc" and "ab", "c" differ.
+// Of returns the SHA-256 of parts in hexadecimal. The length of each part is
+// hashed too, so that "a", "bc" and "ab", "c" differ.
 func Of(parts ...string) string {
 	d := sha256.New()
 	for _, p := range parts {
--- a/internal/loadmodel/experiment.go
+++ b/internal/loadmodel/experiment.go
@@ -13,9 +13,9 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// lateAfter is the time within which an interactive request is to be answered
-// in the tables, six times its work.
-const lateAfter = 150 * time.Millisecond
+// lateThreshold is the time after which an answer to an interactive request counts
+// as late, six times the request's mean service time.
+const lateThreshold = 150 * time.Millisecond
 
 // Figure is a mean over seeds with half the width of its 95% confidence interval.
 type Figure struct{ Mean, Error float64 }
@@ -23,6 +23,7 @@
 // normal95 is the quantile of the normal distribution for a 95% interval.
 const normal95 = 1.96
 
+// figure returns the mean of values with its 95% confidence interval.
 func figure(values []float64) Figure {
 	f := Figure{Mean: stat.Mean(values, nil)}
 	if len(values) > 1 {
@@ -31,34 +32,38 @@
 	return f
 }
 
-// Row is what one policy came to under one pattern.
+// Row is the result of one policy under one pattern.
 type Row struct {
 	Pattern, Policy string
-	// InteractiveP99 and Alone are milliseconds, with and without the background
-	// calls; Late is the share of interactive requests over 150 ms.
+	// InteractiveP99 and Alone are the 99th percentile of interactive requests in
+	// milliseconds, with and without background calls; Late is the share of
+	// interactive requests that took more than 150 ms.
 	InteractiveP99, Alone, Late Figure
-	// BackgroundP50 and BackgroundP99 are milliseconds.
+	// BackgroundP50 and BackgroundP99 are percentiles of background calls in
+	// milliseconds.
 	BackgroundP50, BackgroundP99 Figure
-	// Work is places busy with useful work, Jain the fairness of senders.
+	// Work is the mean number of slots busy with requests that were served, Jain
+	// the fairness index of the senders' answered background calls.
 	Work, Jain Figure
 }
 
-// Simulate plays a pattern under a policy with so many seeds.
+// Simulate runs a pattern under a policy with the seeds 1 to seeds. It returns an
+// error if the pattern or the policy is unknown.
 func Simulate(pattern, policy string, seeds int) (Row, error) {
 	p, known := Patterns()[pattern]
 	if !known {
 		return Row{}, fmt.Errorf("no pattern %q, there are %v", pattern, Names(Patterns()))
 	}
-	bound, known := Policies()[policy]
+	newLimiter, known := Policies()[policy]
 	if !known {
 		return Row{}, fmt.Errorf("no policy %q, there are %v", policy, Names(Policies()))
 	}
 	var p99, alone, late, background50, background99, work, jain []float64
 	for seed := range uint64(seeds) {
-		r, a := Run(p, bound, seed+1), Run(WithoutBackground(p), bound, seed+1)
+		r, a := Run(p, newLimiter, seed+1), Run(WithoutBackground(p), newLimiter, seed+1)
 		p99 = append(p99, ms(r.Interactive.Quantile(0.99)))
 		alone = append(alone, ms(a.Interactive.Quantile(0.99)))
-		late = append(late, r.Interactive.Over(lateAfter))
+		late = append(late, r.Interactive.Over(lateThreshold))
 		background50 = append(background50, ms(r.Background.Quantile(0.5)))
 		background99 = append(background99, ms(r.Background.Quantile(0.99)))
 		work = append(work, r.Work/p.Length.Seconds())
@@ -92,7 +97,8 @@
 	barWidth   = 0.5 * vg.Centimeter
 )
 
-// Plot draws the share of late interactive requests of each policy by pattern as a PNG.
+// Plot writes a PNG with the share of late interactive requests of each policy by
+// pattern.
 func Plot(rows []Row, path string) error {
 	p := plot.New()
 	p.Title.Text = "interactive requests over 150 ms beside background calls"
--- a/internal/loadmodel/model_test.go
+++ b/internal/loadmodel/model_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// seeds are enough to tell the policies of these tests apart by far more than
-// the spread between seeds.
+// seeds is a number of seeds with which the policies of these tests differ by far
+// more than the seeds do.
 const seeds = 5
 
 func measure(t *testing.T, pattern, policy string) Row {
@@ -21,20 +21,20 @@
 	return row
 }
 
-func TestSameSeedSameDay(t *testing.T) {
+func TestSameSeedSameResult(t *testing.T) {
 	p := shortDesk()
 	if !reflect.DeepEqual(Run(p, Policies()["window"], 3), Run(p, Policies()["window"], 3)) {
 		t.Fatal("two runs of one seed differ")
 	}
 }
 
-// Bursts of background calls beside interactive requests: the window makes far
-// fewer of these late than no bound does, and does not hold the calls up.
+// With bursts of background calls, the window must leave far fewer interactive
+// requests late than without a limit, and must not delay the calls much.
 func TestBurstsBesideInteractiveRequests(t *testing.T) {
 	for _, pattern := range []string{"short-desk", "many-senders"} {
 		free, bounded := measure(t, pattern, "none"), measure(t, pattern, "window")
 		if bounded.Late.Mean > free.Late.Mean/3 {
-			t.Errorf("%s: %.3f late, %.3f without a bound", pattern, bounded.Late.Mean, free.Late.Mean)
+			t.Errorf("%s: %.3f late, %.3f without a limit", pattern, bounded.Late.Mean, free.Late.Mean)
 		}
 		if bounded.BackgroundP99.Mean > 2500 {
 			t.Errorf("%s: a background call took %.0f ms at the 99th percentile", pattern, bounded.BackgroundP99.Mean)
@@ -42,26 +42,26 @@
 	}
 }
 
-// Few of many senders have all the calls: the window grows past the fair share,
-// where a bound of a figure's own would hold the calls up.
-func TestFewSendersUseTheRoomOfAll(t *testing.T) {
+// If few of many senders have all the calls, the window must grow beyond the fair
+// share, where a fixed limit would delay the calls.
+func TestFewSendersUseTheCapacityOfAll(t *testing.T) {
 	fixed, bounded := measure(t, "few-senders", "two"), measure(t, "few-senders", "window")
 	if bounded.BackgroundP50.Mean > fixed.BackgroundP50.Mean/2 {
-		t.Errorf("half of the calls within %.0f ms, with a fixed bound %.0f ms", bounded.BackgroundP50.Mean, fixed.BackgroundP50.Mean)
+		t.Errorf("half of the calls within %.0f ms, with a fixed limit %.0f ms", bounded.BackgroundP50.Mean, fixed.BackgroundP50.Mean)
 	}
 	if bounded.Late.Mean > 0.01 {
 		t.Errorf("%.3f of the interactive requests late", bounded.Late.Mean)
 	}
 }
 
-// Three times what the endpoints can do: the work goes on, all senders get
-// alike, and interactive requests are served.
+// At three times the endpoints' capacity, the endpoints must stay busy, all senders
+// must get equal shares, and interactive requests must be served in time.
 func TestSaturation(t *testing.T) {
 	p := saturated()
 	r := measure(t, p.Name, "window")
-	places := float64(p.Endpoints * p.Slots)
-	if r.Work.Mean < 0.7*places {
-		t.Errorf("%.1f of %.0f places busy", r.Work.Mean, places)
+	slots := float64(p.Endpoints * p.Slots)
+	if r.Work.Mean < 0.7*slots {
+		t.Errorf("%.1f of %.0f slots busy", r.Work.Mean, slots)
 	}
 	if r.Jain.Mean < 0.95 {
 		t.Errorf("Jain index of senders %.3f", r.Jain.Mean)
@@ -71,8 +71,8 @@
 	}
 }
 
-// One of four endpoints is five times as slow: its answers tell, so that few
-// requests of either kind go there. Without that 0.17 were late.
+// One of four endpoints takes five times as long. Its response times must keep most
+// requests of either kind away from it; without that, 0.17 were late.
 func TestSlowEndpointGetsLittle(t *testing.T) {
 	r := measure(t, "slow-endpoint", "window")
 	if r.Late.Mean > 0.06 {
@@ -80,7 +80,7 @@
 	}
 }
 
-// A pattern's work grows with its load and never falls below it again.
+// The work done must grow with the load and must not fall again under overload.
 func TestGoodputDoesNotFallUnderOverload(t *testing.T) {
 	peak := 0.0
 	for _, times := range []int{1, 2, 3, 4} {
--- a/internal/loadmodel/patterns.go
+++ b/internal/loadmodel/patterns.go
@@ -9,9 +9,9 @@
 	"mulberryscale.example/fleet"
 )
 
-// shortDesk is bursts of background calls beside interactive requests on a few
-// endpoints: a batch of items whose texts end within a second of each other,
-// each scored by a call of 200 ms, beside lookups of 25 ms.
+// shortDesk has bursts of background calls and interactive requests on a few
+// endpoints: a batch of items whose texts are complete within a second of each
+// other, each scored by a call of 200 ms, and lookups of 25 ms.
 func shortDesk() Pattern {
 	return Pattern{
 		Name: "short-desk", Endpoints: 4, Slots: 6, NetworkDelay: time.Millisecond, Length: 60 * time.Second,
@@ -23,7 +23,7 @@
 	}
 }
 
-// manySenders is the same at a larger size.
+// manySenders is shortDesk at a larger size.
 func manySenders() Pattern {
 	p := shortDesk()
 	p.Name, p.Endpoints = "many-senders", 15
@@ -32,8 +32,8 @@
 	return p
 }
 
-// fewSenders is bursts that few of many senders have: the items of a step all
-// run on the engines whose weights are new enough.
+// fewSenders has bursts from few of many senders: the items of a step all run on
+// the engines whose weights are new enough.
 func fewSenders() Pattern {
 	p := manySenders()
 	p.Name = "few-senders"
@@ -41,7 +41,7 @@
 	return p
 }
 
-// saturated is background calls without end, three times what the endpoints can do.
+// saturated has continuous background calls at three times the endpoints' capacity.
 func saturated() Pattern {
 	p := shortDesk()
 	p.Name = "saturated"
@@ -49,14 +49,14 @@
 	return p
 }
 
-// slowEndpoint is the short desk with one endpoint five times as slow.
+// slowEndpoint is shortDesk with one endpoint that takes five times as long.
 func slowEndpoint() Pattern {
 	p := shortDesk()
 	p.Name, p.SlowEndpoints, p.SlowFactor = "slow-endpoint", 1, 5
 	return p
 }
 
-// Patterns are the loads by name.
+// Patterns returns the patterns by name.
 func Patterns() map[string]Pattern {
 	all := map[string]Pattern{}
 	for _, p := range []Pattern{shortDesk(), manySenders(), fewSenders(), saturated(), slowEndpoint()} {
@@ -65,38 +65,38 @@
 	return all
 }
 
-// WithoutBackground is a pattern's interactive traffic without its background calls.
+// WithoutBackground returns a pattern without its background calls.
 func WithoutBackground(p Pattern) Pattern {
 	p.Background.Burst, p.Background.PerSecond = 0, 0
 	return p
 }
 
-// Policies are the bounds on a sender's open background calls, by name.
+// Policies returns, by name, the functions that make a sender's limiter for a pattern.
 func Policies() map[string]func(Pattern) Limiter {
 	return map[string]func(Pattern) Limiter{
-		"none": func(Pattern) Limiter { return fixed(1 << 20) },
-		"one":  func(Pattern) Limiter { return fixed(1) },
-		"two":  func(Pattern) Limiter { return fixed(2) },
+		"none": func(Pattern) Limiter { return fixedLimit(1 << 20) },
+		"one":  func(Pattern) Limiter { return fixedLimit(1) },
+		"two":  func(Pattern) Limiter { return fixedLimit(2) },
 		"window": func(p Pattern) Limiter {
-			return &window{share: background.ServiceCapacity{Slots: p.Endpoints * p.Slots, Senders: p.Background.Senders}}
+			return &windowLimit{share: background.ServiceCapacity{Slots: p.Endpoints * p.Slots, Senders: p.Background.Senders}}
 		},
 	}
 }
 
-// Names are the keys of a map in order.
+// Names returns the keys of a map, sorted.
 func Names[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// fixed is a bound that follows nothing.
-type fixed int
+// fixedLimit is a constant limit.
+type fixedLimit int
 
-func (f fixed) Size(int, time.Time) int           { return int(f) }
-func (f fixed) ObserveLoad(fleet.Load, time.Time) {}
-func (f fixed) CallDone(int, time.Time)           {}
+func (f fixedLimit) Size(int, time.Time) int           { return int(f) }
+func (f fixedLimit) ObserveLoad(fleet.Load, time.Time) {}
+func (f fixedLimit) CallDone(int, time.Time)           {}
 
-// window is the bound that the programs use.
-type window struct {
+// windowLimit is the adaptive limit that the programs use.
+type windowLimit struct {
 	background.Window
 	share background.ServiceCapacity
 }
 
-func (w *window) Size(open int, now time.Time) int { return w.Window.Size(w.share, open, now) }
+func (w *windowLimit) Size(open int, now time.Time) int { return w.Window.Size(w.share, open, now) }
--- a/internal/loadmodel/times.go
+++ b/internal/loadmodel/times.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// Times are durations of requests, in order.
+// Times are the durations of requests, sorted.
 type Times []time.Duration
 
 func (t Times) sort() { slices.Sort(t) }
 
-// Quantile is the duration that a share q of the requests did not exceed.
+// Quantile returns the duration that a share q of the requests did not exceed, 0
+// without requests.
 func (t Times) Quantile(q float64) time.Duration {
 	if len(t) == 0 {
 		return 0
@@ -18,7 +19,7 @@
 	return t[min(len(t)-1, int(q*float64(len(t))))]
 }
 
-// Over is the share of the requests that took longer than limit.
+// Over returns the share of the requests that took longer than limit.
 func (t Times) Over(limit time.Duration) float64 {
 	if len(t) == 0 {
 		return 0
@@ -27,8 +28,8 @@
 	return float64(len(t)-at) / float64(len(t))
 }
 
-// Jain is the fairness index of what senders got: 1 if all got alike, 1/n if
-// one got all.
+// Jain returns Jain's fairness index of the senders' allocations: 1 if all are
+// equal, 1/n if one sender has everything.
 func Jain(got []float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, x := range got {
--- a/internal/pipenet/pipenet.go
+++ b/internal/pipenet/pipenet.go
@@ -1,5 +1,5 @@
-// Package pipenet has a listener for connections inside one process, on which
-// servers run in virtual time.
+// Package pipenet provides an in-process net.Listener, so that servers can run in
+// the virtual time of testing/synctest.
 package pipenet
 
 import (
@@ -15,12 +15,13 @@
 	once   sync.Once
 }
 
-// Listen returns a listener that takes connections until it is closed.
+// Listen returns a listener that accepts connections until it is closed.
 func Listen() *Listener {
 	return &Listener{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// Dial makes a connection once Accept takes it.
+// Dial returns the client's side of a new connection once Accept has taken the
+// server's side. It returns net.ErrClosed if the listener is closed.
 func (l *Listener) Dial(ctx context.Context) (net.Conn, error) {
 	client, server := net.Pipe()
 	select {
--- a/internal/racelimit/doc.go
+++ b/internal/racelimit/doc.go
@@ -1,7 +1,7 @@
-// Package racelimit keeps tests that run under testing/synctest and the race
-// detector on one processor. With several, the detector itself crashes at times
-// while the timers of one bubble run ("ThreadSanitizer: CHECK failed:
-// tsan_rtl.cpp:282", seen with go1.26.8); data races are found all the same,
-// since the detector goes by what happens before what. Import it for its effect
-// in a _test.go file.
+// Package racelimit sets GOMAXPROCS to 1 for tests that run testing/synctest under
+// the race detector. With several processors, the detector itself sometimes
+// crashes while the timers of one bubble run ("ThreadSanitizer: CHECK failed:
+// tsan_rtl.cpp:282", seen with go1.26.8). Data races are found on one processor
+// too, since the detector tracks the happens-before relation. Import the package
+// for its side effect in a _test.go file.
 package racelimit
