--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller makes the calls of callers at entries over HTTP and reads
-// their answers. The demo, the experiments and the tests share it.
+// Package caller is an HTTP client of entries: it makes callers' requests and reads
+// the responses. The demo, the experiments and the tests share it.
 package caller
 
 import (
@@ -15,11 +15,11 @@
 	"mulberryscale.example/api"
 )
 
-// Refused is a refusal with the HTTP status and header that came beside it.
+// Refused is the error for a refusal, with the status and header of its HTTP response.
 type Refused struct {
 	Refusal    *api.Refusal
 	Status     int
-	RetryAfter string // header Retry-After, empty if there was none
+	RetryAfter string // header Retry-After, empty if absent
 }
 
 // Error implements error.
@@ -28,8 +28,7 @@
 // Unwrap lets errors.As find the refusal.
 func (r *Refused) Unwrap() error { return r.Refusal }
 
-// CheckHeaders says whether the status and header differ from the refusal; nil
-// means that they agree.
+// CheckHeaders returns an error if the HTTP status or header disagrees with the refusal.
 func (r *Refused) CheckHeaders() error {
 	if r.Status != r.Refusal.Status() || r.RetryAfter != r.Refusal.RetryAfterHeader() {
 		return fmt.Errorf("status %d and Retry-After %q differ from the refusal's body: %w", r.Status, r.RetryAfter, r.Refusal)
@@ -41,12 +40,13 @@
 type Call struct {
 	Method string // POST if empty
 	URL    string
-	Header http.Header // not changed; nil for none
+	Header http.Header // not modified; may be nil
 	Body   []byte
 }
 
-// Do makes a call and returns the body of its answer, which its caller closes.
-// An answer other than 200 is a *Refused, or a plain error if it holds no refusal.
+// Do makes a call and returns the body of the response, which the caller must close.
+// For a status other than 200 the error is a *Refused, or another error if the body
+// holds no refusal.
 func Do(ctx context.Context, client *http.Client, c Call) (io.ReadCloser, error) {
 	method := c.Method
 	if method == "" {
@@ -78,8 +78,8 @@
 	return &Refused{Refusal: body.Error, Status: resp.StatusCode, RetryAfter: resp.Header.Get("Retry-After")}
 }
 
-// CallService calls the plain service of a row through the entry at a base URL:
-// path is the service's own, and c.URL is not used. It returns the whole answer.
+// CallService calls the plain service of a row through the entry at a base URL. path
+// is the path at the service; c.URL is not used. It returns the whole response body.
 func CallService(ctx context.Context, client *http.Client, entry, row, path string, c Call) ([]byte, error) {
 	c.URL = entry + api.PathServices + row + path
 	body, err := Do(ctx, client, c)
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	part    = `data: {"choices":[{"text":"a"}],"weight_versions":[{"version":3,"tokens":1}]}` + "\n\n"
+	chunk   = `data: {"choices":[{"text":"a"}],"weight_versions":[{"version":3,"tokens":1}]}` + "\n\n"
 	refusal = `{"error":{"code":"draining","message":"m","not_run":"unknown","step":"s","peer":"p","retry_after":1}}`
 )
 
-// TestComplete reads whole, failed and broken answers.
+// TestComplete reads complete, refused, failed and truncated responses.
 func TestComplete(t *testing.T) {
 	for _, c := range []struct {
 		name, body string
 		stream     bool
 		status     int
-		text       string // of the answer
-		want       string // part of the error, empty for none
+		text       string // text of the completion
+		want       string // part of the error, empty if none is expected
 	}{
 		{"whole", `{"choices":[{"text":"ab"}]}`, false, http.StatusOK, "ab", ""},
 		{"two choices", `{"choices":[{"text":"a"},{"text":"b"}]}`, false, http.StatusOK, "", "2 choices"},
 		{"cut whole", `{"choices":[{"te`, false, http.StatusOK, "", "unexpected end"},
-		{"stream", part + part + "data: [DONE]\n\n", true, http.StatusOK, "aa", ""},
-		{"cut stream", part + part, true, http.StatusOK, "", ErrTruncated.Error()},
-		{"failed stream", part + "event: error\ndata: " + refusal + "\n\n", true, http.StatusOK, "", "draining"},
+		{"stream", chunk + chunk + "data: [DONE]\n\n", true, http.StatusOK, "aa", ""},
+		{"cut stream", chunk + chunk, true, http.StatusOK, "", ErrTruncated.Error()},
+		{"failed stream", chunk + "event: error\ndata: " + refusal + "\n\n", true, http.StatusOK, "", "draining"},
 		{"refused", refusal, true, http.StatusServiceUnavailable, "", "draining"},
 		{"other status", "busy", false, http.StatusServiceUnavailable, "", "status 503 without a refusal"},
 	} {
@@ -47,7 +47,7 @@
 		}
 		var refused *Refused
 		if isRefused := errors.As(err, &refused); isRefused != (c.name == "refused") || isRefused && refused.CheckHeaders() == nil {
-			t.Errorf("%s: refused %v, or its missing Retry-After was passed over", c.name, isRefused)
+			t.Errorf("%s: refused %v, or its missing Retry-After was not reported", c.name, isRefused)
 		}
 	}
 }
--- a/internal/caller/completion.go
+++ b/internal/caller/completion.go
@@ -13,17 +13,17 @@
 	"mulberryscale.example/api"
 )
 
-// ErrTruncated says that a stream ended without its closing event.
+// ErrTruncated is returned for a stream that stops before its closing event.
 var ErrTruncated = errors.New("the answer was cut off")
 
 const (
 	streamEnd  = "[DONE]" // data of a completion's closing event
-	errorEvent = "error"  // type of the event that ends a failed stream
+	errorEvent = "error"  // type of the last event of a failed stream
 )
 
-// Complete makes a completion, streamed or not, at the entry with a base URL.
-// Its answer has one choice. The error is a *Refused, the *api.Refusal that
-// ended a stream, ErrTruncated, or that of the connection.
+// Complete requests a completion, streamed or not, from the entry at a base URL. The
+// returned completion has one choice. The error is a *Refused, the *api.Refusal in
+// the error event of a stream, ErrTruncated, or a connection error.
 func Complete(ctx context.Context, client *http.Client, entry string, req *api.CompletionRequest, header http.Header) (*api.Completion, error) {
 	text, err := json.Marshal(req)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return parse(io.ReadAll(body))
 }
 
-// parse reads a completion with exactly one choice.
+// parse parses a completion, which must have exactly one choice, unless err is set.
 func parse(text []byte, err error) (*api.Completion, error) {
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 	return answer, nil
 }
 
-// readStream puts a streamed answer together.
+// readStream reads a streamed completion and joins the texts of its events.
 func readStream(r io.Reader) (*api.Completion, error) {
 	whole := new(api.Completion)
 	text := ""
@@ -79,7 +79,7 @@
 	return nil, ErrTruncated
 }
 
-// streamError reads the event that ends a failed stream.
+// streamError returns the refusal in the data of a stream's error event.
 func streamError(data string) error {
 	var body api.ErrorBody
 	if err := json.Unmarshal([]byte(data), &body); err != nil {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,7 +1,7 @@
 // Package demo runs the whole system in one process over loopback sockets: a
-// trainer takes one step while callers make lookups and the weights change.
-// Every figure is counted by the demo's own trainer and callers against what
-// the stand-in engines recorded.
+// trainer takes one step while callers make lookups and new weights are published.
+// The demo's own trainer and callers count every figure and compare what they
+// received with the records of the stand-in engines.
 package demo
 
 import (
@@ -26,7 +26,7 @@
 	"mulberryscale.example/trainer"
 )
 
-// Bounds of the workload.
+// Limits of the workload.
 const (
 	MaxSamples = 100_000
 	MaxLookups = 100_000
@@ -41,19 +41,19 @@
 
 const (
 	model          = "guide"
-	rowTrainer     = "guide-training"
-	rowLookups     = "visitors"
+	trainerRow     = "guide-training"
+	lookupsRow     = "visitors"
 	groupSize      = 8
 	maxTokens      = 512
 	firstVersion   = 1
 	secondVersion  = 2
 	stalenessBound = 1
-	// swapShare is the share of the step after which new weights are published.
+	// swapShare is the fraction of the step's samples after which new weights are published.
 	swapShare = 0.3
-	// learnTime is the trainer's own work on each sample.
-	learnTime = 2 * time.Millisecond
-	startTime = 10 * time.Second
-	swapTime  = 100 * time.Millisecond
+	// trainTimePerSample is the trainer's simulated work on each sample.
+	trainTimePerSample = 2 * time.Millisecond
+	startTimeout       = 10 * time.Second
+	swapTime           = 100 * time.Millisecond
 )
 
 const tableText = `name,kind,model,share,staleness_bound,max_rps,max_tps,max_concurrency,max_queue,deadline,wait_share,leftover,scorer,swap,repeatable
@@ -62,16 +62,16 @@
 guide-scorer,plain,,1,,,,,4000,10s,,,,,true
 `
 
-// Options say how large the workload is.
+// Options sets the size of the workload.
 type Options struct {
 	Samples int
 	Lookups int
 	Seed    int64
-	// Progress takes lines of progress.
+	// Progress, if not nil, receives progress messages, one a line.
 	Progress io.Writer
 }
 
-// Check returns an error that names every option out of its range.
+// Check returns an error that lists every option out of range.
 func (o *Options) Check() error {
 	var errs []error
 	if o.Samples < 1 || o.Samples > MaxSamples {
@@ -83,7 +83,7 @@
 	return errors.Join(errs...)
 }
 
-// Result is what the demo's own trainer and callers counted.
+// Result holds the counts of the demo's own trainer and callers.
 type Result struct {
 	SamplesRequested   int     `json:"samples_requested"`
 	SamplesDelivered   int     `json:"samples_delivered"`
@@ -96,14 +96,14 @@
 	TrainerIdleRatio   float64 `json:"trainer_idle_ratio"`
 }
 
-// Passed says whether every promise was kept.
+// Passed reports whether the service kept all its guarantees.
 func (r *Result) Passed() bool {
 	broken := r.SamplesLost + r.SamplesDuplicated + r.SamplesMislabelled + r.SamplesStale + r.LookupsFailed
 	return broken == 0 && r.SamplesDelivered == r.SamplesRequested
 }
 
-// Run runs the demo. The error says that it could not be run, not that a
-// promise broke.
+// Run runs the demo. It returns an error if the demo could not run; a violated
+// guarantee is only visible in the result.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, trace.BadParameter("%v", err)
@@ -118,7 +118,7 @@
 		return nil, err
 	}
 	defer d.Close()
-	r := &run{Options: o, d: d, fabric: fabric, received: map[string][]api.Sample{}, learn: make(chan struct{}, o.Samples)}
+	r := &run{Options: o, d: d, fabric: fabric, received: map[string][]api.Sample{}, untrained: make(chan struct{}, o.Samples)}
 	r.progress("started 2 entries and 4 engines in 2 zones")
 	return r.run(ctx)
 }
@@ -142,7 +142,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ready, cancel := context.WithTimeout(ctx, startTime)
+	ready, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := d.AwaitReady(ready); err != nil {
 		d.Close()
@@ -160,9 +160,10 @@
 	mu       sync.Mutex
 	received map[string][]api.Sample
 	requests []api.SampleRequest
-	// learn holds a token for each sample that the trainer has not learned from.
-	learn  chan struct{}
-	result Result
+	// untrained holds an element for each received sample that the trainer has not
+	// processed yet.
+	untrained chan struct{}
+	result    Result
 }
 
 func (r *run) progress(format string, args ...any) {
@@ -177,7 +178,7 @@
 	idle := make(chan float64, 1)
 	wg.Go(func() { idle <- r.train() })
 	err := r.step(ctx)
-	close(r.learn)
+	close(r.untrained)
 	wg.Wait()
 	if err != nil {
 		return nil, err
@@ -187,10 +188,10 @@
 	return &r.result, nil
 }
 
-// step takes the trainer's one step.
+// step runs the trainer's only step.
 func (r *run) step(ctx context.Context) error {
 	client, err := trainer.New(trainer.Config{
-		Row: rowTrainer, Entries: r.d.EntryURLs(), HTTP: r.fabric.Client(), StalenessBound: stalenessBound,
+		Row: trainerRow, Entries: r.d.EntryURLs(), HTTP: r.fabric.Client(), StalenessBound: stalenessBound,
 	})
 	if err != nil {
 		return err
@@ -198,7 +199,7 @@
 	r.requests = Samples(r.Samples, r.Seed)
 	began := time.Now()
 	step := trainer.Step{Name: "1", Version: secondVersion, Samples: r.requests}
-	result, err := client.RunStep(ctx, step, r.deliver)
+	result, err := client.RunStep(ctx, step, r.receiveSample)
 	if err != nil {
 		return err
 	}
@@ -206,7 +207,8 @@
 	return nil
 }
 
-// Samples makes a repeatable step: groups that share a prompt.
+// Samples returns the n samples of a step, the same for the same seed. The samples of
+// a group share a prompt.
 func Samples(n int, seed int64) []api.SampleRequest {
 	requests := make([]api.SampleRequest, n)
 	for i := range requests {
@@ -220,13 +222,13 @@
 	return requests
 }
 
-// deliver is the trainer's: it keeps each sample and publishes new weights
-// when a part of the step has come.
-func (r *run) deliver(s api.Sample) error {
+// receiveSample is the trainer's callback: it stores the sample, and publishes new
+// weights once swapShare of the samples has arrived.
+func (r *run) receiveSample(s api.Sample) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.received[s.ID] = append(r.received[s.ID], s)
-	r.learn <- struct{}{}
+	r.untrained <- struct{}{}
 	n := len(r.received)
 	if n == max(1, int(swapShare*float64(r.Samples))) {
 		r.progress("%d of %d samples; publishing weights version %d", n, r.Samples, secondVersion)
@@ -238,28 +240,28 @@
 	return nil
 }
 
-// train learns from the samples one by one and returns the share of its time
-// in which no sample was at hand.
+// train processes the samples one by one and returns the fraction of its time that it
+// waited for samples.
 func (r *run) train() float64 {
 	began := time.Now()
 	var busy time.Duration
-	for range r.learn {
+	for range r.untrained {
 		start := time.Now()
-		time.Sleep(learnTime)
+		time.Sleep(trainTimePerSample)
 		busy += time.Since(start)
 	}
 	return 1 - busy.Seconds()/time.Since(began).Seconds()
 }
 
-// count compares what was received with what was asked for and recorded.
+// count compares the received samples with the requests and the engines' records.
 func (r *run) count() {
-	var cores []*engine.Engine
+	var engines []*engine.Engine
 	for _, a := range r.d.Agents {
 		if a.StandIn != nil {
-			cores = append(cores, a.StandIn)
+			engines = append(engines, a.StandIn)
 		}
 	}
-	records := oracle.Collect(cores...)
+	records := oracle.Collect(engines...)
 	r.result.SamplesRequested = len(r.requests)
 	for i := range r.requests {
 		r.countSample(records, &r.requests[i])
@@ -285,7 +287,7 @@
 	}
 }
 
-// Table writes the result as a short table.
+// Table returns the result as a short text table.
 func (r *Result) Table() string {
 	var b strings.Builder
 	line := func(name string, v any) { fmt.Fprintf(&b, "%-22s %v\n", name, v) }
--- a/internal/demo/lookups.go
+++ b/internal/demo/lookups.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// lookupCallers is how many callers look things up at a time.
-	lookupCallers   = 8
-	lookupMaxTokens = 48
+	// lookupConcurrency is the number of concurrent callers.
+	lookupConcurrency = 8
+	lookupMaxTokens   = 48
 )
 
 // lookups makes all lookups, every second one streamed.
 func (r *run) lookups(ctx context.Context) {
 	numbers := make(chan int)
 	var wg sync.WaitGroup
-	for range lookupCallers {
+	for range lookupConcurrency {
 		wg.Go(func() {
 			for i := range numbers {
 				r.countLookup(i, r.lookup(ctx, i))
@@ -45,10 +45,10 @@
 	r.result.LookupsOK++
 }
 
-// lookup makes one lookup and checks that its answer is its own and whole.
+// lookup makes one lookup and checks that its answer is complete and belongs to its prompt.
 func (r *run) lookup(ctx context.Context, i int) error {
 	req := api.CompletionRequest{
-		Model: rowLookups, Prompt: fmt.Sprintf("What is open near square %d this Saturday?", i),
+		Model: lookupsRow, Prompt: fmt.Sprintf("What is open near square %d this Saturday?", i),
 		MaxTokens: lookupMaxTokens, Seed: r.Seed<<20 + int64(i), Stream: i%2 == 1,
 	}
 	urls := r.d.EntryURLs()
--- a/internal/deployment/crash_test.go
+++ b/internal/deployment/crash_test.go
@@ -15,9 +15,9 @@
 	"mulberryscale.example/trainer"
 )
 
-// The class of fault is the same as of forwarded requests and of items: what a run
-// does to its endpoint was put down to the endpoint alone, so a prompt that ends
-// engines went on to engine after engine, for each call and each sample anew.
+// These tests guard against a prompt that crashes one engine after another. The crash
+// was attributed to the engine alone, so each call and each sample with the prompt was
+// retried on the next engine. Forwarded requests and items had the same fault.
 
 const crashTable = `name,kind,model,share,staleness_bound,max_rps,max_tps,max_concurrency,max_queue,deadline,wait_share,leftover,scorer,swap,repeatable
 lookups,service,guide,1,,,,,100,20s,,,,at_once,
@@ -25,23 +25,24 @@
 `
 
 const (
-	crashEngines = 3
-	crashPrompt  = "the prompt that ends engines"
-	crashDown    = 2 * time.Second
-	// allowedLookupEnds and allowedSampleEnds are the ends after which a prompt is
-	// known, of calls and of samples; entries have told each other before the next call.
-	allowedLookupEnds = 2
-	allowedSampleEnds = 3
+	crashEngines  = 3
+	crashPrompt   = "the prompt that crashes engines"
+	crashDowntime = 2 * time.Second
+	// maxLookupCrashes and maxSampleCrashes are the numbers of crashes after which a
+	// prompt is quarantined, for lookups and for samples. Entries exchange their records
+	// before the next call.
+	maxLookupCrashes = 2
+	maxSampleCrashes = 3
 )
 
-// crashRig is a deployment whose engines end under a prompt.
-type crashRig struct {
+// crashFixture is a deployment whose engines crash when they run crashPrompt.
+type crashFixture struct {
 	t      *testing.T
 	d      *Deployment
 	fabric *Memory
 }
 
-func startCrashRig(t *testing.T, entries int) *crashRig {
+func startCrashFixture(t *testing.T, entries int) *crashFixture {
 	fabric := NewMemory()
 	opts := Options{Fabric: fabric, Table: crashTable, Log: observe.Discard(), Seed: 1}
 	for i := range entries {
@@ -57,72 +58,73 @@
 		t.Fatal(err)
 	}
 	for _, a := range d.Agents {
-		a.StandIn.CrashOnPrompt(crashPrompt, crashDown)
+		a.StandIn.CrashOnPrompt(crashPrompt, crashDowntime)
 	}
 	if err := d.AwaitReady(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	return &crashRig{t: t, d: d, fabric: fabric}
+	return &crashFixture{t: t, d: d, fabric: fabric}
 }
 
-func (r *crashRig) close() {
-	r.d.Close()
-	r.fabric.Close()
+func (f *crashFixture) close() {
+	f.d.Close()
+	f.fabric.Close()
 }
 
-func (r *crashRig) ends() (n int) {
-	for _, a := range r.d.Agents {
+// crashes returns the number of crashes of all engines.
+func (f *crashFixture) crashes() (n int) {
+	for _, a := range f.d.Agents {
 		n += a.StandIn.PromptCrashes()
 	}
 	return n
 }
 
-// ask makes a lookup at an entry and returns its status and body.
-func (r *crashRig) ask(entry int, prompt string) (int, string) {
-	r.t.Helper()
+// lookup makes a lookup at an entry and returns its status and body.
+func (f *crashFixture) lookup(entry int, prompt string) (int, string) {
+	f.t.Helper()
 	body := fmt.Sprintf(`{"model":"lookups","prompt":%q,"max_tokens":8}`, prompt)
-	resp, err := r.fabric.Client().Post(r.d.EntryURLs()[entry]+"/v1/completions", "application/json", strings.NewReader(body))
+	resp, err := f.fabric.Client().Post(f.d.EntryURLs()[entry]+"/v1/completions", "application/json", strings.NewReader(body))
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return resp.StatusCode, string(text)
 }
 
-func TestLookupThatEndsEnginesIsKeptAway(t *testing.T) {
+func TestLookupThatCrashesEnginesIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const entries = 3
-		r := startCrashRig(t, entries)
-		defer r.close()
+		f := startCrashFixture(t, entries)
+		defer f.close()
 		for i := range 6 {
-			if status, _ := r.ask(i%entries, crashPrompt); status == http.StatusOK {
-				t.Fatal("served")
+			if status, _ := f.lookup(i%entries, crashPrompt); status == http.StatusOK {
+				t.Fatal("a prompt that crashes engines got an answer")
 			}
-			time.Sleep(2 * crashDown)
+			time.Sleep(2 * crashDowntime)
 		}
-		if n := r.ends(); n > allowedLookupEnds {
-			t.Errorf("%d engines ended", n)
+		if n := f.crashes(); n > maxLookupCrashes {
+			t.Errorf("%d engines crashed", n)
 		}
 		for i := range entries {
-			if status, text := r.ask(i, crashPrompt); status != http.StatusServiceUnavailable || !strings.Contains(text, `"code":"held"`) {
+			if status, text := f.lookup(i, crashPrompt); status != http.StatusServiceUnavailable || !strings.Contains(text, `"code":"held"`) {
 				t.Errorf("entry %d: %d %s", i, status, text)
 			}
-			if status, text := r.ask(i, "another prompt"); status != http.StatusOK {
+			if status, text := f.lookup(i, "another prompt"); status != http.StatusOK {
 				t.Errorf("entry %d, another prompt: %d %s", i, status, text)
 			}
 		}
 	})
 }
 
-func TestSampleThatEndsEnginesIsRefused(t *testing.T) {
+func TestSampleThatCrashesEnginesIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := startCrashRig(t, 1)
-		defer r.close()
-		client, err := trainer.New(trainer.Config{Row: "learner", Entries: r.d.EntryURLs(), HTTP: r.fabric.Client(), StalenessBound: 1})
+		f := startCrashFixture(t, 1)
+		defer f.close()
+		client, err := trainer.New(trainer.Config{Row: "learner", Entries: f.d.EntryURLs(), HTTP: f.fabric.Client(), StalenessBound: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -140,11 +142,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n := r.ends(); n > allowedSampleEnds {
-			t.Errorf("%d engines ended", n)
+		if n := f.crashes(); n > maxSampleCrashes {
+			t.Errorf("%d engines crashed", n)
 		}
 		if len(received) != 12 || received["fatal"] > 0 {
-			t.Errorf("received %v", received)
+			t.Errorf("want the 12 other samples only, received %v", received)
 		}
 	})
 }
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -20,13 +20,13 @@
 	"mulberryscale.example/tablestore"
 )
 
-// EngineSpec is a model engine and the agent beside it.
+// EngineSpec describes a model engine with an agent.
 type EngineSpec struct {
 	Zone    string
 	Options engine.Options
 }
 
-// ServiceSpec is a plain service and the agent beside it.
+// ServiceSpec describes a plain service with an agent.
 type ServiceSpec struct {
 	Zone    string
 	ID      string
@@ -34,33 +34,33 @@
 	StandIn *plain.Service
 }
 
-// EntrySpec is an entry instance.
+// EntrySpec describes an entry instance.
 type EntrySpec struct {
 	Zone string
 	ID   string
 }
 
-// Options say what a deployment is made of.
+// Options configures a deployment.
 type Options struct {
 	Fabric   Fabric
 	Engines  []EngineSpec
 	Services []ServiceSpec
 	Entries  []EntrySpec
-	// Table is the table's text in CSV; empty leaves the table service without one.
+	// Table is the table's text in CSV; if empty, the table service has no table.
 	Table string
-	// Retention is how long agents keep runs whose entry is gone.
+	// Retention is how long agents keep runs after the entry that started them is gone.
 	Retention time.Duration
-	// Agent changes the settings of each agent; it may be nil.
+	// Agent, if not nil, modifies the settings of each agent.
 	Agent func(*agent.Config)
-	// Entry changes the settings of each entry; it may be nil.
+	// Entry, if not nil, modifies the settings of each entry.
 	Entry func(*entry.Config)
-	// Log takes the logs of all processes.
+	// Log is the logger of all processes.
 	Log *logrus.Logger
-	// Seed makes choices repeatable.
+	// Seed makes random choices repeatable.
 	Seed uint64
 }
 
-// Deployment is a running deployment. Its methods may be called by one goroutine.
+// Deployment is a running deployment. Its methods are not safe for concurrent use.
 type Deployment struct {
 	opts Options
 	// The platform's stand-ins.
@@ -72,17 +72,18 @@
 	// before the services'.
 	Agents  []*Agent
 	Entries []*Entry
-	base    context.Context
-	stop    context.CancelFunc
+	ctx     context.Context
+	cancel  context.CancelFunc
 }
 
-// Start starts a deployment. Close must be called.
+// Start starts a deployment, which runs until ctx is done or Close is called. The
+// caller must call Close.
 func Start(ctx context.Context, opts Options) (*Deployment, error) {
 	d := &Deployment{
 		opts: opts, Table: tableservice.New(tableservice.Options{}), Objects: objects.New(objects.Options{}),
 		Instances: instances.New(instances.Options{}), Weights: weights.New(weights.Options{}),
 	}
-	d.base, d.stop = context.WithCancel(ctx)
+	d.ctx, d.cancel = context.WithCancel(ctx)
 	if err := d.start(); err != nil {
 		d.Close()
 		return nil, err
@@ -125,25 +126,26 @@
 	return a.Start()
 }
 
-// Apply makes the CSV text the version after base of the table.
+// Apply applies the CSV text as the table's version after base.
 func (d *Deployment) Apply(base uint64, csv string) error {
 	store := tablestore.New(d.Table)
-	_, err := store.Apply(d.base, tablestore.ApplyRequest{
+	_, err := store.Apply(d.ctx, tablestore.ApplyRequest{
 		Base: base, ApplyID: uuid.NewString(), Author: "deployment", Format: table.FormatCSV, Body: []byte(csv),
 	})
 	return trace.Wrap(err, "applying the table")
 }
 
-// readyPoll is how often AwaitReady looks.
-const readyPoll = 10 * time.Millisecond
+// readyPollInterval is the time between AwaitReady's checks.
+const readyPollInterval = 10 * time.Millisecond
 
-// AwaitReady waits until every running entry has the table and hears from every running agent.
+// AwaitReady waits until every running entry has the table and a live connection to
+// every running agent. The error is that of ctx.
 func (d *Deployment) AwaitReady(ctx context.Context) error {
 	for !d.ready() {
 		select {
 		case <-ctx.Done():
 			return trace.Wrap(ctx.Err(), "the deployment did not become ready")
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		}
 	}
 	return nil
@@ -164,7 +166,7 @@
 	return true
 }
 
-// EntryURLs are the base URLs of the entries that were started.
+// EntryURLs returns the base URLs of all entries, in the order of Options.Entries.
 func (d *Deployment) EntryURLs() []string {
 	var urls []string
 	for _, e := range d.Entries {
@@ -173,7 +175,7 @@
 	return urls
 }
 
-// Close stops everything at once.
+// Close kills all processes without draining them.
 func (d *Deployment) Close() {
 	for _, e := range d.Entries {
 		e.Kill()
@@ -181,5 +183,5 @@
 	for _, a := range d.Agents {
 		a.Kill()
 	}
-	d.stop()
+	d.cancel()
 }
--- a/internal/deployment/doc.go
+++ b/internal/deployment/doc.go
@@ -1,5 +1,5 @@
 // Package deployment starts a whole deployment in one process, made of the
 // stand-ins, agents and entry instances, for the demo, the experiments and the
-// tests. A Fabric decides whether it runs over real loopback sockets or in
-// memory, where it works under testing/synctest.
+// tests. Its Fabric connects them over loopback sockets or in memory; in memory
+// it works under testing/synctest.
 package deployment
--- a/internal/deployment/fabric.go
+++ b/internal/deployment/fabric.go
@@ -20,27 +20,29 @@
 	"mulberryscale.example/transport/quictransport"
 )
 
-// loopback is any free port of this machine's loopback address.
+// loopback is the address to listen on: a free port of the loopback interface.
 const loopback = "127.0.0.1:0"
 
-// readHeaderTimeout bounds the time that a caller may take for its headers.
+// readHeaderTimeout limits the time that a caller may take to send its headers.
 const readHeaderTimeout = 5 * time.Second
 
-// Fabric is what connects the processes of a deployment.
+// Fabric connects the processes of a deployment.
 type Fabric interface {
-	// Listen and Dialer give a process its ends of our own transport.
+	// Listen and Dialer return a process's listener and dialer for the transport
+	// between entries and agents.
 	Listen(id string) (transport.Listener, error)
 	Dialer(id string) (transport.Dialer, error)
-	// Engine and Service give an agent the way to the endpoint beside it.
-	Engine(core *engine.Engine) (endpoint.Engine, error)
-	Service(core *plain.Service) (endpoint.Service, error)
-	// Serve serves HTTP to callers until stop is called, which cuts off the
+	// Engine and Service return an agent's client of the endpoint beside it.
+	Engine(standIn *engine.Engine) (endpoint.Engine, error)
+	Service(standIn *plain.Service) (endpoint.Service, error)
+	// Serve serves HTTP to callers until stop is called, which aborts the
 	// requests in progress, and returns the base URL.
 	Serve(id string, h http.Handler) (baseURL string, stop func(), err error)
-	// Shutdown ends what Serve began at the base URL once the requests in
-	// progress are answered. The error is the context's.
+	// Shutdown stops the server at the base URL that Serve returned once the
+	// requests in progress are answered. It returns the error of ctx if that is
+	// done first, and an error if there is no such server.
 	Shutdown(ctx context.Context, baseURL string) error
-	// Client calls what Serve serves.
+	// Client returns a client that reaches the servers started by Serve.
 	Client() *http.Client
 	// Kill breaks all connections of a process.
 	Kill(id string)
@@ -53,7 +55,7 @@
 	servers   httpServers
 }
 
-// NewLoopback returns a fabric with a development authority of its own.
+// NewLoopback returns a fabric with its own development certificate authority.
 func NewLoopback() (*Loopback, error) {
 	authority, err := keys.NewDevAuthority()
 	if err != nil {
@@ -81,8 +83,8 @@
 }
 
 // Engine implements Fabric: the stand-in is served over HTTP.
-func (l *Loopback) Engine(core *engine.Engine) (endpoint.Engine, error) {
-	base, _, err := l.Serve(core.ID(), core.Handler())
+func (l *Loopback) Engine(standIn *engine.Engine) (endpoint.Engine, error) {
+	base, _, err := l.Serve(standIn.ID(), standIn.Handler())
 	if err != nil {
 		return nil, err
 	}
@@ -90,8 +92,8 @@
 }
 
 // Service implements Fabric: the stand-in is served over HTTP.
-func (l *Loopback) Service(core *plain.Service) (endpoint.Service, error) {
-	base, _, err := l.Serve("service", core.Handler())
+func (l *Loopback) Service(standIn *plain.Service) (endpoint.Service, error) {
+	base, _, err := l.Serve("service", standIn.Handler())
 	if err != nil {
 		return nil, err
 	}
@@ -117,10 +119,11 @@
 // Client implements Fabric.
 func (l *Loopback) Client() *http.Client { return l.client }
 
-// Kill implements Fabric; closing the process's listener and dialer does it all.
+// Kill implements Fabric. It does nothing: closing the process's listener and dialer
+// breaks its connections.
 func (l *Loopback) Kill(string) {}
 
-// Close ends all HTTP servers.
+// Close closes all HTTP servers and the client's idle connections.
 func (l *Loopback) Close() {
 	l.client.CloseIdleConnections()
 	l.servers.close()
@@ -128,7 +131,7 @@
 
 // Memory connects in memory and calls the stand-ins directly.
 type Memory struct {
-	// Network has the faults of our own transport.
+	// Network carries the transport between entries and agents; tests inject its faults.
 	Network *memtransport.Network
 	client  *http.Client
 	servers httpServers
@@ -136,7 +139,7 @@
 	pipes   map[string]*pipenet.Listener // by host
 }
 
-// NewMemory returns a fabric without real connections.
+// NewMemory returns a fabric without sockets.
 func NewMemory() *Memory {
 	m := &Memory{Network: memtransport.NewNetwork(), pipes: map[string]*pipenet.Listener{}}
 	m.client = &http.Client{Transport: &http.Transport{DialContext: m.dial}}
@@ -154,10 +157,10 @@
 }
 
 // Engine implements Fabric.
-func (m *Memory) Engine(core *engine.Engine) (endpoint.Engine, error) { return core, nil }
+func (m *Memory) Engine(standIn *engine.Engine) (endpoint.Engine, error) { return standIn, nil }
 
 // Service implements Fabric.
-func (m *Memory) Service(core *plain.Service) (endpoint.Service, error) { return core, nil }
+func (m *Memory) Service(standIn *plain.Service) (endpoint.Service, error) { return standIn, nil }
 
 // Serve implements Fabric; the host of the URL is the id.
 func (m *Memory) Serve(id string, h http.Handler) (string, func(), error) {
@@ -194,5 +197,5 @@
 // Kill implements Fabric.
 func (m *Memory) Kill(id string) { m.Network.Kill(transport.PeerID(id)) }
 
-// Close ends idle connections.
+// Close closes the client's idle connections.
 func (m *Memory) Close() { m.client.CloseIdleConnections() }
--- a/internal/deployment/http.go
+++ b/internal/deployment/http.go
@@ -9,13 +9,13 @@
 	"github.com/gravitational/trace"
 )
 
-// httpServers are the running HTTP servers of a fabric.
+// httpServers holds the HTTP servers of a fabric.
 type httpServers struct {
 	mu    sync.Mutex
-	byURL map[string]*http.Server // by base URL, the newest
+	byURL map[string]*http.Server // the last server started at each base URL
 }
 
-// serve starts a server; stop ends it at once.
+// serve starts a server; stop closes it and aborts the requests in progress.
 func (s *httpServers) serve(baseURL string, server *http.Server, ln net.Listener) (stop func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -23,11 +23,11 @@
 		s.byURL = make(map[string]*http.Server)
 	}
 	s.byURL[baseURL] = server
-	go server.Serve(ln) // ends with stop
+	go server.Serve(ln) // returns after stop
 	return func() { server.Close() }
 }
 
-// shutdown ends a server when it has answered what it was asked.
+// shutdown stops the server at baseURL once the requests in progress are answered.
 func (s *httpServers) shutdown(ctx context.Context, baseURL string) error {
 	s.mu.Lock()
 	server := s.byURL[baseURL]
@@ -38,7 +38,7 @@
 	return trace.Wrap(server.Shutdown(ctx), "shutting down the HTTP server at %v", baseURL)
 }
 
-// close ends all servers at once.
+// close closes all servers and aborts the requests in progress.
 func (s *httpServers) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/deployment/nodes.go
+++ b/internal/deployment/nodes.go
@@ -19,24 +19,26 @@
 	"mulberryscale.example/transport"
 )
 
-// process is what entries and agents have in common: a start that can be
-// stopped gracefully or killed, and made again.
+// process is the part common to entries and agents. A process can be stopped
+// gracefully or killed, and then started again.
 type process struct {
 	listener transport.Listener
 	dialer   transport.Dialer
 	cancel   context.CancelFunc
-	ended    chan error
+	done     chan error
 }
 
 // run starts serve in a goroutine.
 func (p *process) run(base context.Context, serve func(context.Context) error) {
 	ctx, cancel := context.WithCancel(base)
 	p.cancel = cancel
-	ended := make(chan error, 1) // a second start does not end the first
-	p.ended = ended
-	go func() { ended <- serve(ctx) }()
+	done := make(chan error, 1) // one per run, so that a restart does not take the earlier result
+	p.done = done
+	go func() { done <- serve(ctx) }()
 }
 
+// stop cancels the run, closes its listener and dialer and returns the run's error.
+// It does nothing if the process is not running.
 func (p *process) stop() error {
 	if p.cancel == nil {
 		return nil
@@ -45,20 +47,20 @@
 	p.cancel = nil
 	p.listener.Close()
 	p.dialer.Close()
-	return <-p.ended
+	return <-p.done
 }
 
-// running says whether the process was started and not stopped.
+// running reports whether the process was started and not stopped since.
 func (p *process) running() bool { return p.cancel != nil }
 
-// Agent is an agent beside its endpoint.
+// Agent is an agent with its endpoint.
 type Agent struct {
 	process
 	d           *Deployment
 	engineSpec  *EngineSpec
 	serviceSpec *ServiceSpec
 	ID          string
-	// StandIn is the engine beside the agent; nil for plain services.
+	// StandIn is the stand-in of the agent's engine; nil for plain services.
 	StandIn  *engine.Engine
 	engine   endpoint.Engine
 	service  endpoint.Service
@@ -73,7 +75,8 @@
 	return a.serviceSpec.Zone
 }
 
-// makeEndpoint starts the stand-in beside the agent; it outlives the agent.
+// makeEndpoint starts the stand-in of the agent's endpoint. It keeps running when the
+// agent stops.
 func (a *Agent) makeEndpoint() (err error) {
 	if a.serviceSpec != nil {
 		a.service, err = a.d.opts.Fabric.Service(a.serviceSpec.StandIn)
@@ -84,7 +87,8 @@
 	return trace.Wrap(err)
 }
 
-// Start starts the agent, or starts it again with a new incarnation, and registers it.
+// Start starts the agent, or restarts it with a new incarnation, and registers it in
+// the instance list.
 func (a *Agent) Start() (err error) {
 	fabric := a.d.opts.Fabric
 	if a.listener, err = fabric.Listen(a.ID); err != nil {
@@ -104,7 +108,7 @@
 	} else {
 		cfg.Targets = a.d.Weights
 		cfg.Weights = a.d.Weights
-		// An engine that has crashed does not list its models any more.
+		// An engine no longer lists its models after a crash.
 		cfg.Models = slices.Sorted(maps.Keys(a.engineSpec.Options.Models))
 		cfg.Fencer = agent.NewTableFencer(a.d.Table, a.ID)
 	}
@@ -114,21 +118,21 @@
 	if a.agent, err = agent.New(cfg); err != nil {
 		return trace.Wrap(err, "agent %v", a.ID)
 	}
-	a.run(a.d.base, a.agent.Run)
+	a.run(a.d.ctx, a.agent.Run)
 	a.d.Instances.Register(platform.Instance{ID: a.ID, Role: platform.RoleAgent, Zone: a.zone(), Addr: a.listener.Addr()})
 	return nil
 }
 
-// Kill ends the agent at once; the instance list goes on naming it.
+// Kill stops the agent without draining it, as a crash would: it stays in the instance list.
 func (a *Agent) Kill() {
 	if !a.running() {
 		return
 	}
 	a.d.opts.Fabric.Kill(a.ID)
-	_ = a.stop() // a killed process tells nobody how it ended
+	_ = a.stop() // a killed process reports no error
 }
 
-// Stop drains the agent and ends it.
+// Stop drains and stops the agent and removes it from the instance list.
 func (a *Agent) Stop(ctx context.Context) error {
 	err := a.agent.Drain(ctx)
 	err = errors.Join(err, a.stop())
@@ -148,8 +152,8 @@
 	stopHTTP func()
 }
 
-// URL is the base URL of the entry's last start, empty before the first. Any
-// goroutine may call it.
+// URL returns the base URL of the entry's last start, or the empty string before the
+// first. It is safe for concurrent use.
 func (e *Entry) URL() string {
 	if url := e.url.Load(); url != nil {
 		return *url
@@ -157,7 +161,7 @@
 	return ""
 }
 
-// Start starts the entry, or starts it again, and registers it.
+// Start starts or restarts the entry and registers it in the instance list.
 func (e *Entry) Start() (err error) {
 	fabric := e.d.opts.Fabric
 	if e.listener, err = fabric.Listen(e.ID); err != nil {
@@ -179,7 +183,7 @@
 	if err != nil {
 		return trace.Wrap(err, "entry %v", e.ID)
 	}
-	e.run(e.d.base, e.Entry.Run)
+	e.run(e.d.ctx, e.Entry.Run)
 	url, stopHTTP, err := fabric.Serve(e.ID, e.Entry.Handler())
 	if err != nil {
 		return trace.Wrap(err, "entry %v", e.ID)
@@ -190,17 +194,18 @@
 	return nil
 }
 
-// Kill ends the entry at once; the instance list goes on naming it.
+// Kill stops the entry without draining it, as a crash would: it stays in the instance list.
 func (e *Entry) Kill() {
 	if !e.running() {
 		return
 	}
 	e.stopHTTP()
 	e.d.opts.Fabric.Kill(e.ID)
-	_ = e.stop() // a killed process tells nobody how it ended
+	_ = e.stop() // a killed process reports no error
 }
 
-// Stop drains the entry, lets the last answers reach their callers and ends it.
+// Stop drains the entry, waits until the last responses are written to their callers,
+// stops it and removes it from the instance list.
 func (e *Entry) Stop(ctx context.Context) error {
 	err := e.Entry.Drain(ctx)
 	if err == nil {
--- a/internal/deployment/race_test.go
+++ b/internal/deployment/race_test.go
@@ -1,4 +1,4 @@
 package deployment
 
-// The race detector and bubbles of testing/synctest need one processor.
+// With the race detector, testing/synctest bubbles need a single processor.
 import _ "mulberryscale.example/internal/racelimit"
--- a/internal/deployment/stop_test.go
+++ b/internal/deployment/stop_test.go
@@ -17,10 +17,10 @@
 lookups,service,guide,1,,,,,100,1m,,,,at_once,
 `
 
-const lookup = `{"model":"lookups","prompt":"what is open in Patan","max_tokens":8}`
+const lookupBody = `{"model":"lookups","prompt":"what is open in Patan","max_tokens":8}`
 
-// TestStopSendsTheLastAnswer stops an entry whose caller has not read its
-// answer yet, though its call is over.
+// TestStopSendsTheLastAnswer checks that stopping an entry does not cut off a response
+// whose handler has returned but which the caller has not read yet.
 func TestStopSendsTheLastAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := NewMemory()
@@ -44,14 +44,14 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		fmt.Fprintf(conn, "POST /v1/completions HTTP/1.1\r\nHost: entry-1\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(lookup), lookup)
-		time.Sleep(time.Second) // the call is over and its answer waits in the pipe
+		fmt.Fprintf(conn, "POST /v1/completions HTTP/1.1\r\nHost: entry-1\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(lookupBody), lookupBody)
+		time.Sleep(time.Second) // the handler has returned and its response waits in the pipe
 		stopped := make(chan error, 1)
 		go func() { stopped <- d.Entries[0].Stop(t.Context()) }()
 		time.Sleep(time.Second)
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
-			t.Fatalf("the stop cut off the answer: %v", err)
+			t.Fatalf("the stop cut off the response: %v", err)
 		}
 		defer resp.Body.Close()
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.StatusCode != http.StatusOK {
--- a/internal/httponce/httponce.go
+++ b/internal/httponce/httponce.go
@@ -1,6 +1,6 @@
-// Package httponce sends each HTTP request at most once, unlike net/http's
-// transport by itself, which repeats some requests on a new connection. It
-// tells a request that was provably never sent from one whose outcome is unknown.
+// Package httponce sends each HTTP request at most once. net/http's transport alone
+// retries some requests on a new connection. The package also distinguishes a request
+// that was provably never sent from one whose outcome is unknown.
 package httponce
 
 import (
@@ -14,40 +14,41 @@
 	"github.com/gravitational/trace"
 )
 
-// Bounds of the connections.
+// Limits of the connections.
 const (
 	// idleTimeout is shorter than servers usually keep an idle connection, so
-	// that a request seldom meets one that its server is closing.
+	// that a request is seldom sent on one that the server is closing.
 	idleTimeout        = 2 * time.Second
 	maxIdlePerHost     = 64
 	maxResponseHeaders = 64 << 10 // bytes
-	// dialTimeout bounds a dial to a peer that does not answer: a hundred
-	// times what a dial within a region takes.
+	// dialTimeout limits a dial to a peer that does not answer. It is a hundred
+	// times the duration of a dial within a region.
 	dialTimeout = time.Second
-	// A peer that went away without a reset is noticed within
+	// A peer that disappeared without a reset is detected within
 	// keepAliveIdle + keepAliveCount * keepAliveInterval.
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 )
 
-// UnsentError wraps an error that arose before any connection carried the request.
+// UnsentError wraps an error that occurred before the request got a connection, so that
+// nothing of it was sent.
 type UnsentError struct{ Err error }
 
 // Error implements error.
 func (e *UnsentError) Error() string { return "not sent: " + e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *UnsentError) Unwrap() error { return e.Err }
 
-// Client is safe for concurrent use.
+// Client sends HTTP requests at most once. It is safe for concurrent use.
 type Client struct{ http *http.Client }
 
-// New makes a client that follows no redirects and uses no proxy. Its calls
-// end with their contexts only.
+// New returns a client that follows no redirects and uses no proxy. It has no timeout
+// for whole requests; only their contexts limit them.
 func New() *Client { return NewWithIdleTimeout(idleTimeout) }
 
-// NewWithIdleTimeout is New with connections that are kept idle for up to idle.
+// NewWithIdleTimeout is New with connections that are closed after being idle for idle.
 func NewWithIdleTimeout(idle time.Duration) *Client {
 	dialer := &net.Dialer{
 		Timeout: dialTimeout,
@@ -67,28 +68,28 @@
 	}}
 }
 
-// CloseIdle closes all connections that carry no request.
+// CloseIdle closes all idle connections.
 func (c *Client) CloseIdle() { c.http.CloseIdleConnections() }
 
 // Do sends a request at most once. An UnsentError proves that it was not sent;
 // any other error leaves the outcome unknown.
 func (c *Client) Do(req *http.Request) (*http.Response, error) {
-	var connected atomic.Bool
-	watch := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
+	var gotConn atomic.Bool
+	watch := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { gotConn.Store(true) }}
 	once := req.Clone(httptrace.WithClientTrace(req.Context(), watch))
 	forbidReplay(once)
 	resp, err := c.http.Do(once)
-	if err != nil && !connected.Load() {
+	if err != nil && !gotConn.Load() {
 		return nil, &UnsentError{Err: err}
 	}
 	return resp, err
 }
 
-// DoRepeatable sends a request that may be repeated, such as a read.
+// DoRepeatable sends an idempotent request, such as a read. The transport may retry it.
 func (c *Client) DoRepeatable(req *http.Request) (*http.Response, error) { return c.http.Do(req) }
 
 // forbidReplay gives the request a body that can be read only once, because
-// the transport repeats only requests whose body it can get again.
+// the transport retries only requests whose body it can get again.
 func forbidReplay(req *http.Request) {
 	if req.Body == nil || req.Body == http.NoBody {
 		req.Body = emptyBody{}
@@ -103,7 +104,7 @@
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 func (emptyBody) Close() error             { return nil }
 
-// ReadBody reads a whole body of at most limit bytes.
+// ReadBody reads a whole body. It fails if that has more than limit bytes.
 func ReadBody(body io.Reader, limit int64) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
--- a/internal/httponce/httponce_test.go
+++ b/internal/httponce/httponce_test.go
@@ -10,9 +10,10 @@
 	"testing"
 )
 
-// breakingServer answers the first request, so that its connection is kept,
-// and closes the connection of each later one after it has read it.
-func breakingServer(t *testing.T) (*httptest.Server, *atomic.Int64) {
+// startBreakingServer starts a server that answers the first request, so that its
+// connection is kept, and aborts the connection of each later request after reading
+// it. It also returns the number of requests that the server has run.
+func startBreakingServer(t *testing.T) (*httptest.Server, *atomic.Int64) {
 	var runs atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if runs.Add(1) > 1 {
@@ -32,7 +33,7 @@
 	return req
 }
 
-func warm(t *testing.T, c *Client, url string) {
+func openConnection(t *testing.T, c *Client, url string) {
 	resp, err := c.Do(newRequest(t, http.MethodGet, url, ""))
 	if err != nil {
 		t.Fatal(err)
@@ -43,9 +44,9 @@
 func TestDoSendsAtMostOnceOnAReusedConnection(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodDelete} {
 		for _, body := range []string{"", "text"} {
-			s, runs := breakingServer(t)
+			s, runs := startBreakingServer(t)
 			c := New()
-			warm(t, c, s.URL)
+			openConnection(t, c, s.URL)
 			_, err := c.Do(newRequest(t, method, s.URL, body))
 			var unsent *UnsentError
 			if err == nil || errors.As(err, &unsent) {
@@ -58,18 +59,18 @@
 	}
 }
 
-// The control: without the mechanism the transport repeats the request, so the
-// test above can fail.
+// TestTransportByItselfRepeats is the control of the test above: it checks that the
+// transport alone retries the request, so that the test above can fail.
 func TestTransportByItselfRepeats(t *testing.T) {
-	s, runs := breakingServer(t)
+	s, runs := startBreakingServer(t)
 	c := New()
-	warm(t, c, s.URL)
+	openConnection(t, c, s.URL)
 	if resp, err := c.DoRepeatable(newRequest(t, http.MethodPost, s.URL, "text")); err == nil {
 		resp.Body.Close()
 		t.Fatal("want an error")
 	}
 	if n := runs.Load() - 1; n < 2 {
-		t.Fatalf("ran %d times: the server no longer provokes a repetition", n)
+		t.Fatalf("ran %d times: the server no longer provokes a retry", n)
 	}
 }
 
--- a/internal/httponce/probe.go
+++ b/internal/httponce/probe.go
@@ -8,12 +8,11 @@
 	"time"
 )
 
-// probeTimeout bounds a probe: a refusal takes one way there and back, also between
-// regions.
+// probeTimeout limits a probe: a refusal takes one round trip, also between regions.
 const probeTimeout = 200 * time.Millisecond
 
-// Refuses reports whether an address refuses connections, by one that is closed at
-// once. An address that does not answer in time refuses nothing.
+// Refuses reports whether an address refuses connections. It opens one and closes it
+// at once. An address that does not answer in time counts as not refusing.
 func Refuses(ctx context.Context, addr string) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
