--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -10,10 +10,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// blockTokens is the length of a cached block of a prompt.
+// blockTokens is the length of a cached block of a prompt, in tokens.
 const blockTokens = 16
 
-// CacheEventKind says what happened to a block.
+// CacheEventKind is the kind of a change to the prefix cache.
 type CacheEventKind string
 
 // Kinds of cache events.
@@ -27,36 +27,36 @@
 type CacheEvent struct {
 	Seq  uint64         `json:"seq"`
 	Kind CacheEventKind `json:"kind"`
-	// Block is the hash of the prompt from its start to the block's end.
+	// Block is the hash of the prompt from its start to the block's end; 0 for CacheCleared.
 	Block uint64    `json:"block"`
 	At    time.Time `json:"at"`
 }
 
-// prefixCache keeps prompt blocks, the least recently used leaving first.
+// prefixCache is an LRU cache of prompt blocks.
 type prefixCache struct {
-	blocks    int // capacity
-	order     *list.List
-	byHash    map[uint64]*list.Element
-	events    []CacheEvent
-	seq       uint64
-	lag       time.Duration
-	gap       float64
-	gapChoice *rand.Rand
+	capacity int // largest number of blocks
+	order    *list.List
+	byHash   map[uint64]*list.Element
+	events   []CacheEvent
+	seq      uint64
+	lag      time.Duration
+	lossRate float64
+	lossRand *rand.Rand
 }
 
 func newPrefixCache(o Options) *prefixCache {
 	return &prefixCache{
-		blocks:    o.CacheTokens / blockTokens,
-		order:     list.New(),
-		byHash:    make(map[uint64]*list.Element),
-		lag:       o.EventLag,
-		gap:       o.EventGap,
-		gapChoice: rand.New(rand.NewPCG(uint64(o.Seed), 0)),
+		capacity: o.CacheTokens / blockTokens,
+		order:    list.New(),
+		byHash:   make(map[uint64]*list.Element),
+		lag:      o.EventLag,
+		lossRate: o.EventGap,
+		lossRand: rand.New(rand.NewPCG(uint64(o.Seed), 0)),
 	}
 }
 
-// use touches and stores the prompt's blocks and returns how many of its
-// tokens, from the start, were cached.
+// use marks the prompt's cached blocks as used and stores the others. It returns how many of
+// the prompt's tokens, from the start, were cached.
 func (c *prefixCache) use(prompt string, now time.Time) int {
 	words := strings.Fields(prompt)
 	cached := 0
@@ -73,36 +73,39 @@
 	return cached
 }
 
-func blockHash(before uint64, words []string) uint64 {
-	key := binary.LittleEndian.AppendUint64(nil, before)
+// blockHash returns the hash of a block, given the hash of the blocks before it.
+func blockHash(prefixHash uint64, words []string) uint64 {
+	key := binary.LittleEndian.AppendUint64(nil, prefixHash)
 	return xxhash.Sum64(append(key, strings.Join(words, " ")...))
 }
 
 func (c *prefixCache) store(hash uint64, now time.Time) {
 	c.byHash[hash] = c.order.PushFront(hash)
-	c.note(BlockStored, hash, now)
-	for c.order.Len() > c.blocks {
+	c.record(BlockStored, hash, now)
+	for c.order.Len() > c.capacity {
 		oldest := c.order.Remove(c.order.Back()).(uint64)
 		delete(c.byHash, oldest)
-		c.note(BlockEvicted, oldest, now)
+		c.record(BlockEvicted, oldest, now)
 	}
 }
 
 func (c *prefixCache) clear(now time.Time) {
 	c.order.Init()
 	clear(c.byHash)
-	c.note(CacheCleared, 0, now)
+	c.record(CacheCleared, 0, now)
 }
 
-// note counts the event and keeps it, unless it is one of the gaps.
-func (c *prefixCache) note(kind CacheEventKind, hash uint64, now time.Time) {
+// record assigns the next sequence number to an event and keeps the event, unless it is one of
+// those that are to be lost.
+func (c *prefixCache) record(kind CacheEventKind, hash uint64, now time.Time) {
 	c.seq++
-	if c.gapChoice.Float64() < c.gap {
+	if c.lossRand.Float64() < c.lossRate {
 		return
 	}
 	c.events = append(c.events, CacheEvent{Seq: c.seq, Kind: kind, Block: hash, At: now})
 }
 
+// list returns the events after a sequence number that are older than the lag.
 func (c *prefixCache) list(since uint64, now time.Time) []CacheEvent {
 	out := []CacheEvent{}
 	for _, e := range c.events {
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -51,7 +51,7 @@
 	text   string
 	spans  []api.VersionSpan
 	reason string
-	err    error // nil after a whole text
+	err    error // nil after a complete text
 }
 
 func readAll(s endpoint.Stream) result {
@@ -70,7 +70,7 @@
 	}
 }
 
-// expected is the text of spans that begin at token first.
+// expected returns the text of spans, the first of which begins at token first.
 func expected(req endpoint.GenerateRequest, first int, spans []api.VersionSpan) string {
 	var text strings.Builder
 	for _, s := range spans {
@@ -90,8 +90,8 @@
 	return n
 }
 
-// A text that is cut anywhere and resumed on an engine of another version has
-// the length and the tokens that an oracle computes.
+// TestCutAndResumeGivesTheWholeText checks that a text that is cut off at any token and resumed
+// on an engine of another version has the length and the tokens that an oracle computes.
 func TestCutAndResumeGivesTheWholeText(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		req := request("r1", rapid.Int64().Draw(rt, "seed"))
@@ -111,7 +111,7 @@
 				t.Fatalf("resumed at %d of %d: got %+v", cut, whole, rest)
 			}
 			if first.text != expected(req, 0, first.spans) || rest.text != expected(req, cut, rest.spans) {
-				t.Fatal("the text is not the oracle's")
+				t.Fatal("the text differs from the oracle's")
 			}
 		})
 	})
@@ -230,7 +230,7 @@
 			t.Fatalf("status of a frozen engine: %v", err)
 		}
 		if after := e.Records()[0].Text; after != before {
-			t.Fatal("a frozen engine went on")
+			t.Fatal("a frozen engine generated text")
 		}
 		e.Thaw()
 		if got := readAll(s); got.err != nil || got.reason == "" {
@@ -270,11 +270,11 @@
 		time.Sleep(time.Minute)
 		s := generate(t, e, request("r1", 1))
 		if got, _ := e.Status(t.Context()); got.Running != 0 {
-			t.Fatalf("the lagging status knows already: %+v", got)
+			t.Fatalf("the status is newer than its lag allows: %+v", got)
 		}
 		time.Sleep(10 * time.Millisecond)
 		if got, _ := e.Status(t.Context()); got.Running != 1 {
-			t.Fatalf("the lagging status is later than its lag: %+v", got)
+			t.Fatalf("the status is older than its lag: %+v", got)
 		}
 		if got := readAll(s); got.err != nil {
 			t.Fatal(got.err)
@@ -289,7 +289,7 @@
 		req.Prompt = strings.Repeat("word ", 2*blockTokens)
 		cold := timeOf(t, e, req)
 		if events := e.Events(0); len(events) != 0 {
-			t.Fatalf("events before their time: %+v", events)
+			t.Fatalf("events listed before their lag has passed: %+v", events)
 		}
 		if warm := timeOf(t, e, req); cold-warm != 2*blockTokens*time.Second {
 			t.Fatalf("cold %s, warm %s", cold, warm)
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -10,6 +10,7 @@
 	"mulberryscale.example/internal/standin/fault"
 )
 
+// faults has the faults that are switched on or armed for the next calls.
 type faults struct {
 	frozen       bool
 	refuse       bool
@@ -18,9 +19,10 @@
 	failedLoads  int
 	lostLoads    int
 	cutNextAfter int
-	// endsUnder are the prompts that end the engine, for how long; ends counts them.
-	endsUnder map[string]time.Duration
-	ends      int
+	// crashPrompts has the downtime for each prompt that crashes the engine; promptCrashes counts
+	// the crashes.
+	crashPrompts  map[string]time.Duration
+	promptCrashes int
 }
 
 func (f *faults) takeFailedLoad() bool    { return take(&f.failedLoads) }
@@ -34,8 +36,8 @@
 	return true
 }
 
-// Crash breaks all streams and loses weights, cache and fencing number, as a
-// crash and restart do. The records stay.
+// Crash breaks all streams and loses weights, cache and fencing token, as a crash and restart
+// do. The records remain.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -43,57 +45,58 @@
 	e.fence = 0
 	e.cache.clear(time.Now())
 	for _, r := range append(slices.Clone(e.waiting), e.running...) {
-		e.endRunLocked(r, ErrConnection)
+		e.finishRunLocked(r, ErrConnection)
 	}
-	e.noteLocked()
+	e.recordStatusLocked()
 }
 
-// CrashOnPrompt makes the engine end as soon as it begins to run a prompt. It refuses
-// connections for a while then, and is back with its weights.
+// CrashOnPrompt makes the engine crash whenever it starts to generate for a prompt. It then
+// breaks all streams, refuses connections for the time down and is back with its weights.
 func (e *Engine) CrashOnPrompt(prompt string, down time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.faults.endsUnder == nil {
-		e.faults.endsUnder = map[string]time.Duration{}
+	if e.faults.crashPrompts == nil {
+		e.faults.crashPrompts = map[string]time.Duration{}
 	}
-	e.faults.endsUnder[prompt] = down
+	e.faults.crashPrompts[prompt] = down
 }
 
-// Exited implements endpoint.Prober.
+// Exited implements endpoint.Prober. It returns true while connections are refused.
 func (e *Engine) Exited(context.Context) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults.refuse
 }
 
-// PromptCrashes is how often the engine ended under a prompt.
+// PromptCrashes returns how often a prompt crashed the engine.
 func (e *Engine) PromptCrashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.faults.ends
+	return e.faults.promptCrashes
 }
 
-// endUnder ends the engine if a run's prompt does that, and says whether it did.
-func (e *Engine) endUnder(r *run) bool {
+// maybeCrash crashes the engine if a run's prompt is one of CrashOnPrompt. It returns whether it
+// did.
+func (e *Engine) maybeCrash(r *run) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	down, ends := e.faults.endsUnder[r.req.Prompt]
-	if !ends || r.hasEnded() {
+	down, crashes := e.faults.crashPrompts[r.req.Prompt]
+	if !crashes || r.isFinished() {
 		return false
 	}
-	e.faults.ends++
+	e.faults.promptCrashes++
 	e.faults.refuse = true
 	for _, other := range append(slices.Clone(e.waiting), e.running...) {
-		e.endRunLocked(other, ErrConnection)
+		e.finishRunLocked(other, ErrConnection)
 	}
 	time.AfterFunc(down, func() { e.RefuseConnections(false) })
 	return true
 }
 
-// Freeze stops the engine as SIGSTOP does: nothing is generated or answered.
+// Freeze suspends the engine as SIGSTOP does: nothing is generated or answered.
 func (e *Engine) Freeze() { e.setFrozen(true) }
 
-// Thaw lets a frozen engine go on.
+// Thaw resumes a frozen engine.
 func (e *Engine) Thaw() { e.setFrozen(false) }
 
 func (e *Engine) setFrozen(on bool) {
@@ -103,7 +106,7 @@
 	e.broadcastLocked()
 }
 
-// SlowBy multiplies the time of each token from the next chunk on; 1 is the usual speed.
+// SlowBy multiplies the time of each token from the next chunk on; 1 is the normal speed.
 func (e *Engine) SlowBy(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -117,28 +120,28 @@
 	e.faults.failedLoads = n
 }
 
-// LoseNextLoadReplies makes the next n loads take effect with their replies lost.
+// LoseNextLoadReplies makes the next n loads return ErrConnection though they take effect.
 func (e *Engine) LoseNextLoadReplies(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.lostLoads = n
 }
 
-// StatusLag makes Status tell the state as it was so long ago.
+// StatusLag makes Status report the status as it was d ago; 0 means the current one.
 func (e *Engine) StatusLag(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.statusLag = d
 }
 
-// CutNextStream breaks the next admitted stream after that many tokens.
+// CutNextStream breaks the connection of the next admitted run after a number of tokens.
 func (e *Engine) CutNextStream(tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.cutNextAfter = tokens
 }
 
-// RefuseConnections refuses new calls; running streams go on.
+// RefuseConnections switches the refusal of new calls on or off; running streams continue.
 func (e *Engine) RefuseConnections(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -173,7 +176,7 @@
 	return nil
 }
 
-// awaitThaw waits while the engine is frozen.
+// awaitThaw waits while the engine is frozen. It returns an error if ctx is done before.
 func (e *Engine) awaitThaw(ctx context.Context) error {
 	for {
 		e.mu.Lock()
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -16,9 +16,9 @@
 	"mulberryscale.example/platform"
 )
 
-// Handler serves the engine over HTTP, as package httpendpoint asks it, and
-// GET /records, GET /events?since=, POST /faults and
-// DELETE /v1/completions/{run_id}. Faults that break a connection do so.
+// Handler serves the API that clients of package httpendpoint call, and GET /records,
+// GET /events?since=, POST /faults and DELETE /v1/completions/{run_id}. Faults that break a
+// connection break the HTTP connection.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+httpendpoint.PathCompletions, e.serveCompletion)
@@ -52,19 +52,20 @@
 	if err != nil {
 		respond.BreakConnection()
 	}
-	// The headers go out at once, so that a waiting run is known to be accepted.
+	// The headers are sent at once, so that the caller knows that a waiting run was accepted.
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
-	_ = session.Flush() // the caller may have gone
+	_ = session.Flush() // fails if the caller has disconnected
 	sendStream(session, body.Request(), stream)
 }
 
-// sendStream sends the events up to the end; a broken run breaks the connection.
+// sendStream sends the events of a run until it completes. If the run is aborted, it breaks the
+// connection.
 func sendStream(session *sse.Session, req endpoint.GenerateRequest, stream endpoint.Stream) {
 	for {
 		chunk, err := stream.Next()
 		if errors.Is(err, io.EOF) {
-			_ = sendData(session, httpendpoint.DoneData) // the caller may have gone
+			_ = sendData(session, httpendpoint.DoneData) // fails if the caller has disconnected
 			return
 		}
 		if err != nil {
@@ -86,7 +87,8 @@
 	return session.Flush()
 }
 
-// engineError answers a call that was refused; other errors break the connection.
+// engineError answers with the status of a refused call or a failed load. For any other error
+// it breaks the connection.
 func engineError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, ErrBadRequest):
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -20,28 +20,28 @@
 	finishLength = "length"
 )
 
-// run is one generation. The engine's mutex guards its fields below ended.
+// run is one generation. The engine's mutex guards the fields from stopWatching on.
 type run struct {
 	req        endpoint.GenerateRequest
 	promptHash uint64
-	// promptTokens is the length of the prompt.
+	// promptTokens is the length of the prompt in tokens.
 	promptTokens int
-	total        int // whole length in tokens, prefix included
+	total        int // length of the complete text in tokens, prefix included
 	reason       string
 	started      time.Time
 	admitted     chan struct{} // closed when the run gets a slot
-	ended        chan struct{} // closed when the run has ended
-	more         chan struct{} // holds a token when chunks were added
+	done         chan struct{} // closed when the run has completed or was aborted
+	more         chan struct{} // holds a value after chunks were added
 
-	forget    func() bool // stops watching the caller's context
-	produced  int         // tokens of the whole text so far, prefix included
-	cutAfter  int         // tokens after which the connection breaks, 0 for never
-	chunks    []endpoint.Chunk
-	text      strings.Builder
-	spans     []api.VersionSpan
-	finished  time.Time
-	cancelled bool
-	err       error
+	stopWatching func() bool // stops watching the caller's context
+	produced     int         // length of the text so far in tokens, prefix included
+	cutAfter     int         // tokens left until the connection breaks; 0 means that it does not
+	chunks       []endpoint.Chunk
+	text         strings.Builder
+	spans        []api.VersionSpan
+	finished     time.Time
+	cancelled    bool
+	err          error
 }
 
 func newRun(req endpoint.GenerateRequest) *run {
@@ -58,7 +58,7 @@
 		reason:       reason,
 		started:      time.Now(),
 		admitted:     make(chan struct{}),
-		ended:        make(chan struct{}),
+		done:         make(chan struct{}),
 		more:         make(chan struct{}, 1),
 		produced:     req.PrefixTokens,
 	}
@@ -72,16 +72,18 @@
 	}
 }
 
-// hasEnded says whether the run has ended. It is called with the engine's mutex held.
-func (r *run) hasEnded() bool {
+// isFinished returns whether the run has completed or was aborted. The caller holds the
+// engine's mutex.
+func (r *run) isFinished() bool {
 	select {
-	case <-r.ended:
+	case <-r.done:
 		return true
 	default:
 		return false
 	}
 }
 
+// signal tells the stream's reader that chunks were added.
 func (r *run) signal() {
 	select {
 	case r.more <- struct{}{}:
@@ -89,7 +91,7 @@
 	}
 }
 
-// admitWaiting gives free slots to the waiting runs in order of arrival.
+// admitWaiting gives free slots to the waiting runs in order of arrival. The caller holds e.mu.
 func (e *Engine) admitWaiting() {
 	for len(e.waiting) > 0 && len(e.running) < e.opts.Slots {
 		r := e.waiting[0]
@@ -100,14 +102,14 @@
 	}
 }
 
-// serve takes a run from its admission to its end.
+// serve waits for a run's admission and generates its text until it completes or is aborted.
 func (e *Engine) serve(r *run) {
 	select {
 	case <-r.admitted:
-	case <-r.ended:
+	case <-r.done:
 		return
 	}
-	if !e.sleep(r, e.prefill(r)) || e.endUnder(r) {
+	if !e.sleep(r, e.prefill(r)) || e.maybeCrash(r) {
 		return
 	}
 	for {
@@ -118,7 +120,7 @@
 	}
 }
 
-// prefill puts the prompt into the cache and returns the time that it takes.
+// prefill puts the prompt into the cache and returns how long the prefill takes.
 func (e *Engine) prefill(r *run) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -127,7 +129,7 @@
 	return time.Duration(tokens-cached) * e.scaled(e.opts.PrefillTime)
 }
 
-// nextChunk is how many tokens the next chunk has and how long it takes.
+// nextChunk returns how many tokens the next chunk has and how long it takes.
 func (e *Engine) nextChunk(r *run) (int, time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -140,24 +142,25 @@
 	return n, time.Duration(perToken * float64(n))
 }
 
+// scaled applies the fault of SlowBy to a duration. The caller holds e.mu.
 func (e *Engine) scaled(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * e.faults.slow)
 }
 
-// sleep waits for d and returns false when the run has ended meanwhile.
+// sleep waits for d. It returns false at once if the run is aborted.
 func (e *Engine) sleep(r *run, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
 		return true
-	case <-r.ended:
+	case <-r.done:
 		return false
 	}
 }
 
-// produce adds n tokens of the version in force. It waits while the engine is
-// frozen or loads the model, and returns false when the run has ended.
+// produce adds n tokens generated by the model's current version. It waits while the engine is
+// frozen or loads the model. It returns false if the run has completed or was aborted.
 func (e *Engine) produce(r *run, n int) bool {
 	for {
 		done, wait := e.tryProduce(r, n)
@@ -166,13 +169,14 @@
 		}
 		select {
 		case <-wait:
-		case <-r.ended:
+		case <-r.done:
 			return false
 		}
 	}
 }
 
-// tryProduce returns a channel to wait on when nothing can be produced now.
+// tryProduce is produce without waiting: if the engine is frozen or loads the model, it returns
+// a channel that is closed when the state changes.
 func (e *Engine) tryProduce(r *run, n int) (done bool, wait <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -184,21 +188,21 @@
 		return false, e.changed
 	}
 	if m.state == endpoint.LoadBroken {
-		e.endRunLocked(r, ErrNotReady)
+		e.finishRunLocked(r, ErrNotReady)
 		return true, nil
 	}
 	e.addChunk(r, n, m.version)
 	if r.cutAfter > 0 {
 		r.cutAfter -= n
 		if r.cutAfter == 0 {
-			e.endRunLocked(r, ErrConnection)
+			e.finishRunLocked(r, ErrConnection)
 			return true, nil
 		}
 	}
 	if r.produced < r.total {
 		return false, nil
 	}
-	e.endRunLocked(r, nil)
+	e.finishRunLocked(r, nil)
 	return true, nil
 }
 
@@ -218,34 +222,36 @@
 	r.signal()
 }
 
-// endRun ends a run that still runs; err nil means that it is whole.
-func (e *Engine) endRun(r *run, err error) {
+// finishRun marks a run as completed if err is nil, and as aborted with err otherwise. It does
+// nothing if the run is already finished.
+func (e *Engine) finishRun(r *run, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.endRunLocked(r, err)
+	e.finishRunLocked(r, err)
 }
 
-func (e *Engine) endRunLocked(r *run, err error) {
+// finishRunLocked is finishRun for callers that hold e.mu.
+func (e *Engine) finishRunLocked(r *run, err error) {
 	if !r.finished.IsZero() {
 		return
 	}
 	r.finished = time.Now()
-	r.forget()
+	r.stopWatching()
 	r.err = err
 	r.cancelled = err != nil
 	isRun := func(o *run) bool { return o == r }
 	e.running = slices.DeleteFunc(e.running, isRun)
 	e.waiting = slices.DeleteFunc(e.waiting, isRun)
-	close(r.ended)
+	close(r.done)
 	e.admitWaiting()
-	e.noteLocked()
+	e.recordStatusLocked()
 }
 
-// stream is a caller's end of a run.
+// stream is the caller's reader of a run.
 type stream struct {
 	engine *Engine
 	run    *run
-	read   int
+	read   int // chunks read
 }
 
 // Next implements endpoint.Stream.
@@ -257,11 +263,12 @@
 		}
 		select {
 		case <-s.run.more:
-		case <-s.run.ended:
+		case <-s.run.done:
 		}
 	}
 }
 
+// poll returns the next chunk, with ok false if there is none yet, or the error of Next.
 func (s *stream) poll() (chunk endpoint.Chunk, ok bool, err error) {
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
@@ -282,6 +289,6 @@
 
 // Close implements endpoint.Stream.
 func (s *stream) Close() error {
-	s.engine.endRun(s.run, context.Canceled)
+	s.engine.finishRun(s.run, context.Canceled)
 	return nil
 }
--- a/internal/standin/engine/status.go
+++ b/internal/standin/engine/status.go
@@ -6,6 +6,7 @@
 	"mulberryscale.example/endpoint"
 )
 
+// statusLocked returns the current status. The caller holds e.mu.
 func (e *Engine) statusLocked() endpoint.Status {
 	s := endpoint.Status{
 		Slots:        e.opts.Slots,
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault is the switchboard that the stand-ins share: a fault by name
-// with its size, as posted to /faults.
+// Package fault defines the faults that can be injected into the stand-ins, and the
+// HTTP handler of /faults, which the stand-ins share.
 package fault
 
 import (
@@ -10,30 +10,31 @@
 	"github.com/gravitational/trace"
 )
 
-// maxBody bounds a fault's JSON, in bytes.
+// maxBody limits the size of a fault's JSON, in bytes.
 const maxBody = 1 << 16
 
-// Kind names a fault. Which of them a stand-in knows is said there.
+// Kind names a fault. The Apply method of each stand-in has the kinds that it supports.
 type Kind string
 
-// Faults. On switches a lasting fault on or off; Count arms a fault for the next calls.
+// Kinds of faults. On switches a persistent fault on or off; Count sets how many of the next
+// calls fail, except for CutStream.
 const (
-	Crash         Kind = "crash"           // state and connections are lost, as after a restart
-	Freeze        Kind = "freeze"          // On: nothing moves, as after SIGSTOP
-	Slow          Kind = "slow"            // Factor or Duration: slower than usual
+	Crash         Kind = "crash"           // connections break, an engine's state is lost, as after a restart
+	Freeze        Kind = "freeze"          // On: the process is suspended, as after SIGSTOP
+	Slow          Kind = "slow"            // Factor: multiplies the time per token; Duration: of each call
 	FailLoads     Kind = "fail_loads"      // Count: loads that fail partway
-	LoseLoads     Kind = "lose_loads"      // Count: replies of loads that are lost
-	StatusLag     Kind = "status_lag"      // Duration: age of the status told
+	LoseLoads     Kind = "lose_loads"      // Count: loads that take effect though their replies are lost
+	StatusLag     Kind = "status_lag"      // Duration: age of the reported status
 	CutStream     Kind = "cut_stream"      // Count: tokens after which the next stream breaks
 	Refuse        Kind = "refuse"          // On: connections are refused
-	FailBeforeRun Kind = "fail_before_run" // Count: calls that break before they run
-	LoseReplies   Kind = "lose_replies"    // Count: replies that are lost after the effect
-	Outage        Kind = "outage"          // On: calls are refused without effect
-	StaleReads    Kind = "stale_reads"     // On: reads see the state of this moment
-	Lag           Kind = "lag"             // Duration: age of a list
+	FailBeforeRun Kind = "fail_before_run" // Count: calls whose connection breaks before they run
+	LoseReplies   Kind = "lose_replies"    // Count: calls that take effect though their replies are lost
+	Outage        Kind = "outage"          // On: calls are refused and have no effect
+	StaleReads    Kind = "stale_reads"     // On: reads return the state as of switching the fault on
+	Lag           Kind = "lag"             // Duration: age of the list that is returned
 )
 
-// Fault is one order to misbehave.
+// Fault is a request to inject a fault. Kind determines which other fields are used.
 type Fault struct {
 	Kind     Kind     `json:"kind"`
 	On       bool     `json:"on,omitempty"`
@@ -57,10 +58,11 @@
 	return err
 }
 
-// Unknown is the error of a stand-in that does not have the fault.
+// Unknown returns the error of a stand-in that does not support a kind of fault.
 func Unknown(k Kind) error { return trace.BadParameter("no such fault here: %q", k) }
 
-// Handler serves POST /faults: it decodes a Fault and applies it.
+// Handler serves POST /faults: it decodes a Fault and passes it to apply. It answers 400 if
+// either fails.
 func Handler(apply func(Fault) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var f Fault
--- a/internal/standin/gate/gate.go
+++ b/internal/standin/gate/gate.go
@@ -1,5 +1,5 @@
-// Package gate stands before the platform's stand-ins: it counts their calls,
-// limits their rates and brings about their faults.
+// Package gate is the admission layer of the platform's stand-ins: it counts their calls,
+// limits their rates and injects outages, delays and lost replies.
 package gate
 
 import (
@@ -14,23 +14,24 @@
 	"mulberryscale.example/platform"
 )
 
-// ErrReplyLost says that the caller got no reply; the write took effect.
+// ErrReplyLost means that a write took effect but its reply was lost.
 var ErrReplyLost = errors.New("reply lost")
 
-// Limits are rates a second; zero means no limit.
+// Limits are the highest rates of reads and writes, per second; zero means no limit.
 type Limits struct {
 	Reads  float64
 	Writes float64
 }
 
-// Counts are the calls so far, refused ones included in Refused only.
+// Counts are the numbers of calls so far. Refused calls count in Refused only; a call that
+// makes several writes counts as so many.
 type Counts struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
 	Refused int64 `json:"refused"`
 }
 
-// Gate is safe for concurrent use.
+// Gate admits, counts and delays the calls of a stand-in. It is safe for concurrent use.
 type Gate struct {
 	mu          sync.Mutex
 	outage      bool
@@ -41,12 +42,13 @@
 	counts      Counts
 }
 
-// New makes a gate without faults.
+// New returns a gate without faults.
 func New(l Limits) *Gate {
 	return &Gate{reads: NewLimiter(l.Reads), writes: NewLimiter(l.Writes)}
 }
 
-// NewLimiter allows perSecond calls a second, in bursts of one second; 0 means no limit.
+// NewLimiter returns a limiter of perSecond calls per second, with bursts of up to one
+// second's calls; 0 means no limit.
 func NewLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -54,29 +56,29 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// Outage refuses all calls without effect while it is on.
+// Outage switches an outage on or off, during which all calls are refused without effect.
 func (g *Gate) Outage(on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.outage = on
 }
 
-// Slow makes each call take d. A write takes effect in the middle, also when
-// its caller has gone by then.
+// Slow makes each call take d. A write takes effect halfway through, even if its caller has
+// given up by then.
 func (g *Gate) Slow(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.slow = d
 }
 
-// LoseNextReplies lets the next n successful writes take effect with their replies lost.
+// LoseNextReplies makes the next n successful writes return ErrReplyLost though they take effect.
 func (g *Gate) LoseNextReplies(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.loseReplies = n
 }
 
-// Counts returns the calls so far.
+// Counts returns the numbers of calls so far.
 func (g *Gate) Counts() Counts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -98,22 +100,23 @@
 	return nil
 }
 
-// Read calls f once the gate lets a read through.
+// Read calls f if the gate admits a read, and returns platform.ErrUnavailable otherwise.
 func (g *Gate) Read(ctx context.Context, f func() error) error {
 	slow, err := g.admit(g.reads, &g.counts.Reads, 1)
 	if err != nil {
 		return err
 	}
-	return inMiddleOf(ctx, slow, f)
+	return callMidway(ctx, slow, f)
 }
 
-// Write calls f once the gate lets n writes through, and may lose its reply.
+// Write calls f if the gate admits n writes, and returns platform.ErrUnavailable otherwise. It
+// returns ErrReplyLost if f succeeded and its reply is to be lost.
 func (g *Gate) Write(ctx context.Context, n int, f func() error) error {
 	slow, err := g.admit(g.writes, &g.counts.Writes, n)
 	if err != nil {
 		return err
 	}
-	if err := inMiddleOf(ctx, slow, f); err != nil {
+	if err := callMidway(ctx, slow, f); err != nil {
 		return err
 	}
 	if g.takeLostReply() {
@@ -144,9 +147,9 @@
 	return true
 }
 
-// inMiddleOf calls f in the middle of d. When ctx ends first it returns at
-// once, and f is still called.
-func inMiddleOf(ctx context.Context, d time.Duration, f func() error) error {
+// callMidway calls f after half of d and returns after d. If ctx is done before, it returns at
+// once with its cause; f is still called.
+func callMidway(ctx context.Context, d time.Duration, f func() error) error {
 	if d <= 0 {
 		return f()
 	}
--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -1,5 +1,5 @@
-// Package instances is a stand-in for the platform's lagging instance list, in
-// process and over HTTP.
+// Package instances is a stand-in for the platform's list of instances, which lags behind the
+// actual state, in process and over HTTP.
 package instances
 
 import (
@@ -21,13 +21,13 @@
 
 // Options configure the list.
 type Options struct {
-	// Lag is how old the list is that is told.
+	// Lag is the age of the list that is returned.
 	Lag time.Duration
-	// Limits are its rates; a call over them is refused.
+	// Limits are the rate limits; a call above them is refused.
 	Limits gate.Limits
 }
 
-// List implements platform.InstanceList.
+// List is the stand-in. It implements platform.InstanceList.
 type List struct {
 	*gate.Gate
 
@@ -39,14 +39,14 @@
 
 var _ platform.InstanceList = (*List)(nil)
 
-// New makes an empty list.
+// New returns an empty list.
 func New(o Options) *List {
 	l := &List{Gate: gate.New(o.Limits), lag: o.Lag, current: make(map[string]platform.Instance)}
 	l.history.Record(time.Now(), nil)
 	return l
 }
 
-// Register adds or replaces an instance, live unless its State says otherwise.
+// Register adds or replaces an instance. An empty State means live.
 func (l *List) Register(i platform.Instance) {
 	if i.State == "" {
 		i.State = platform.InstanceLive
@@ -59,7 +59,7 @@
 	l.change(func() { delete(l.current, id) })
 }
 
-// SetLeaving marks an instance as leaving; an unknown one is left out.
+// SetLeaving marks an instance as leaving; an unknown one is ignored.
 func (l *List) SetLeaving(id string) {
 	l.change(func() {
 		i, known := l.current[id]
@@ -70,13 +70,14 @@
 	})
 }
 
-// SetLag sets how old the list is that is told.
+// SetLag sets the age of the list that is returned.
 func (l *List) SetLag(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lag = d
 }
 
+// change applies f to the current list and records the result.
 func (l *List) change(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/lagging/lagging.go
+++ b/internal/standin/lagging/lagging.go
@@ -1,5 +1,5 @@
-// Package lagging keeps the past states of a value, so that a stand-in can
-// tell an old one.
+// Package lagging keeps the past states of a value, so that a stand-in can report an
+// outdated one.
 package lagging
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// maxEntries bounds the states kept.
+// maxEntries limits the states kept. Above it, the older half is dropped.
 const maxEntries = 4096
 
 type entry[T any] struct {
@@ -16,10 +16,10 @@
 	value T
 }
 
-// History holds past states, oldest first. It is not safe for concurrent use.
+// History holds the states of a value, oldest first. It is not safe for concurrent use.
 type History[T any] struct{ entries []entry[T] }
 
-// Record adds the state from now on.
+// Record adds a state that is current from now on.
 func (h *History[T]) Record(now time.Time, value T) {
 	h.entries = append(h.entries, entry[T]{now, value})
 	if len(h.entries) > maxEntries {
@@ -27,8 +27,8 @@
 	}
 }
 
-// At is the state that was current at t, or the oldest kept. At least one
-// state must have been noted.
+// At returns the state that was current at t, or the oldest one kept. At least one state
+// must have been recorded.
 func (h *History[T]) At(t time.Time) T {
 	after := sort.Search(len(h.entries), func(i int) bool { return h.entries[i].at.After(t) })
 	return h.entries[max(0, after-1)].value
--- a/internal/standin/objects/objects.go
+++ b/internal/standin/objects/objects.go
@@ -18,12 +18,11 @@
 
 // Options configure the store.
 type Options struct {
-	// Limits are its rates; a call over them is refused without effect.
+	// Limits are the rate limits; a call above them is refused without effect.
 	Limits gate.Limits
 }
 
-// Store implements platform.ObjectStore. Its gate switches outage, slowness
-// and lost replies.
+// Store implements platform.ObjectStore. Its Gate injects outages, delays and lost replies.
 type Store struct {
 	*gate.Gate
 
@@ -33,7 +32,7 @@
 
 var _ platform.ObjectStore = (*Store)(nil)
 
-// New makes an empty store.
+// New returns an empty store.
 func New(o Options) *Store {
 	return &Store{Gate: gate.New(o.Limits), objects: make(map[string][]byte)}
 }
@@ -92,7 +91,7 @@
 		respond.PlatformError(w, err)
 		return
 	}
-	_, _ = w.Write(body) // the caller may have gone
+	_, _ = w.Write(body) // fails if the caller has disconnected
 }
 
 func (s *Store) servePut(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/plain/http.go
+++ b/internal/standin/plain/http.go
@@ -10,8 +10,8 @@
 	"mulberryscale.example/internal/standin/respond"
 )
 
-// Handler serves POST /faults, GET /records and, on every other path, Call.
-// Refused connections are broken before the call runs.
+// Handler serves POST /faults, GET /records and, on every other path, Call. A call that fails
+// breaks the connection: if connections are refused, before the call runs.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /faults", fault.Handler(s.Apply))
@@ -36,5 +36,5 @@
 	}
 	maps.Copy(w.Header(), resp.Header)
 	w.WriteHeader(resp.Status)
-	_, _ = w.Write(resp.Body) // the caller may have gone
+	_, _ = w.Write(resp.Body) // fails if the caller has disconnected
 }
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain is a stand-in for a plain service whose calls may not be
-// repeated. It records every execution.
+// Package plain is a stand-in for a plain service, whose calls are not idempotent and must not
+// be retried once they may have run. It records every execution.
 package plain
 
 import (
@@ -17,22 +17,23 @@
 	"mulberryscale.example/internal/standin/fault"
 )
 
-// HeaderRequest is the caller's own name for a request, kept in the records.
+// HeaderRequest is the header with the caller's own identifier of a request, which is kept in
+// the records.
 const HeaderRequest = "X-Request"
 
-// ErrConnection says that the connection broke; the call may have run.
+// ErrConnection means that the connection broke; the call may have run.
 var ErrConnection = errors.New("connection broken")
 
 // Options configure a service.
 type Options struct {
 	ID string
-	// Answer makes the answer of a call; nil means Echo.
+	// Answer returns the response to a call; nil means Echo.
 	Answer func(endpoint.ServiceRequest) endpoint.ServiceResponse
-	// Delay is the time from a call's execution to its answer.
+	// Delay is the time from a call's execution to its response.
 	Delay time.Duration
 }
 
-// Record is one execution.
+// Record describes the execution of one call.
 type Record struct {
 	Request string    `json:"request"` // value of HeaderRequest
 	Method  string    `json:"method"`
@@ -41,7 +42,7 @@
 	At      time.Time `json:"at"`
 }
 
-// Service implements endpoint.Service.
+// Service is the stand-in. It implements endpoint.Service.
 type Service struct {
 	opts Options
 
@@ -56,7 +57,7 @@
 
 var _ endpoint.Service = (*Service)(nil)
 
-// New makes a service.
+// New returns a service.
 func New(o Options) *Service {
 	if o.Answer == nil {
 		o.Answer = Echo
@@ -64,7 +65,7 @@
 	return &Service{opts: o, delay: o.Delay, crashed: make(chan struct{})}
 }
 
-// EchoAnswer is the body of an answer by Echo.
+// EchoAnswer is the body of a response by Echo.
 type EchoAnswer struct {
 	Request string `json:"request"`
 	Method  string `json:"method"`
@@ -79,7 +80,7 @@
 	})
 }
 
-// JSON is an answer with v as its body.
+// JSON returns a response with the given status and v as its JSON body.
 func JSON(status int, v any) endpoint.ServiceResponse {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -101,13 +102,14 @@
 	return s.opts.Answer(req), nil
 }
 
-// execution is a call that has run and whose answer is due.
+// execution is a call that has run and whose response is not sent yet.
 type execution struct {
 	delay   time.Duration
 	lost    bool
 	crashed <-chan struct{}
 }
 
+// execute records a call, unless a fault makes it fail before it runs.
 func (s *Service) execute(req endpoint.ServiceRequest) (execution, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,6 +131,8 @@
 	return e, nil
 }
 
+// wait waits until the response is due. It returns ErrConnection if the service crashes before
+// or the reply is lost.
 func (e execution) wait(ctx context.Context) error {
 	timer := time.NewTimer(e.delay)
 	defer timer.Stop()
@@ -145,14 +149,14 @@
 	return nil
 }
 
-// Records lists every execution in order.
+// Records returns all executions in order.
 func (s *Service) Records() []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.records)
 }
 
-// Crash breaks the connections of all calls that wait for their answer.
+// Crash breaks the connections of all calls that wait for their response.
 func (s *Service) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,7 +164,7 @@
 	s.crashed = make(chan struct{})
 }
 
-// Delay sets the time from a call's execution to its answer.
+// Delay sets the time from a call's execution to its response.
 func (s *Service) Delay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,14 +178,14 @@
 	s.failBefore = n
 }
 
-// LoseNextReplies breaks the connections of the next n calls after they ran.
+// LoseNextReplies breaks the connections of the next n calls after they have run.
 func (s *Service) LoseNextReplies(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loseReplies = n
 }
 
-// RefuseConnections refuses new calls.
+// RefuseConnections switches the refusal of new calls on or off.
 func (s *Service) RefuseConnections(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/plain/plain_test.go
+++ b/internal/standin/plain/plain_test.go
@@ -16,14 +16,14 @@
 func TestCrashBreaksCallsThatRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := plain.New(plain.Options{Delay: time.Minute})
-		ended := make(chan error)
+		result := make(chan error)
 		go func() {
 			_, err := s.Call(t.Context(), endpoint.ServiceRequest{Method: http.MethodPost, Path: "/"})
-			ended <- err
+			result <- err
 		}()
 		synctest.Wait()
 		s.Crash()
-		if err := <-ended; !errors.Is(err, plain.ErrConnection) || len(s.Records()) != 1 {
+		if err := <-result; !errors.Is(err, plain.ErrConnection) || len(s.Records()) != 1 {
 			t.Fatalf("got %v after %d executions", err, len(s.Records()))
 		}
 	})
--- a/internal/standin/respond/respond.go
+++ b/internal/standin/respond/respond.go
@@ -1,4 +1,4 @@
-// Package respond writes the stand-ins' HTTP answers.
+// Package respond writes the HTTP responses of the stand-ins.
 package respond
 
 import (
@@ -11,17 +11,17 @@
 	"mulberryscale.example/platform"
 )
 
-// MaxBody bounds the bodies that a stand-in reads, in bytes.
+// MaxBody limits the request bodies that a stand-in reads, in bytes.
 const MaxBody = 16 << 20
 
-// JSON writes v with a status.
+// JSON writes a response with the given status and v as its JSON body.
 func JSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the caller may have gone
+	_ = json.NewEncoder(w).Encode(v) // fails if the caller has disconnected
 }
 
-// Read decodes a JSON body, or answers 400 and returns false.
+// Read decodes the request's JSON body into v. If that fails, it answers 400 and returns false.
 func Read(w http.ResponseWriter, r *http.Request, v any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxBody)).Decode(v)
 	if err != nil {
@@ -30,11 +30,11 @@
 	return err == nil
 }
 
-// BreakConnection ends the call without an answer; it does not return.
+// BreakConnection aborts the request without a response by a panic; it does not return.
 func BreakConnection() { panic(http.ErrAbortHandler) }
 
-// PlatformError answers an error of package platform; any other error breaks
-// the connection, so that the outcome stays unknown to the caller.
+// PlatformError answers with the status of an error of package platform. For any other error
+// it breaks the connection, so that the caller does not know the outcome.
 func PlatformError(w http.ResponseWriter, err error) {
 	var limited *platform.RateLimitedError
 	switch {
--- a/internal/standin/rowstore/rowstore.go
+++ b/internal/standin/rowstore/rowstore.go
@@ -1,7 +1,6 @@
-// Package rowstore is an in-memory stand-in of the store in which everything
-// that must last is kept, with the outcomes that the real one has: done,
-// refused, done without an answer, not done without an answer, done late. It is
-// for tests.
+// Package rowstore is an in-memory stand-in for the platform's store of durable rows and
+// objects, for tests. Its writes can have each outcome that those of the real store have:
+// done, refused, done with the reply lost, request lost, and done late.
 package rowstore
 
 import (
@@ -16,94 +15,98 @@
 	"mulberryscale.example/store"
 )
 
-// Outcome is what becomes of a write.
+// Outcome is the outcome of a write.
 type Outcome int
 
-// Outcomes.
+// Outcomes of a write.
 const (
+	// Done means that the write is applied if its conditions hold, and answered.
 	Done Outcome = iota
-	// Refused writes nothing and says so.
+	// Refused means that nothing is written and the caller gets store.ErrRefused.
 	Refused
-	// ReplyLost writes and gives no answer.
+	// ReplyLost means that the write is done but the caller gets store.ErrUnknown.
 	ReplyLost
-	// RequestLost writes nothing and gives no answer.
+	// RequestLost means that nothing is written and the caller gets store.ErrUnknown.
 	RequestLost
-	// Late gives no answer and writes after LateBy if its conditions hold then.
+	// Late means that the caller gets store.ErrUnknown at once and the write is done after LateBy,
+	// if its conditions hold then.
 	Late
 )
 
-// LateBy is how much later a Late write is done.
+// LateBy is the delay of a Late write.
 const LateBy = 3 * time.Second
 
-// Store is safe for concurrent use.
+// Store implements store.Rows and store.Objects in memory. It is safe for concurrent use.
 type Store struct {
-	mu       sync.Mutex
-	began    time.Time
-	rows     map[store.Key]store.Row
-	history  []store.Row
-	version  uint64
-	oldest   uint64 // the feed reaches back to here
-	objects  map[string][]byte
-	outcomes []Outcome // of the next writes
-	silent   bool
-	held     bool
-	delay    time.Duration
-	feedRows int // the most rows of a feed's answer; 0 is no bound
-	commits  int
-	changed  chan struct{}
+	mu          sync.Mutex
+	start       time.Time
+	rows        map[store.Key]store.Row
+	history     []store.Row
+	version     uint64
+	oldest      uint64 // version from which on history is kept
+	objects     map[string][]byte
+	outcomes    []Outcome // outcomes of the next writes
+	muted       bool
+	blocked     bool
+	delay       time.Duration
+	maxFeedRows int // limit of the rows in a feed's answer; 0 means no limit
+	commits     int
+	changed     chan struct{}
 }
 
 // New returns an empty store.
 func New() *Store {
 	return &Store{
-		began: time.Now(), rows: map[store.Key]store.Row{}, objects: map[string][]byte{}, changed: make(chan struct{}),
+		start: time.Now(), rows: map[store.Key]store.Row{}, objects: map[string][]byte{}, changed: make(chan struct{}),
 	}
 }
 
-// QueueOutcomes sets the outcomes of the next writes; those after them are Done.
+// QueueOutcomes adds the outcomes of the next writes to a queue. Writes that find the queue
+// empty are Done.
 func (s *Store) QueueOutcomes(outcomes ...Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outcomes = append(s.outcomes, outcomes...)
 }
 
-// Slow delays each answer.
+// Slow makes each commit, list and feed wait for d before it is processed.
 func (s *Store) Slow(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// DropHistory drops the history up to now: feeds that ask for more start anew.
+// DropHistory drops the history up to now. Feeds that ask for an older version get
+// store.ErrHistoryGone and must list the rows again.
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.oldest, s.history = s.version, nil
-	s.wake()
+	s.wakeFeeds()
 }
 
-// MuteFeeds lets feeds hear nothing while it is on.
+// MuteFeeds makes feeds report no changes while it is on: they time out with no rows.
 func (s *Store) MuteFeeds(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent = on
-	s.wake()
+	s.muted = on
+	s.wakeFeeds()
 }
 
-// BlockFeeds gives feeds no answer while it is on; lists are answered.
+// BlockFeeds makes feeds hang while it is on; lists are still answered.
 func (s *Store) BlockFeeds(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held = on
-	s.wake()
+	s.blocked = on
+	s.wakeFeeds()
 }
 
-// LimitFeed cuts the answers of feeds off after n rows, as the real store does at
-// a size of its own. The rest comes with the next call.
+// LimitFeed truncates each answer of a feed after n rows, as the real store does at a size
+// limit of its own. The next call returns the rest.
 func (s *Store) LimitFeed(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.feedRows = n
+	s.maxFeedRows = n
 }
 
 // Rows returns the rows of a table, ordered by part and name.
@@ -127,24 +130,24 @@
 	return slices.Collect(maps.Values(s.rows))
 }
 
-// Commits is the number of transactions done.
+// Commits returns the number of transactions applied.
 func (s *Store) Commits() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.commits
 }
 
-// Now is the store's clock.
-func (s *Store) Now() (time.Duration, bool) { return time.Since(s.began), true }
+// Now returns the time of the store's clock, which starts at 0 with New. It is always known.
+func (s *Store) Now() (time.Duration, bool) { return time.Since(s.start), true }
 
-// wake wakes the feeds. It is called with s.mu held.
-func (s *Store) wake() {
+// wakeFeeds makes all waiting feeds check for changes. The caller holds s.mu.
+func (s *Store) wakeFeeds() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// wait delays a call. A call whose context has ended before it was sent is
-// refused, as a client would say.
+// wait delays a call as Slow says. If ctx is already done, the call counts as not sent and is
+// refused, as by a client; if ctx is done during the delay, the outcome is unknown.
 func (s *Store) wait(ctx context.Context) error {
 	if ctx.Err() != nil {
 		return fmt.Errorf("%w: not sent: %v", store.ErrRefused, context.Cause(ctx))
@@ -183,17 +186,18 @@
 		time.AfterFunc(LateBy, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			_, _ = s.apply(tx) // nobody waits for it
+			_, _ = s.apply(tx) // the caller already got ErrUnknown
 		})
 		return store.Snapshot{}, store.ErrUnknown
 	case ReplyLost:
-		_, _ = s.apply(tx) // its answer is lost
+		_, _ = s.apply(tx) // the reply is lost
 		return store.Snapshot{}, store.ErrUnknown
 	}
 	return s.apply(tx)
 }
 
-// apply is called with s.mu held.
+// apply applies a transaction, or returns store.ErrConflict if one of its conditions does not
+// hold. The caller holds s.mu.
 func (s *Store) apply(tx store.Tx) (store.Snapshot, error) {
 	for _, c := range tx.If {
 		if s.rows[c.Key].Version != c.Version {
@@ -211,19 +215,20 @@
 		delete(s.rows, key)
 		s.history = append(s.history, store.Row{Key: key, Version: s.version, Deleted: true})
 	}
-	s.wake()
+	s.wakeFeeds()
 	return s.snapshot(nil), nil
 }
 
-// Put writes rows as the platform itself does: without conditions, and
-// whatever the outcomes of our writes are.
+// Put writes rows as the platform itself does: without conditions and regardless of the
+// queued outcomes.
 func (s *Store) Put(rows ...store.Row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, _ = s.apply(store.Tx{Put: rows}) // no condition can fail
 }
 
-// Remove deletes rows as the platform itself does.
+// Remove deletes rows as the platform itself does: without conditions and regardless of the
+// queued outcomes.
 func (s *Store) Remove(keys ...store.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -231,7 +236,7 @@
 }
 
 func (s *Store) snapshot(rows []store.Row) store.Snapshot {
-	return store.Snapshot{Rows: rows, Version: s.version, Now: time.Since(s.began)}
+	return store.Snapshot{Rows: rows, Version: s.version, Now: time.Since(s.start)}
 }
 
 // List implements store.Rows.
@@ -259,7 +264,7 @@
 	timeout := time.After(wait)
 	for {
 		s.mu.Lock()
-		if s.held {
+		if s.blocked {
 			changed := s.changed
 			s.mu.Unlock()
 			select {
@@ -274,10 +279,10 @@
 			return store.Snapshot{}, store.ErrHistoryGone
 		}
 		snap, changed := s.snapshot(s.since(table, after)), s.changed
-		if n := s.feedRows; n > 0 && len(snap.Rows) > n {
+		if n := s.maxFeedRows; n > 0 && len(snap.Rows) > n {
 			snap.Rows, snap.Version = snap.Rows[:n], snap.Rows[n-1].Version
 		}
-		if s.silent {
+		if s.muted {
 			snap = store.Snapshot{Version: after, Now: snap.Now}
 		}
 		s.mu.Unlock()
@@ -294,7 +299,7 @@
 	}
 }
 
-// since is called with s.mu held.
+// since returns the changes of a table after a version. The caller holds s.mu.
 func (s *Store) since(table string, after uint64) []store.Row {
 	var rows []store.Row
 	for _, row := range s.history {
@@ -335,27 +340,27 @@
 	return nil
 }
 
-// Client is one process's way to the store, which can be cut.
+// Client is one process's connection to the store. Its calls can be made to fail.
 type Client struct {
 	*Store
-	mu  sync.Mutex
-	cut error
+	mu      sync.Mutex
+	callErr error
 }
 
-// Client returns a way to the store.
+// Client returns a new connection to the store.
 func (s *Store) Client() *Client { return &Client{Store: s} }
 
-// SetError makes each call fail with err; nil mends it.
+// SetError makes each commit, list and feed fail with err; nil lets them succeed again.
 func (c *Client) SetError(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut = err
+	c.callErr = err
 }
 
 func (c *Client) err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cut
+	return c.callErr
 }
 
 // Commit implements store.Rows.
@@ -380,8 +385,8 @@
 		return store.Snapshot{}, err
 	}
 	s, err := c.Store.Feed(ctx, table, after, wait)
-	if cut := c.err(); cut != nil {
-		return store.Snapshot{}, cut
+	if callErr := c.err(); callErr != nil {
+		return store.Snapshot{}, callErr
 	}
 	return s, err
 }
--- a/internal/standin/scorer/scorer.go
+++ b/internal/standin/scorer/scorer.go
@@ -1,5 +1,5 @@
-// Package scorer is a stand-in for the service that scores a trainer's samples.
-// It is a plain stand-in that answers POST /score.
+// Package scorer is a stand-in for the service that scores a trainer's samples. It is a
+// plain.Service that answers POST /score.
 package scorer
 
 import (
@@ -12,7 +12,7 @@
 	"mulberryscale.example/internal/standin/plain"
 )
 
-// Path is where samples are scored.
+// Path is the URL path at which samples are scored.
 const Path = "/score"
 
 // Request is the body of POST /score.
@@ -20,20 +20,20 @@
 	Text string `json:"text"`
 }
 
-// Response is its answer.
+// Response is the body of the answer to POST /score.
 type Response struct {
 	Score float64 `json:"score"` // in [0, 1)
 }
 
-// New makes a scorer; Options.Answer is not used.
+// New returns a scorer. It ignores Options.Answer.
 func New(o plain.Options) *plain.Service {
 	o.Answer = answer
 	return plain.New(o)
 }
 
-// Score is the score of a text, in [0, 1).
+// Score returns the score of a text, in [0, 1). It is derived from a hash of the text.
 func Score(text string) float64 {
-	const bits = 53 // a float64 holds them exactly
+	const bits = 53 // a float64 represents integers of 53 bits exactly
 	return float64(xxhash.Sum64String(text)>>(64-bits)) / (1 << bits)
 }
 
--- a/internal/standin/tableservice/http.go
+++ b/internal/standin/tableservice/http.go
@@ -21,9 +21,8 @@
 	return s.Gate.Apply(f)
 }
 
-// Handler serves the service over HTTP, as package httpplatform asks it, and
-// GET /counts and POST /faults. Lost replies and calls that the caller gave up
-// break the connection.
+// Handler serves the API that clients of package httpplatform call, and GET /counts and
+// POST /faults. A lost reply and a call that its caller cancelled break the connection.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /records", s.serveList)
@@ -57,7 +56,7 @@
 		return
 	}
 	w.Header().Set("ETag", strconv.Quote(string(rec.ETag)))
-	_, _ = w.Write(rec.Value) // the caller may have gone
+	_, _ = w.Write(rec.Value) // fails if the caller has disconnected
 }
 
 func (s *Service) servePut(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/tableservice/tableservice.go
+++ b/internal/standin/tableservice/tableservice.go
@@ -16,29 +16,29 @@
 
 // Options configure the service.
 type Options struct {
-	// Limits are its rates; a call over them is refused without effect.
+	// Limits are the rate limits; a call above them is refused without effect.
 	Limits gate.Limits
 }
 
-// Service implements platform.TableService. Its gate switches outage, slowness
-// and lost replies.
+// Service implements platform.TableService. Its Gate injects outages, delays and lost replies.
 type Service struct {
 	*gate.Gate
 
 	mu      sync.Mutex
 	records map[string]platform.Record
-	stale   map[string]platform.Record // what reads see; nil when they see the truth
-	writes  uint64                     // number of writes ever, for the ETags
+	stale   map[string]platform.Record // snapshot that reads return; nil if they return records
+	writes  uint64                     // number of writes so far; makes the ETags unique
 }
 
 var _ platform.TableService = (*Service)(nil)
 
-// New makes an empty service.
+// New returns an empty service.
 func New(o Options) *Service {
 	return &Service{Gate: gate.New(o.Limits), records: make(map[string]platform.Record)}
 }
 
-// StaleReads makes reads see the state of this moment for as long as it is on.
+// StaleReads switches stale reads on or off. While they are on, reads return the state as it
+// was when they were switched on.
 func (s *Service) StaleReads(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,6 +48,7 @@
 	}
 }
 
+// visible returns the records that reads see. The caller holds s.mu.
 func (s *Service) visible() map[string]platform.Record {
 	if s.stale != nil {
 		return s.stale
@@ -89,6 +90,7 @@
 	return found, nil
 }
 
+// matching returns the records whose keys have the prefix, ordered by key.
 func matching(records map[string]platform.Record, prefix string) []platform.Record {
 	out := []platform.Record{}
 	for _, key := range slices.Sorted(maps.Keys(records)) {
@@ -114,6 +116,7 @@
 	return etags, nil
 }
 
+// apply makes all writes, or none if the condition of one fails. The caller holds s.mu.
 func (s *Service) apply(writes []platform.Write) ([]platform.ETag, error) {
 	for _, w := range writes {
 		if !w.Unconditional && s.records[w.Key].ETag != w.If {
--- a/internal/standin/weights/http.go
+++ b/internal/standin/weights/http.go
@@ -18,8 +18,8 @@
 	Parts   []PartSpec `json:"parts"`
 }
 
-// Handler serves the store over HTTP, as package httpplatform asks it, and
-// POST /models/{model}/versions to publish and POST /faults.
+// Handler serves the API that clients of package httpplatform call, and
+// POST /models/{model}/versions to publish a version and POST /faults.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /models/{model}/latest", s.serveLatest)
@@ -63,7 +63,7 @@
 		return
 	}
 	defer part.Close()
-	_, _ = io.Copy(w, part) // the caller may have gone
+	_, _ = io.Copy(w, part) // fails if the caller has disconnected
 }
 
 func (s *Store) servePublish(w http.ResponseWriter, r *http.Request) {
@@ -82,6 +82,8 @@
 	}
 }
 
+// pathVersion returns the version in the request's path. If it is not a number, it answers 400
+// and returns false.
 func pathVersion(w http.ResponseWriter, r *http.Request) (uint64, bool) {
 	version, err := strconv.ParseUint(r.PathValue("version"), 10, 64)
 	if err != nil {
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -1,5 +1,5 @@
 // Package weights is a stand-in for the platform's rate-limited weight store,
-// in process and over HTTP. The bytes of a part follow from its name.
+// in process and over HTTP. The bytes of a part are generated from its model, version and name.
 package weights
 
 import (
@@ -20,10 +20,10 @@
 	"mulberryscale.example/platform"
 )
 
-// maxPartSize bounds a part, in bytes.
+// maxPartSize limits the size of a part, in bytes.
 const maxPartSize = 256 << 20
 
-// PartSpec is a part to publish.
+// PartSpec describes a part to publish.
 type PartSpec struct {
 	Name string `json:"name"`
 	Size int    `json:"size"` // bytes
@@ -31,8 +31,8 @@
 
 // Options configure the store; zero rates mean no limit.
 type Options struct {
-	// CallsPerSecond is the rate of calls, BytesPerSecond that of the parts' bytes.
-	// A call over them gets a platform.RateLimitedError.
+	// CallsPerSecond limits the rate of calls, BytesPerSecond that of the bytes of parts.
+	// A call above either gets a platform.RateLimitedError.
 	CallsPerSecond float64
 	BytesPerSecond float64
 }
@@ -42,7 +42,7 @@
 	version uint64
 }
 
-// Store implements platform.WeightStore. Its gate switches outage and slowness.
+// Store implements platform.WeightStore. Its Gate injects outages and delays.
 type Store struct {
 	*gate.Gate
 	calls *rate.Limiter
@@ -55,7 +55,7 @@
 
 var _ platform.WeightStore = (*Store)(nil)
 
-// New makes an empty store.
+// New returns an empty store.
 func New(o Options) *Store {
 	return &Store{
 		Gate:      gate.New(gate.Limits{}),
@@ -66,7 +66,7 @@
 	}
 }
 
-// PartContent is the bytes of a part.
+// PartContent returns the bytes of a part.
 func PartContent(model string, version uint64, part PartSpec) []byte {
 	var seed [32]byte
 	binary.LittleEndian.PutUint64(seed[0:], xxhash.Sum64String(model))
@@ -77,7 +77,8 @@
 	return content
 }
 
-// Publish adds a version of a model. Versions only grow.
+// Publish adds a version of a model. It returns platform.ErrPrecondition if the version is not
+// newer than the latest one.
 func (s *Store) Publish(model string, version uint64, parts []PartSpec) error {
 	manifest := platform.WeightManifest{Model: model, Version: version}
 	for _, p := range parts {
@@ -135,6 +136,7 @@
 	return io.NopCloser(bytes.NewReader(PartContent(model, version, part))), nil
 }
 
+// manifest returns the manifest of a version. The caller holds s.mu.
 func (s *Store) manifest(model string, version uint64) (platform.WeightManifest, error) {
 	m, ok := s.manifests[versionKey{model, version}]
 	if !ok {
@@ -143,6 +145,7 @@
 	return m, nil
 }
 
+// part finds a part and takes its bytes from the rate limit. The caller holds s.mu.
 func (s *Store) part(model string, version uint64, name string) (PartSpec, error) {
 	m, err := s.manifest(model, version)
 	if err != nil {
@@ -156,7 +159,7 @@
 	return PartSpec{}, platform.ErrNotFound
 }
 
-// read calls f under the lock once the limit and the gate let it through.
+// read calls f with s.mu held if the rate limit and the gate admit the call.
 func (s *Store) read(ctx context.Context, f func() error) error {
 	if err := spend(s.calls, 1); err != nil {
 		return err
@@ -168,8 +171,8 @@
 	})
 }
 
-// spend takes n from the limiter, or says when to come back. More than a burst
-// counts as one burst.
+// spend takes n from the limiter, or returns a platform.RateLimitedError that says when to
+// retry. An n larger than the limiter's burst counts as one burst.
 func spend(l *rate.Limiter, n int) error {
 	if l.Limit() == rate.Inf {
 		return nil
