--- a/e2e/agentstop_test.go
+++ b/e2e/agentstop_test.go
@@ -16,8 +16,8 @@
 	"mulberryscale.example/wire"
 )
 
-// peer is the keys of a further entry, whose part the test plays.
-func (f *fleet) peer() keys.Source {
+// peerKeys is the keys of a further entry, whose part the test plays.
+func (f *fleet) peerKeys() keys.Source {
 	f.t.Helper()
 	source, err := f.authority.Source("entry-3")
 	if err != nil {
@@ -48,7 +48,7 @@
 func TestSIGTERMCutsNothingOff(t *testing.T) {
 	f := startFleet(t, fleetOptions{tokenTime: 20 * time.Millisecond})
 	agent := f.agents[0]
-	s := f.openRun(f.peer(), agent)
+	s := f.openRun(f.peerKeys(), agent)
 	agent.signal(syscall.SIGTERM)
 	var reply wire.Reply
 	for reply.Done == nil {
@@ -64,7 +64,7 @@
 		t.Fatalf("got %+v", reply.Done)
 	}
 	s.Close()
-	if err := agent.awaitEnd(); err != nil {
+	if err := agent.awaitExit(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -73,7 +73,7 @@
 // before it looks for the next incarnation.
 func TestStopClosesConnections(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
-	source, agent := f.peer(), f.agents[0]
+	source, agent := f.peerKeys(), f.agents[0]
 	f.openRun(source, agent).Close()
 	conn := openConnection(t, source, agent.addr)
 	agent.signal(syscall.SIGTERM)
--- a/e2e/ask_test.go
+++ b/e2e/ask_test.go
@@ -19,7 +19,7 @@
 		eventually(f.t, n.id+" ready", func() error { return f.ready(n) })
 	}
 	for _, e := range f.entries {
-		eventually(f.t, e.id+" hears the agents", func() error { return f.hearsAgents(e) })
+		eventually(f.t, e.id+" hears the agents", func() error { return f.hasAgentHeartbeats(e) })
 	}
 }
 
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// hearsAgents says whether the entry has heard from the running agents, and
+// hasAgentHeartbeats says whether the entry has heard from the running agents, and
 // from no earlier incarnation.
-func (f *fleet) hearsAgents(e *node) error {
+func (f *fleet) hasAgentHeartbeats(e *node) error {
 	statuses, err := statusOf(e)
 	if err != nil {
 		return err
--- a/e2e/claims_test.go
+++ b/e2e/claims_test.go
@@ -51,15 +51,15 @@
 	select {
 	case o := <-done:
 		return o
-	case <-time.After(waitBound):
+	case <-time.After(waitTimeout):
 		f.t.Fatal("the call got no answer")
 		return outcome{}
 	}
 }
 
-// startRunning starts a booking through the first entry and waits until the
+// startExecuting starts a booking through the first entry and waits until the
 // service has executed it.
-func (f *fleet) startRunning(c serviceCall) <-chan outcome {
+func (f *fleet) startExecuting(c serviceCall) <-chan outcome {
 	f.t.Helper()
 	done := startCall(f.t.Context(), f.entries[0].url, c)
 	eventually(f.t, "the service executes the call", func() error {
@@ -76,7 +76,7 @@
 func TestBookingWithEntryKilled(t *testing.T) {
 	f := startFleet(t, fleetOptions{serviceDelay: serviceDelay})
 	c := booking("entry-killed")
-	done := f.startRunning(c)
+	done := f.startExecuting(c)
 	f.entries[0].kill()
 	if o := f.awaitOutcome(done); o.err == nil {
 		t.Fatal("the killed entry answered")
@@ -119,18 +119,18 @@
 // When the outcome of a call is lost, its caller is told so, and no repeat runs
 // the call again, through whichever entry and agent.
 func TestBookingWithOutcomeLost(t *testing.T) {
-	for name, way := range lostOutcomes {
+	for name, outcomeLoss := range lostOutcomes {
 		t.Run(name, func(t *testing.T) {
 			f := startFleet(t, fleetOptions{serviceDelay: serviceDelay})
 			c := booking(name)
-			done := f.startRunning(c)
-			way.lose(f)
-			f.checkLost(c, f.awaitOutcome(done))
-			way.recover(f)
+			done := f.startExecuting(c)
+			outcomeLoss.lose(f)
+			f.checkOutcomeUnknown(c, f.awaitOutcome(done))
+			outcomeLoss.recover(f)
 			for _, e := range f.entries {
-				f.checkLost(c, f.awaitOutcome(startCall(t.Context(), e.url, c)))
+				f.checkOutcomeUnknown(c, f.awaitOutcome(startCall(t.Context(), e.url, c)))
 			}
-			f.checkExecutions(c, way.recorded)
+			f.checkExecutions(c, outcomeLoss.recorded)
 		})
 	}
 }
@@ -143,8 +143,8 @@
 	}
 }
 
-// checkLost checks that a call that ran was refused without saying that it did not.
-func (f *fleet) checkLost(c serviceCall, o outcome) {
+// checkOutcomeUnknown checks that a call that ran was refused without saying that it did not.
+func (f *fleet) checkOutcomeUnknown(c serviceCall, o outcome) {
 	f.t.Helper()
 	if o.err == nil {
 		f.t.Errorf("%s: answered with %q though the answer was lost", c.name, o.body)
@@ -165,7 +165,7 @@
 	for range callers {
 		go func() {
 			for i := range numbers {
-				results <- f.bookUntilSettled(booking(fmt.Sprintf("kills-%d", i)), i)
+				results <- f.bookWithRetries(booking(fmt.Sprintf("kills-%d", i)), i)
 			}
 		}()
 	}
@@ -210,21 +210,21 @@
 	onlyNotRun bool
 }
 
-// bookUntilSettled repeats a booking at one entry after the other, at most a
+// bookWithRetries repeats a booking at one entry after the other, at most a
 // few times.
-func (f *fleet) bookUntilSettled(c serviceCall, turn int) bookingResult {
+func (f *fleet) bookWithRetries(c serviceCall, entry int) bookingResult {
 	const attempts = 4
 	r := bookingResult{name: c.name, onlyNotRun: true}
 	for range attempts {
-		_, err := call(f.t.Context(), f.entries[turn%len(f.entries)].url, c)
+		_, err := call(f.t.Context(), f.entries[entry%len(f.entries)].url, c)
 		o := outcome{err: err}
-		unsent := errors.Is(err, syscall.ECONNREFUSED)
-		r.onlyNotRun = r.onlyNotRun && (o.notRun() || unsent)
+		notSent := errors.Is(err, syscall.ECONNREFUSED)
+		r.onlyNotRun = r.onlyNotRun && (o.notRun() || notSent)
 		if err == nil {
 			r.answered = true
 			return r
 		}
-		turn++
+		entry++
 		time.Sleep(pollInterval)
 	}
 	return r
@@ -236,7 +236,7 @@
 	f := startFleet(t, fleetOptions{tokenTime: slowTokens})
 	f.table.kill()
 	step := f.startStep("1", samples("s", stepSamples, 400))
-	step.await(midStep)
+	step.awaitSamples(midStep)
 	c := booking("table-gone")
 	for _, e := range f.entries {
 		f.checkClaimRefused(c, f.awaitOutcome(startCall(t.Context(), e.url, c)))
--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	f := startFleet(t, fleetOptions{tokenTime: slowTokens})
 	step := f.startStep("1", samples("s", stepSamples, 400))
-	step.await(midStep)
+	step.awaitSamples(midStep)
 	return f, step
 }
 
@@ -56,7 +56,7 @@
 func TestPausedEntryInMidStep(t *testing.T) {
 	f, step := startSlowStep(t)
 	f.entries[0].pause()
-	step.await(midStep) // more come through the other entry
+	step.awaitSamples(midStep) // more come through the other entry
 	f.entries[0].signal(syscall.SIGCONT)
 	step.check()
 	if step.result.Sessions < 2 {
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -75,11 +75,11 @@
 	unreadyDelay time.Duration
 }
 
-// atOnce is how many deployments run at a time.
-const atOnce = 2
+// maxDeployments is how many deployments run at a time.
+const maxDeployments = 2
 
 // fleetSlots holds an item for each running deployment.
-var fleetSlots = make(chan struct{}, atOnce)
+var fleetSlots = make(chan struct{}, maxDeployments)
 
 // startFleet starts 3 engines, a plain service, a scorer, their agents and 2
 // entries in 2 zones, and waits until they know each other.
@@ -88,7 +88,7 @@
 	t.Parallel()
 	fleetSlots <- struct{}{}
 	t.Cleanup(func() { <-fleetSlots })
-	if err := noteSources(); err != nil {
+	if err := statSources(); err != nil {
 		t.Fatal(err)
 	}
 	f := &fleet{t: t, dir: t.TempDir()}
--- a/e2e/main_test.go
+++ b/e2e/main_test.go
@@ -39,9 +39,9 @@
 	return m.Run()
 }
 
-// noteSources looks at the sources of the programs once in a test run, so that
+// statSources looks at the sources of the programs once in a test run, so that
 // the go command's cache of test results depends on them.
-var noteSources = sync.OnceValue(func() error {
+var statSources = sync.OnceValue(func() error {
 	return filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() && path != ".." && entry.Name()[0] == '.' {
 			return fs.SkipDir // .git and directories that went away
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// waitBound is how long a test waits for a condition before it gives up. It is
+// waitTimeout is how long a test waits for a condition before it gives up. It is
 // far longer than any condition takes, so that a busy machine changes no verdict.
-const waitBound = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 // pollInterval is how often a condition is looked at.
 const pollInterval = 20 * time.Millisecond
@@ -28,9 +28,9 @@
 	name string
 	args []string // the program's name first
 
-	cmd   *exec.Cmd
-	log   *lockedBuffer
-	ended chan struct{} // closed when the running process has ended
+	cmd    *exec.Cmd
+	log    *lockedBuffer
+	exited chan struct{} // closed when the running process has ended
 }
 
 // lockedBuffer gathers a process's output.
@@ -82,12 +82,12 @@
 	if err := cmd.Start(); err != nil {
 		p.t.Fatalf("start %s: %v", p.name, err)
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
 		cmd.Wait() // the exit status is read from cmd.ProcessState
-		close(ended)
+		close(exited)
 	}()
-	p.cmd, p.ended = cmd, ended
+	p.cmd, p.exited = cmd, exited
 }
 
 func (p *process) signal(s syscall.Signal) {
@@ -127,18 +127,18 @@
 // kill ends the process with SIGKILL; one that has ended stays so.
 func (p *process) kill() {
 	p.cmd.Process.Kill() // an error says that it has ended
-	<-p.ended
+	<-p.exited
 }
 
-// end says how a process ended that was not to, with its last output.
-func (p *process) end() string {
-	<-p.ended
+// exitReport says how a process ended that was not to, with its last output.
+func (p *process) exitReport() string {
+	<-p.exited
 	return fmt.Sprintf("%s, after\n%s", p.cmd.ProcessState, tail(p.log.String()))
 }
 
 func (p *process) running() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return true
@@ -150,14 +150,14 @@
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return fmt.Errorf("%s: SIGTERM: %w", p.name, err)
 	}
-	return p.awaitEnd()
+	return p.awaitExit()
 }
 
-// awaitEnd waits until the process has ended with status 0 after a SIGTERM.
-func (p *process) awaitEnd() error {
+// awaitExit waits until the process has ended with status 0 after a SIGTERM.
+func (p *process) awaitExit() error {
 	select {
-	case <-p.ended:
-	case <-time.After(waitBound):
+	case <-p.exited:
+	case <-time.After(waitTimeout):
 		return fmt.Errorf("%s did not end after SIGTERM", p.name)
 	}
 	if status := p.cmd.ProcessState.ExitCode(); status != 0 {
@@ -176,7 +176,7 @@
 
 // poll waits until condition returns nil, for at most waitBound.
 func poll(condition func() error) error {
-	end := time.Now().Add(waitBound)
+	end := time.Now().Add(waitTimeout)
 	for {
 		err := condition()
 		if err == nil || time.Now().After(end) {
--- a/e2e/restart_test.go
+++ b/e2e/restart_test.go
@@ -23,7 +23,7 @@
 type balancer struct {
 	f       *fleet
 	unready [2]atomic.Bool
-	turn    atomic.Int64
+	next    atomic.Int64
 }
 
 // healthInterval is how often the balancer asks; it is far below the entries'
@@ -43,7 +43,7 @@
 // do makes a call at one entry after the other until one takes it.
 func (b *balancer) do(ctx context.Context, makeCall func(url string) error) error {
 	for {
-		i := int(b.turn.Add(1)) % len(b.f.entries)
+		i := int(b.next.Add(1)) % len(b.f.entries)
 		if b.unready[i].Load() {
 			i = (i + 1) % len(b.f.entries)
 		}
@@ -64,15 +64,15 @@
 		r.Refusal.Code == api.CodeDraining && r.Refusal.NotRun == api.NotRunTrue
 }
 
-// longTokens is the least length of a long lookup. With slowTokens it runs for
+// minLongTokens is the least length of a long lookup. With slowTokens it runs for
 // longer than a restarting entry shows itself unready.
-const longTokens = 200
+const minLongTokens = 200
 
 // longLookup is lookup number i with a seed that makes its answer long.
 func longLookup(i int, stream bool) api.CompletionRequest {
 	req := lookupRequest(i, stream)
-	req.MaxTokens = 2 * longTokens
-	for engine.LengthOf(req.Prompt, req.Seed, req.MaxTokens) < longTokens {
+	req.MaxTokens = 2 * minLongTokens
+	for engine.LengthOf(req.Prompt, req.Seed, req.MaxTokens) < minLongTokens {
 		req.Seed++
 	}
 	return req
@@ -123,8 +123,8 @@
 	f.awaitReady()
 }
 
-// checkNoneBroken checks that no run of an entry was broken off since its start.
-func (f *fleet) checkNoneBroken() {
+// checkNoBrokenRuns checks that no run of an entry was broken off since its start.
+func (f *fleet) checkNoBrokenRuns() {
 	f.t.Helper()
 	for _, e := range f.entries {
 		for row, reasons := range f.counters(e).Retries {
@@ -169,7 +169,7 @@
 	for _, n := range append(append([]*node{}, f.entries...), f.agents...) {
 		f.restart(n)
 	}
-	f.checkNoneBroken()
+	f.checkNoBrokenRuns()
 	steps := stopTrainer()
 	answered, failures := stopCallers()
 	t.Logf("%d lookups and %d steps", answered, len(steps))
@@ -189,7 +189,7 @@
 func TestScorerAwayInMidStep(t *testing.T) {
 	f := startFleet(t, fleetOptions{tokenTime: slowTokens})
 	step := f.startStep("1", samples("s", stepSamples, 400))
-	step.await(midStep)
+	step.awaitSamples(midStep)
 	scorer := f.agents[len(f.agents)-1]
 	if err := scorer.terminate(); err != nil {
 		t.Error(err)
@@ -210,7 +210,7 @@
 	f := startFleet(t, fleetOptions{serviceDelay: serviceDelay})
 	for _, n := range []*node{f.agents[3], f.entries[0]} {
 		c := booking("stop-of-" + n.id)
-		done := f.startRunning(c)
+		done := f.startExecuting(c)
 		f.restart(n)
 		if o := f.awaitOutcome(done); o.err != nil {
 			t.Errorf("the call in flight at the stop of %s: %v", n.id, o.err)
--- a/e2e/soak_client_test.go
+++ b/e2e/soak_client_test.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// soakDeadline is how long callers wait for one attempt.
-	soakDeadline = 3 * time.Second
-	// soakPause is between two calls of a caller.
-	soakPause = 30 * time.Millisecond
+	// soakAttemptTimeout is the deadline of one attempt of a caller.
+	soakAttemptTimeout = 3 * time.Second
+	// soakCallInterval is the pause between two calls of a caller.
+	soakCallInterval = 30 * time.Millisecond
 )
 
-// soakClient makes requests with connections of its own, which it keeps open.
+// soakClient makes requests over its own keep-alive connections.
 type soakClient struct {
 	w    *soakWorld
 	name string
 	rng  *rand.Rand
 	http *http.Client
 	next int
-	// organisation is whose key it shows; it claims to be of the other one.
+	// organisation is the one whose key the client sends. It claims to belong to the other one.
 	organisation string
 }
 
@@ -37,14 +37,14 @@
 	}
 }
 
-// entry picks one of the entries.
-func (c *soakClient) entry() string { return c.w.entries[c.rng.IntN(len(c.w.entries))].front }
+// entry returns the address of a randomly chosen entry.
+func (c *soakClient) entry() string { return c.w.entries[c.rng.IntN(len(c.w.entries))].clientAddr }
 
-// do makes one attempt at an entry.
+// do makes one attempt at an entry, with the client's own key unless a has one.
 func (c *soakClient) do(ctx context.Context, a ingress.Attempt) (*http.Response, error) {
-	a.Host, a.Deadline = soakHost, soakDeadline
+	a.Host, a.Deadline = soakHost, soakAttemptTimeout
 	if a.Key == "" {
-		a.Key, a.ClaimedOrganisation = keptKey(c.organisation), otherThan(c.organisation)
+		a.Key, a.ClaimedOrganisation = permanentKey(c.organisation), otherOrganisation(c.organisation)
 	}
 	req, err := a.Request(ctx)
 	if err != nil {
@@ -53,9 +53,10 @@
 	return c.http.Do(req)
 }
 
-// call makes one attempt and returns its status, 0 for none, and its body.
+// call makes one attempt and returns the status and the body of the response. The status is
+// 0 if there was no complete response.
 func (c *soakClient) call(ctx context.Context, a ingress.Attempt) (status int, body []byte) {
-	ctx, cancel := context.WithTimeout(ctx, soakDeadline)
+	ctx, cancel := context.WithTimeout(ctx, soakAttemptTimeout)
 	defer cancel()
 	resp, err := c.do(ctx, a)
 	if err != nil {
@@ -71,10 +72,10 @@
 	return resp.StatusCode, body
 }
 
-// write writes a row as the operator or a trainer does, once the store serves.
+// write writes a row as the operator or a trainer does. It waits until the store is available.
 func (w *soakWorld) write(ctx context.Context, row store.Row, err error) {
-	for w.store.away() && ctx.Err() == nil {
-		sleep(ctx, soakPause)
+	for w.store.unavailable() && ctx.Err() == nil {
+		sleep(ctx, soakCallInterval)
 	}
 	w.store.put(row, err)
 }
--- a/e2e/soak_config_test.go
+++ b/e2e/soak_config_test.go
@@ -10,14 +10,14 @@
 	"mulberryscale.example/platform/operator"
 )
 
-// writeSettings lays an instance's settings file, whole at any moment.
+// writeSettings replaces an instance's settings file atomically.
 func (w *soakWorld) writeSettings(m *soakInstance) {
 	text, err := nodefile.Encode(&nodefile.Settings{
 		Node: m.name, IP: m.ip, Zone: zoneOf(m.ip), PeerPort: portPeers, MetricsPort: portMetrics,
 		Clients: addr(m.ip, portFrontInner), Ready: addr(m.ip, portReady), Engine: addr(m.ip, portEngine), Service: serviceEngines,
-		Store: addr(m.ip, portStore+m.usesLink), RowBytes: 64 << 10, ObjectBytes: 8 << 20, StoreWrites: 800,
+		Store: addr(m.ip, portStore+m.activeStoreLink), RowBytes: 64 << 10, ObjectBytes: 8 << 20, StoreWrites: 800,
 		Grace: 8 * time.Second, KeepResults: 2 * time.Minute, Zones: soakZones,
-		Duties: addr(m.ip, portDuties), ReportUsage: true, Lease: soakLease, UsageWindow: soakWindow, UsageDue: soakDue,
+		Duties: addr(m.ip, portDuties), ReportUsage: true, Lease: soakLease, UsageWindow: soakUsageWindow, UsageDue: soakUsageDue,
 	})
 	if err != nil {
 		w.t.Error(err)
@@ -31,7 +31,7 @@
 	}
 }
 
-// configure writes the next configuration, which moves the route of lookups.
+// configure writes the next configuration version, which routes lookups to the other desk service.
 func (w *soakWorld) configure() {
 	w.mu.Lock()
 	w.config++
@@ -42,10 +42,10 @@
 	w.write(w.t.Context(), row, err)
 }
 
-// soakRewardAttempts is how often a reward call may fail before its item is given up.
+// soakRewardAttempts is how many attempts of a reward call may fail before its item fails.
 const soakRewardAttempts = 3
 
-// soakConfig is a configuration that sends lookups to one of the desks.
+// soakConfig returns a configuration that routes lookups to the service desk.
 func soakConfig(version uint64, desk string) *fleetview.Config {
 	c := &fleetview.Config{
 		Version:       version,
@@ -61,13 +61,13 @@
 		r.Backends = []fleetview.Backend{{Service: service, Weight: 1}}
 		c.Routes = append(c.Routes, r)
 	}
-	const short, long, aim = 2500 * time.Millisecond, 6 * time.Second, 300 * time.Millisecond
-	add(fleetview.Route{Name: "look", Prefix: prefixLook, Kind: fleetview.KindSafe, Timeout: short, Objective: aim}, desk)
-	add(fleetview.Route{Name: "book", Prefix: prefixBook, Kind: fleetview.KindUnsafe, MaxAttempts: 2, Timeout: short, Objective: aim}, serviceDesk)
-	add(fleetview.Route{Name: "peek", Prefix: prefixPeek, Kind: fleetview.KindSafe, Timeout: short, Objective: aim}, serviceKiosk)
-	add(fleetview.Route{Name: "tell", Prefix: prefixTell, Kind: fleetview.KindStream, Timeout: long, Objective: aim, Resumable: true}, serviceEngines)
-	add(fleetview.Route{Name: "say", Prefix: prefixSay, Kind: fleetview.KindStream, Timeout: long, Objective: aim}, serviceEngines)
-	add(fleetview.Route{Name: "score", Prefix: prefixScore, Kind: fleetview.KindSafe, Timeout: short, Objective: aim, MaxAttempts: soakRewardAttempts}, serviceDesk)
+	const short, long, objective = 2500 * time.Millisecond, 6 * time.Second, 300 * time.Millisecond
+	add(fleetview.Route{Name: "look", Prefix: prefixLook, Kind: fleetview.KindSafe, Timeout: short, Objective: objective}, desk)
+	add(fleetview.Route{Name: "book", Prefix: prefixBook, Kind: fleetview.KindUnsafe, MaxAttempts: 2, Timeout: short, Objective: objective}, serviceDesk)
+	add(fleetview.Route{Name: "peek", Prefix: prefixPeek, Kind: fleetview.KindSafe, Timeout: short, Objective: objective}, serviceKiosk)
+	add(fleetview.Route{Name: "tell", Prefix: prefixTell, Kind: fleetview.KindStream, Timeout: long, Objective: objective, Resumable: true}, serviceEngines)
+	add(fleetview.Route{Name: "say", Prefix: prefixSay, Kind: fleetview.KindStream, Timeout: long, Objective: objective}, serviceEngines)
+	add(fleetview.Route{Name: "score", Prefix: prefixScore, Kind: fleetview.KindSafe, Timeout: short, Objective: objective, MaxAttempts: soakRewardAttempts}, serviceDesk)
 	for _, m := range soakModels {
 		add(fleetview.Route{
 			Name: m, Prefix: "/" + m + "/", Kind: fleetview.KindBatch, Objective: time.Second, ItemTTL: time.Minute, RunTarget: 5 * time.Second,
--- a/e2e/soak_duties_test.go
+++ b/e2e/soak_duties_test.go
@@ -12,28 +12,28 @@
 	"mulberryscale.example/platform/duties"
 )
 
-// Times of the soak's duties.
+// Timing of the duties, the calls to the platform that only the lease holder makes.
 const (
-	soakLease  = time.Second
-	soakWindow = time.Second
-	soakDue    = 4 * time.Second
-	// soakThaw is how long after its sender was resumed, or its path mended, a call
-	// may arrive late.
-	soakThaw = 300 * time.Millisecond
+	soakLease       = time.Second
+	soakUsageWindow = time.Second
+	soakUsageDue    = 4 * time.Second
+	// soakLateTolerance is how long a delayed call may still arrive after its sender was
+	// resumed or its link restored.
+	soakLateTolerance = 300 * time.Millisecond
 )
 
-// soakDuties stands in for the platform's calls that are the duty of one process
-// at a time, and judges them.
+// soakDuties stands in for the platform's endpoint of the duty calls, which one process at a
+// time may make, and checks the calls.
 type soakDuties struct {
 	record *record
 
-	mu      sync.Mutex
-	counts  map[uint64]map[string]uint64 // reported, by window
-	tokens  map[uint64]string            // machine by token
-	highest uint64
-	calls   []dutyCall
-	excused map[string]time.Time // until when, by machine
-	away    bool
+	mu          sync.Mutex
+	counts      map[uint64]map[string]uint64 // reported usage by window and organisation
+	tokens      map[uint64]string            // machine by fencing token
+	highest     uint64
+	calls       []dutyCall
+	lateUntil   map[string]time.Time // until when calls may arrive late, by machine
+	unavailable bool
 }
 
 type dutyCall struct {
@@ -42,24 +42,24 @@
 }
 
 func newSoakDuties(r *record) *soakDuties {
-	return &soakDuties{record: r, counts: map[uint64]map[string]uint64{}, tokens: map[uint64]string{}, excused: map[string]time.Time{}}
+	return &soakDuties{record: r, counts: map[uint64]map[string]uint64{}, tokens: map[uint64]string{}, lateUntil: map[string]time.Time{}}
 }
 
-// excuse lets a machine's calls arrive late until soakThaw from now.
-func (d *soakDuties) excuse(machine string) {
+// tolerateLateCalls accepts late calls of a machine for soakLateTolerance from now.
+func (d *soakDuties) tolerateLateCalls(machine string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.excused[machine] = time.Now().Add(soakThaw)
+	d.lateUntil[machine] = time.Now().Add(soakLateTolerance)
 }
 
-// set lets the platform take calls without answering them, or answer again.
-func (d *soakDuties) set(away bool) {
+// setUnavailable makes the platform receive calls without answering them, or answer again.
+func (d *soakDuties) setUnavailable(unavailable bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.away = away
+	d.unavailable = unavailable
 }
 
-// serve takes the calls of one machine.
+// serve returns the handler of one machine's calls.
 func (d *soakDuties) serve(machine string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		call, err := duties.Decode(r)
@@ -74,45 +74,47 @@
 			d.record.problem("%s ordered %+v, and no service is scaled", machine, call.Order)
 			return
 		}
-		d.judge(machine, call)
-		if d.away {
+		d.checkCall(machine, call)
+		if d.unavailable {
 			panic(http.ErrAbortHandler)
 		}
 	})
 }
 
-// judge judges a call as the platform does. d.mu is held.
-func (d *soakDuties) judge(machine string, call *duties.Call) {
+// checkCall checks that repeated reports of a window are equal, that a fencing token belongs to
+// one machine and never decreases, and that no machine acts before and after another one within
+// one lease. d.mu is held.
+func (d *soakDuties) checkCall(machine string, call *duties.Call) {
 	d.record.count("duty calls")
 	now := time.Now()
-	if had, ok := d.counts[call.Report.Window]; ok && !maps.Equal(had, call.Report.Counts) {
-		d.record.problem("window %d reported with %v and %v", call.Report.Window, had, call.Report.Counts)
+	if previous, ok := d.counts[call.Report.Window]; ok && !maps.Equal(previous, call.Report.Counts) {
+		d.record.problem("window %d reported with %v and %v", call.Report.Window, previous, call.Report.Counts)
 	}
 	d.counts[call.Report.Window] = call.Report.Counts
-	if now.Before(d.excused[machine]) {
+	if now.Before(d.lateUntil[machine]) {
 		return
 	}
-	if had, ok := d.tokens[call.Fence.Token]; ok && had != machine {
-		d.record.problem("token %d of %s and %s", call.Fence.Token, had, machine)
+	if previous, ok := d.tokens[call.Fence.Token]; ok && previous != machine {
+		d.record.problem("token %d used by %s and %s", call.Fence.Token, previous, machine)
 	}
 	d.tokens[call.Fence.Token] = machine
 	if call.Fence.Token < d.highest {
-		d.record.problem("token %d of %s after %d", call.Fence.Token, machine, d.highest)
+		d.record.problem("token %d used by %s after %d", call.Fence.Token, machine, d.highest)
 	}
 	d.highest = max(d.highest, call.Fence.Token)
 	d.calls = append(d.calls, dutyCall{machine, now})
-	for i, other := len(d.calls)-2, false; i >= 0 && now.Sub(d.calls[i].at) < soakLease; i-- {
+	for i, otherActed := len(d.calls)-2, false; i >= 0 && now.Sub(d.calls[i].at) < soakLease; i-- {
 		switch {
 		case d.calls[i].machine != machine:
-			other = true
-		case other:
+			otherActed = true
+		case otherActed:
 			d.record.problem("%s acts before and after another machine within %s", machine, now.Sub(d.calls[i].at))
 			return
 		}
 	}
 }
 
-// reported sums what was reported of an organisation since a window.
+// reported returns the requests reported for an organisation from the window since on.
 func (d *soakDuties) reported(organisation string, since uint64) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -125,34 +127,34 @@
 	return sum
 }
 
-// openDuties gives an agent's machine its way to the platform's duty calls.
-func (w *soakWorld) openDuties(m *soakInstance) {
+// startDutyServer starts the platform's duty endpoint for an agent's machine, behind a link.
+func (w *soakWorld) startDutyServer(m *soakInstance) {
 	l, err := net.Listen("tcp", addr(m.ip, portDutiesIn))
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	server := &http.Server{Handler: w.duties.serve(m.name)}
-	go server.Serve(l) // ends with close
+	go server.Serve(l) // returns after Close
 	w.t.Cleanup(func() { server.Close() })
 	m.dutyLink = w.link(addr(m.ip, portDuties), addr(m.ip, portDutiesIn))
 }
 
-// settleUsage checks, once no caller but this one is left, that each request that
-// was served from now on is reported once.
-func (w *soakWorld) settleUsage() {
+// checkUsageReports checks that each request served from now on is reported once. No other
+// caller may be running.
+func (w *soakWorld) checkUsageReports() {
 	const requests = 6
 	c := w.client("accountant")
-	time.Sleep(2 * soakWindow) // no run that a caller began before is still counted
-	since := uint64(time.Now().Add(-soakWindow).UnixNano() / int64(soakWindow))
-	before := w.record.runsOf(c.organisation)
-	time.Sleep(soakWindow)
+	time.Sleep(2 * soakUsageWindow) // so that runs of earlier callers are no longer counted
+	since := uint64(time.Now().Add(-soakUsageWindow).UnixNano() / int64(soakUsageWindow))
+	before := w.record.lookupsOf(c.organisation)
+	time.Sleep(soakUsageWindow)
 	for served := 0; served < requests; c.next++ {
 		if c.forward(w.t.Context(), c.entry(), fmt.Sprintf("%s-%d", c.name, c.next), http.MethodGet, prefixLook+fmt.Sprint(c.next), false) {
 			served++
 		}
 	}
 	eventually(w.t, "usage is reported", func() error {
-		want := uint64(w.record.runsOf(c.organisation) - before)
+		want := uint64(w.record.lookupsOf(c.organisation) - before)
 		if got := w.duties.reported(c.organisation, since); got != want {
 			return fmt.Errorf("%d requests of %s reported, %d began", got, c.organisation, want)
 		}
--- a/e2e/soak_engine_test.go
+++ b/e2e/soak_engine_test.go
@@ -15,46 +15,46 @@
 	"mulberryscale.example/platform/enginehttp"
 )
 
-// Sizes and times of the soak's engines.
+// Capacity and timing of the soak's engines.
 const (
-	soakSlots     = 6
-	soakEventTime = 15 * time.Millisecond
-	soakLoadTime  = 300 * time.Millisecond
-	soakHeartbeat = 400 * time.Millisecond
-	// soakSlowReward is how long a slow reward call takes, twice its route's objective.
-	soakSlowReward = 600 * time.Millisecond
-	soakDrain      = 2 * time.Second // how long a draining engine serves on
+	soakSlots          = 6
+	soakEventInterval  = 15 * time.Millisecond
+	soakWeightLoadTime = 300 * time.Millisecond
+	soakHeartbeat      = 400 * time.Millisecond
+	// soakSlowRewardTime is the run time of a slow reward call, twice its route's objective.
+	soakSlowRewardTime = 600 * time.Millisecond
+	soakDrainTime      = 2 * time.Second // how long a draining engine still serves
 )
 
-// soakEngine is an engine of the soak: an enginehttp.StandIn that records what
-// it was asked to do.
+// soakEngine is an engine of the soak: an enginehttp.StandIn that records the
+// requests and orders that it receives.
 type soakEngine struct {
 	service, zone string
-	listen, addr  string // where it listens, and what it tells the store
+	listen, addr  string // the address it listens on, and the one it registers
 	models        []string
 	registry      *registry
 	record        *record
-	faulty        sync.Mutex // held by the one fault that ends and starts it
+	faultLock     sync.Mutex // held by the fault that stops and restarts the engine
 
-	mu       sync.Mutex
-	starts   int
-	life     int // the incarnation that runs, by its start; 0 is none
-	id       string
-	born     int64 // Unix milliseconds
-	server   *http.Server
-	draining bool
-	versions map[string]uint64
-	loading  map[string]bool
-	busy     bool
-	sequence uint64
-	running  int
-	stop     chan struct{}
-	beats    uint64
+	mu          sync.Mutex
+	starts      int
+	incarnation int // number of the start that is running; 0 if stopped
+	id          string
+	startedAt   int64 // Unix milliseconds
+	server      *http.Server
+	draining    bool
+	versions    map[string]uint64
+	loading     map[string]bool
+	busy        bool
+	sequence    uint64
+	running     int
+	stop        chan struct{}
+	heartbeats  uint64
 }
 
-// start starts an incarnation, under the id that the last one had if it is to
-// start again.
-func (e *soakEngine) start(again bool) error {
+// start starts an incarnation, with the previous one's id if sameID is set and a new id
+// otherwise.
+func (e *soakEngine) start(sameID bool) error {
 	l, err := net.Listen("tcp", e.listen)
 	if err != nil {
 		return err
@@ -62,8 +62,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.starts++
-	e.life, e.born = e.starts, time.Now().UnixMilli()
-	if !again {
+	e.incarnation, e.startedAt = e.starts, time.Now().UnixMilli()
+	if !sameID {
 		e.id = fmt.Sprintf("i-%s-%d", strings.ReplaceAll(e.listen, ".", "-"), e.starts)
 		e.id = strings.ReplaceAll(e.id, ":", "-")
 	}
@@ -77,40 +77,40 @@
 	}
 	e.server = &http.Server{Handler: enginehttp.Handler(e)}
 	e.stop = make(chan struct{})
-	go e.server.Serve(l) // ends with the server
-	go e.beat(e.life, e.stop)
+	go e.server.Serve(l) // returns after Close
+	go e.sendHeartbeats(e.incarnation, e.stop)
 	return nil
 }
 
-// crash ends an incarnation at once; its entry lapses by itself.
+// crash stops an incarnation without notice; its registration expires.
 func (e *soakEngine) crash() {
 	e.mu.Lock()
 	server, stop := e.server, e.stop
-	e.life = 0 // runs under way notice that they have ended
+	e.incarnation = 0 // aborts the runs in progress
 	e.mu.Unlock()
 	server.Close()
 	close(stop)
 }
 
-// leave drains and ends an incarnation as planned.
-func (e *soakEngine) leave() {
+// shutDown drains an incarnation, deregisters it and stops it.
+func (e *soakEngine) shutDown() {
 	e.mu.Lock()
 	e.draining = true
-	server, stop, id, life := e.server, e.stop, e.id, e.life
+	server, stop, id, incarnation := e.server, e.stop, e.id, e.incarnation
 	e.mu.Unlock()
-	e.register(life)
-	time.Sleep(soakDrain + soakDrain/2)
+	e.register(incarnation)
+	time.Sleep(soakDrainTime + soakDrainTime/2)
 	close(stop)
 	e.registry.remove(id)
 	e.mu.Lock()
-	e.life = 0
+	e.incarnation = 0
 	e.mu.Unlock()
 	server.Close()
 }
 
-func (e *soakEngine) beat(life int, stop chan struct{}) {
+func (e *soakEngine) sendHeartbeats(incarnation int, stop chan struct{}) {
 	for {
-		e.register(life)
+		e.register(incarnation)
 		select {
 		case <-stop:
 			return
@@ -119,39 +119,39 @@
 	}
 }
 
-// register writes the engine's entry.
-func (e *soakEngine) register(life int) {
+// register writes the engine's registration, unless the incarnation was replaced.
+func (e *soakEngine) register(incarnation int) {
 	e.mu.Lock()
-	if e.life != life {
+	if e.incarnation != incarnation {
 		e.mu.Unlock()
 		return
 	}
-	i, beats := e.entry()
+	i, heartbeats := e.nextRegistration()
 	e.mu.Unlock()
-	e.registry.beat(i, beats)
+	e.registry.heartbeat(i, heartbeats)
 }
 
-// entry is the engine's next entry. It is called with e.mu held.
-func (e *soakEngine) entry() (i fleetview.Instance, beats uint64) {
-	e.beats++
+// nextRegistration returns the engine's next registration and heartbeat count. e.mu is held.
+func (e *soakEngine) nextRegistration() (i fleetview.Instance, heartbeats uint64) {
+	e.heartbeats++
 	return fleetview.Instance{
-		ID: e.id, StartedAt: e.born, Service: e.service, Addr: e.addr, Zone: e.zone, Slots: soakSlots, Draining: e.draining,
+		ID: e.id, StartedAt: e.startedAt, Service: e.service, Addr: e.addr, Zone: e.zone, Slots: soakSlots, Draining: e.draining,
 		Versions: maps.Clone(e.versions),
-	}, e.beats
+	}, e.heartbeats
 }
 
-// startAgain ends an incarnation and starts the next under the same id; at times
-// the former one's last heartbeat arrives late.
-func (e *soakEngine) startAgain(late bool, down time.Duration) error {
+// restartSameID crashes an incarnation and starts the next one with the same id. With
+// lateHeartbeat the previous incarnation's last heartbeat arrives after the restart.
+func (e *soakEngine) restartSameID(lateHeartbeat bool, downtime time.Duration) error {
 	e.mu.Lock()
-	former, beats := e.entry()
+	previous, heartbeats := e.nextRegistration()
 	e.mu.Unlock()
 	e.crash()
-	time.Sleep(down)
+	time.Sleep(downtime)
 	err := e.start(true)
-	if late {
+	if lateHeartbeat {
 		time.Sleep(soakHeartbeat / 4)
-		e.registry.beat(former, beats)
+		e.registry.heartbeat(previous, heartbeats)
 	}
 	return err
 }
@@ -160,45 +160,45 @@
 func (e *soakEngine) Report() batch.Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return batch.Report{StartedAt: e.born, Busy: e.busy, Sequence: e.sequence, Running: e.running, Versions: maps.Clone(e.versions)}
+	return batch.Report{StartedAt: e.startedAt, Busy: e.busy, Sequence: e.sequence, Running: e.running, Versions: maps.Clone(e.versions)}
 }
 
-// Order implements enginehttp.StandIn: it changes the weights of a model.
+// Order implements enginehttp.StandIn: it starts to load another weight version of a model.
 func (e *soakEngine) Order(o batch.Order) enginehttp.OrderAnswer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.record.ordered(e.listen, o.Holder, o.Token)
+	e.record.checkOrder(e.listen, o.Holder, o.Token)
 	switch {
-	case e.life == 0 || o.Instance != e.id:
+	case e.incarnation == 0 || o.Instance != e.id:
 		return enginehttp.OrderMisdirected
 	case e.versions[o.Model] == o.Version:
 		return enginehttp.OrderAlreadyApplied
-	case e.versions[o.Model] == 0 || e.record.named(o.Model) < o.Version:
+	case e.versions[o.Model] == 0 || e.record.namedVersion(o.Model) < o.Version:
 		return enginehttp.OrderInvalid
 	case e.busy || o.Sequence != e.sequence:
 		return enginehttp.OrderConflict
 	}
 	e.busy, e.loading[o.Model] = true, true
 	e.sequence++
-	go e.load(e.life, o.Model, o.Version)
+	go e.loadWeights(e.incarnation, o.Model, o.Version)
 	return enginehttp.OrderAccepted
 }
 
-func (e *soakEngine) load(life int, model string, version uint64) {
-	time.Sleep(soakLoadTime)
+func (e *soakEngine) loadWeights(incarnation int, model string, version uint64) {
+	time.Sleep(soakWeightLoadTime)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.life == life {
+	if e.incarnation == incarnation {
 		e.busy, e.loading[model], e.versions[model] = false, false, version
 	}
 }
 
-// admit takes a request in, or declines it.
-func (e *soakEngine) admit(a enginehttp.ReceivedRequest, w *enginehttp.AnswerWriter) (id string, life int, ok bool) {
+// admit takes a slot for a request, or declines the request.
+func (e *soakEngine) admit(a enginehttp.ReceivedRequest, w *enginehttp.AnswerWriter) (id string, incarnation int, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case e.life == 0 || (a.Instance != "" && a.Instance != e.id):
+	case e.incarnation == 0 || (a.Instance != "" && a.Instance != e.id):
 		w.Decline(true)
 		return "", 0, false
 	case e.running >= soakSlots || e.loading[a.Model]:
@@ -206,97 +206,97 @@
 		return "", 0, false
 	}
 	e.running++
-	return e.id, e.life, true
+	return e.id, e.incarnation, true
 }
 
-// release gives the slot of a run back, if its incarnation still runs.
-func (e *soakEngine) release(life int) {
+// release frees the slot of a run, if its incarnation still runs.
+func (e *soakEngine) release(incarnation int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.life == life {
+	if e.incarnation == incarnation {
 		e.running--
 	}
 }
 
-// version is the weights that make the next event; ok is false once the
-// incarnation has ended.
-func (e *soakEngine) version(life int, model string) (version uint64, ok bool) {
+// version returns the weight version that produces the next event; ok is false once the
+// incarnation has crashed or was shut down.
+func (e *soakEngine) version(incarnation int, model string) (version uint64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.versions[model], e.life == life
+	return e.versions[model], e.incarnation == incarnation
 }
 
 // Run implements enginehttp.StandIn.
 func (e *soakEngine) Run(ctx context.Context, a enginehttp.ReceivedRequest, w *enginehttp.AnswerWriter) {
-	id, life, ok := e.admit(a, w)
+	id, incarnation, ok := e.admit(a, w)
 	if !ok {
 		return
 	}
-	defer e.release(life)
-	e.record.began(e.service, a)
+	defer e.release(incarnation)
+	e.record.runStarted(e.service, a)
 	if strings.HasPrefix(a.Target, prefixCrash) {
-		e.crashUnder(a)
+		e.crashOn(a)
 		w.Abort()
 	}
-	w.Accept(stampOf(id, a.ID))
+	w.Accept(signatureOf(id, a.ID))
 	kind := kindOf(a.ID)
 	switch {
 	case kind == itemImpossible:
 		w.Fail(true)
-	case kind == itemFailing, kind == itemFailsOnce && e.record.failOnce(a.ID):
+	case kind == itemAlwaysFails, kind == itemFailsOnce && e.record.firstFailure(a.ID):
 		w.Fail(false)
 	case strings.HasPrefix(a.Target, prefixScore):
 		e.score(ctx, a, w)
 	case strings.HasPrefix(a.Target, prefixLook) || strings.HasPrefix(a.Target, prefixBook) || strings.HasPrefix(a.Target, prefixPeek):
 		e.answer(ctx, a, w)
 	default:
-		e.stream(ctx, life, a, w)
+		e.streamEvents(ctx, incarnation, a, w)
 	}
 }
 
-// answer answers as a whole, or breaks off once it has run the request.
+// answer runs a request and writes its body, or aborts the response after the run.
 func (e *soakEngine) answer(ctx context.Context, a enginehttp.ReceivedRequest, w *enginehttp.AnswerWriter) {
-	if !sleep(ctx, workOf(a.ID)) || losesAnswer(a.ID) {
+	if !sleep(ctx, durationOf(a.ID)) || abortsAnswer(a.ID) {
 		w.Abort()
 	}
 	if err := w.WriteBody(answerOf(a.ID, a.Body)); err != nil {
-		e.record.count("answers that nobody took")
+		e.record.count("answers not received")
 	}
 }
 
-// score answers a reward call as its kind says.
+// score answers a reward call according to its kind.
 func (e *soakEngine) score(ctx context.Context, a enginehttp.ReceivedRequest, w *enginehttp.AnswerWriter) {
 	kind := rewardKindOf(a.ID)
-	work := workOf(a.ID)
+	work := durationOf(a.ID)
 	if kind == rewardSlow {
-		work = soakSlowReward
+		work = soakSlowRewardTime
 	}
 	switch {
-	case !sleep(ctx, work), kind == rewardLostOnce && e.record.failOnce(a.ID):
+	case !sleep(ctx, work), kind == rewardAbortsOnce && e.record.firstFailure(a.ID):
 		w.Abort()
-	case kind == rewardFailing, kind == rewardFailsOnce && e.record.failOnce(a.ID):
-		e.record.rewardFails(a.ID)
+	case kind == rewardAlwaysFails, kind == rewardFailsOnce && e.record.firstFailure(a.ID):
+		e.record.rewardFailed(a.ID)
 		w.Fail(false)
 		return
 	}
 	if err := w.WriteBody(answerOf(a.ID, a.Body)); err != nil {
-		e.record.count("scores that nobody took")
+		e.record.count("scores not received")
 	}
 }
 
-// stream makes the events of a text after the last that is known.
-func (e *soakEngine) stream(ctx context.Context, life int, a enginehttp.ReceivedRequest, w *enginehttp.AnswerWriter) {
-	for n := a.After + 1; n <= eventsOf(a.ID); n++ {
-		if !sleep(ctx, soakEventTime) {
+// streamEvents produces the events of a text after the last one that the caller has.
+func (e *soakEngine) streamEvents(ctx context.Context, incarnation int, a enginehttp.ReceivedRequest, w *enginehttp.AnswerWriter) {
+	for n := a.After + 1; n <= eventCountOf(a.ID); n++ {
+		if !sleep(ctx, soakEventInterval) {
 			w.Abort()
 		}
-		version, ok := e.version(life, a.Model)
+		version, ok := e.version(incarnation, a.Model)
 		if !ok {
 			w.Abort()
 		}
-		e.record.madeEvent(a.ID, n, version)
+		e.record.eventProduced(a.ID, n, version)
 		if err := w.Event(n, version, eventOf(a.ID, n)); err != nil {
-			e.record.count("events that nobody took")
+			e.record.count("events not received")
 			w.Abort()
 		}
 	}
--- a/e2e/soak_faults_test.go
+++ b/e2e/soak_faults_test.go
@@ -11,8 +11,8 @@
 	"mulberryscale.example/internal/standin/rowstore"
 )
 
-// soakFaults are the kinds of trouble; each does its harm, waits, and mends it.
-// New ones come last, so that a seed draws the same from those that were there.
+// soakFaults are the kinds of faults. Each injects its fault, waits, and repairs it.
+// New kinds are appended, so that existing seeds draw the same faults as before.
 var soakFaults = []struct {
 	name string
 	do   func(w *soakWorld, rng *rand.Rand)
@@ -24,61 +24,61 @@
 	{"kill all agents", func(w *soakWorld, rng *rand.Rand) { w.killAll(rng, w.agents) }},
 	{"kill all entries", func(w *soakWorld, rng *rand.Rand) { w.killAll(rng, w.entries) }},
 	{"roll", func(w *soakWorld, rng *rand.Rand) { w.terminate(w.instance(rng)); w.terminate(w.instance(rng)) }},
-	{"store away", func(w *soakWorld, rng *rand.Rand) { w.storeAway(rng) }},
+	{"store away", func(w *soakWorld, rng *rand.Rand) { w.storeOutage(rng) }},
 	{"store slow", func(w *soakWorld, rng *rand.Rand) {
 		w.store.rows.Slow(time.Duration(50+rng.IntN(400)) * time.Millisecond)
-		span(rng, 500, 2500)
+		sleepBetween(rng, 500, 2500)
 		w.store.rows.Slow(0)
 	}},
 	{"store forgets", func(w *soakWorld, _ *rand.Rand) { w.store.rows.Forget() }},
 	{"store loses answers", func(w *soakWorld, rng *rand.Rand) { w.loseAnswers(rng) }},
-	{"store path", func(w *soakWorld, rng *rand.Rand) { m := w.instance(rng); harm(rng, m.storeLinks...) }},
-	{"engine path", func(w *soakWorld, rng *rand.Rand) { harm(rng, w.agents[rng.IntN(len(w.agents))].link) }},
-	{"desk path", func(w *soakWorld, rng *rand.Rand) { harm(rng, w.deskLinks[rng.IntN(len(w.deskLinks))]) }},
-	{"client path", func(w *soakWorld, rng *rand.Rand) { harm(rng, w.entries[rng.IntN(len(w.entries))].link) }},
-	{"engine crash", func(w *soakWorld, rng *rand.Rand) { w.crash(rng, w.engine(rng)) }},
-	{"engine leaves", func(w *soakWorld, rng *rand.Rand) { w.leave(rng, w.engine(rng)) }},
+	{"store path", func(w *soakWorld, rng *rand.Rand) { m := w.instance(rng); disruptLinks(rng, m.storeLinks...) }},
+	{"engine path", func(w *soakWorld, rng *rand.Rand) { disruptLinks(rng, w.agents[rng.IntN(len(w.agents))].link) }},
+	{"desk path", func(w *soakWorld, rng *rand.Rand) { disruptLinks(rng, w.deskLinks[rng.IntN(len(w.deskLinks))]) }},
+	{"client path", func(w *soakWorld, rng *rand.Rand) { disruptLinks(rng, w.entries[rng.IntN(len(w.entries))].link) }},
+	{"engine crash", func(w *soakWorld, rng *rand.Rand) { w.crashEngine(rng, w.engine(rng)) }},
+	{"engine leaves", func(w *soakWorld, rng *rand.Rand) { w.shutDownEngine(rng, w.engine(rng)) }},
 	{"configuration", func(w *soakWorld, rng *rand.Rand) {
 		for range 1 + rng.IntN(3) {
 			w.configure()
-			span(rng, 50, 600)
+			sleepBetween(rng, 50, 600)
 		}
 	}},
-	{"engine starts again", func(w *soakWorld, rng *rand.Rand) { w.startAgain(rng, w.engine(rng)) }},
-	{"foreign entry", func(w *soakWorld, rng *rand.Rand) { w.reg.foreign(rng) }},
+	{"engine starts again", func(w *soakWorld, rng *rand.Rand) { w.restartSameID(rng, w.engine(rng)) }},
+	{"foreign entry", func(w *soakWorld, rng *rand.Rand) { w.registry.writeForeignRow(rng) }},
 	{"duty path", func(w *soakWorld, rng *rand.Rand) {
 		m := w.agents[rng.IntN(len(w.agents))]
-		harm(rng, m.dutyLink)
-		w.duties.excuse(m.name)
+		disruptLinks(rng, m.dutyLink)
+		w.duties.tolerateLateCalls(m.name)
 	}},
 	{"duties away", func(w *soakWorld, rng *rand.Rand) {
-		w.duties.set(true)
-		span(rng, 300, 4000)
-		w.duties.set(false)
+		w.duties.setUnavailable(true)
+		sleepBetween(rng, 300, 4000)
+		w.duties.setUnavailable(false)
 	}},
-	{"request that crashes endpoints", func(w *soakWorld, rng *rand.Rand) { w.crashing(rng) }},
+	{"request that crashes endpoints", func(w *soakWorld, rng *rand.Rand) { w.sendCrashingRequests(rng) }},
 }
 
-// disturb draws faults of the first so many kinds until the soak's time is over,
-// and mends all at the end.
-func (w *soakWorld) disturb(kinds int) {
+// injectFaults draws faults from the first kinds entries of soakFaults until the soak's time
+// is over, and waits until all are repaired.
+func (w *soakWorld) injectFaults(kinds int) {
 	rng := rand.New(rand.NewPCG(w.seed, 0))
 	var faults sync.WaitGroup
-	for time.Since(w.began) < *soakTime {
+	for time.Since(w.faultsStarted) < *soakTime {
 		f := soakFaults[rng.IntN(kinds)]
-		own := rand.New(rand.NewPCG(rng.Uint64(), 2))
+		faultRNG := rand.New(rand.NewPCG(rng.Uint64(), 2))
 		faults.Go(func() {
 			w.note("fault: %s", f.name)
-			f.do(w, own)
-			w.note("mended: %s", f.name)
+			f.do(w, faultRNG)
+			w.note("repaired: %s", f.name)
 		})
-		span(rng, 100, 1300)
+		sleepBetween(rng, 100, 1300)
 	}
 	faults.Wait()
 }
 
-// span waits between so many and so many milliseconds.
-func span(rng *rand.Rand, least, most int) {
+// sleepBetween sleeps for a random time in [least, most) milliseconds.
+func sleepBetween(rng *rand.Rand, least, most int) {
 	time.Sleep(time.Duration(least+rng.IntN(most-least)) * time.Millisecond)
 }
 
@@ -98,80 +98,80 @@
 	return w.desks[n-len(w.agents)]
 }
 
-// kill kills a process and starts it again.
+// kill sends SIGKILL to a process and starts it again.
 func (w *soakWorld) kill(rng *rand.Rand, m *soakInstance) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	w.note("kill %s", m.name)
 	m.process.kill()
-	span(rng, 100, 1500)
-	w.start(m)
+	sleepBetween(rng, 100, 1500)
+	w.startAgain(m)
 }
 
 func (w *soakWorld) killAll(rng *rand.Rand, instances []*soakInstance) {
 	var all sync.WaitGroup
 	for _, m := range instances {
-		own := rand.New(rand.NewPCG(rng.Uint64(), 3))
-		all.Go(func() { w.kill(own, m) })
+		processRNG := rand.New(rand.NewPCG(rng.Uint64(), 3))
+		all.Go(func() { w.kill(processRNG, m) })
 	}
 	all.Wait()
 }
 
-// start starts a process that has ended.
-func (w *soakWorld) start(m *soakInstance) {
-	m.logged = len(m.process.log.String())
+// startAgain starts a process that has exited.
+func (w *soakWorld) startAgain(m *soakInstance) {
+	m.logOffset = len(m.process.log.String())
 	m.process.start()
 }
 
-// begun says whether the running process has told that it starts, after it
-// began to hear signals.
-func (m *soakInstance) begun() bool {
-	return strings.Contains(m.process.log.String()[m.logged:], "starting")
+// started reports whether the running process has logged its start, which it does once its
+// signal handlers are installed.
+func (m *soakInstance) started() bool {
+	return strings.Contains(m.process.log.String()[m.logOffset:], "starting")
 }
 
-// endedByHangup is how a process ends that a hangup meets before it hears signals.
-const endedByHangup = "signal: hangup"
+// killedByHangup is the exit state of a process that got SIGHUP before it handled signals.
+const killedByHangup = "signal: hangup"
 
-// awaitBegun waits until a process that got a hangup right after its start has
-// begun, and starts it again if the hangup ended it before it heard signals.
-// Nothing else may have ended it.
-func (w *soakWorld) awaitBegun(m *soakInstance) {
+// awaitStarted waits until a process that got SIGHUP right after its start has started. It
+// starts the process again if SIGHUP terminated it before its signal handlers were installed.
+// Any other exit is a problem.
+func (w *soakWorld) awaitStarted(m *soakInstance) {
 	err := poll(func() error {
-		if m.process.running() && !m.begun() {
-			return errors.New("neither begun nor ended")
+		if m.process.running() && !m.started() {
+			return errors.New("neither started nor exited")
 		}
 		return nil
 	})
 	switch {
 	case err != nil:
-		w.record.problem("%s after a hangup: %v", m.name, err)
+		w.record.problem("%s after SIGHUP: %v", m.name, err)
 	case m.process.running():
-	case m.begun() || m.process.cmd.ProcessState.String() != endedByHangup:
-		w.record.problem("%s has ended by itself: %s", m.name, m.process.end())
-		w.start(m)
+	case m.started() || m.process.cmd.ProcessState.String() != killedByHangup:
+		w.record.problem("%s has ended by itself: %s", m.name, m.process.exitReport())
+		w.startAgain(m)
 	default:
-		w.note("%s was ended by a hangup before it began", m.name)
-		w.start(m)
+		w.note("%s was terminated by SIGHUP before it handled signals", m.name)
+		w.startAgain(m)
 	}
 }
 
-// terminate stops a process as planned and starts it again.
+// terminate stops a process with SIGTERM and starts it again.
 func (w *soakWorld) terminate(m *soakInstance) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	w.note("terminate %s", m.name)
-	begun := m.begun()
+	started := m.started()
 	if err := m.process.terminate(); err != nil {
 		m.process.kill()
-		// Before a program hears signals, SIGTERM simply ends it.
-		if begun {
+		// Before a program handles signals, SIGTERM terminates it without a drain.
+		if started {
 			w.record.problem("%v", err)
 		}
 	}
-	w.start(m)
+	w.startAgain(m)
 }
 
-// pause stops a process for a while without its knowing.
+// pause stops a process for a while with SIGSTOP.
 func (w *soakWorld) pause(rng *rand.Rand, m *soakInstance) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -182,39 +182,39 @@
 			return
 		}
 		if s == syscall.SIGSTOP {
-			span(rng, 200, 4000)
+			sleepBetween(rng, 200, 4000)
 			continue
 		}
-		w.duties.excuse(m.name)
+		w.duties.tolerateLateCalls(m.name)
 	}
 }
 
-// hangUp moves a process to its instance's other link to the store.
+// hangUp switches a process to its instance's other link to the store, with SIGHUP.
 func (w *soakWorld) hangUp(m *soakInstance) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	w.note("hang up %s", m.name)
-	m.usesLink = 1 - m.usesLink
+	m.activeStoreLink = 1 - m.activeStoreLink
 	w.writeSettings(m)
-	begun := m.begun()
+	started := m.started()
 	if err := m.process.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		w.record.problem("%s has ended by itself: %v", m.name, err)
 	}
-	if !begun {
-		w.awaitBegun(m)
+	if !started {
+		w.awaitStarted(m)
 	}
 }
 
-func (w *soakWorld) storeAway(rng *rand.Rand) {
+func (w *soakWorld) storeOutage(rng *rand.Rand) {
 	modes := []storeMode{storeLimited, storeRefuses, storeHangs, storeResets}
 	mode := modes[rng.IntN(len(modes))]
 	w.note("store mode %d", mode)
 	w.store.set(mode)
-	span(rng, 300, 4000)
+	sleepBetween(rng, 300, 4000)
 	w.store.set(storeServes)
 }
 
-// loseAnswers leaves the outcomes of the next writes open.
+// loseAnswers makes the outcomes of the next writes unknown to the writers.
 func (w *soakWorld) loseAnswers(rng *rand.Rand) {
 	outcomes := []rowstore.Outcome{rowstore.Refused, rowstore.Lost, rowstore.Dropped, rowstore.Late}
 	for range 3 + rng.IntN(6) {
@@ -222,63 +222,63 @@
 	}
 }
 
-// harm disturbs links in one way, and mends them.
-func harm(rng *rand.Rand, links ...*link) {
+// disruptLinks injects one kind of network fault into links for a while, then restores them.
+func disruptLinks(rng *rand.Rand, links ...*link) {
 	states := []linkState{
 		{delay: time.Duration(20+rng.IntN(300)) * time.Millisecond}, {cutUp: true}, {cutDown: true},
 		{cutUp: true, cutDown: true}, {refuse: true},
 	}
-	how := rng.IntN(len(states) + 2)
+	choice := rng.IntN(len(states) + 2)
 	for _, k := range links {
-		switch how {
+		switch choice {
 		case len(states):
 			k.silence()
 		case len(states) + 1:
 			k.reset()
 		default:
-			k.set(states[how])
+			k.set(states[choice])
 		}
 	}
-	span(rng, 200, 3000)
+	sleepBetween(rng, 200, 3000)
 	for _, k := range links {
 		k.set(linkState{})
 	}
 }
 
-// crash ends an engine and starts it again, unless another fault has it.
-func (w *soakWorld) crash(rng *rand.Rand, e *soakEngine) {
-	if !e.faulty.TryLock() {
+// crashEngine crashes an engine and starts it again, unless another fault holds it.
+func (w *soakWorld) crashEngine(rng *rand.Rand, e *soakEngine) {
+	if !e.faultLock.TryLock() {
 		return
 	}
-	defer e.faulty.Unlock()
+	defer e.faultLock.Unlock()
 	e.crash()
-	span(rng, 300, 2000)
-	w.restart(e)
+	sleepBetween(rng, 300, 2000)
+	w.startEngineAgain(e)
 }
 
-// startAgain lets an engine start again under its id, unless another fault has it.
-func (w *soakWorld) startAgain(rng *rand.Rand, e *soakEngine) {
-	if !e.faulty.TryLock() {
+// restartSameID crashes an engine and restarts it with its id, unless another fault holds it.
+func (w *soakWorld) restartSameID(rng *rand.Rand, e *soakEngine) {
+	if !e.faultLock.TryLock() {
 		return
 	}
-	defer e.faulty.Unlock()
-	down := time.Duration(rng.IntN(1000)) * time.Millisecond
-	if err := e.startAgain(rng.IntN(2) == 0, down); err != nil {
+	defer e.faultLock.Unlock()
+	downtime := time.Duration(rng.IntN(1000)) * time.Millisecond
+	if err := e.restartSameID(rng.IntN(2) == 0, downtime); err != nil {
 		w.record.problem("engine at %s: %v", e.listen, err)
 	}
 }
 
-func (w *soakWorld) leave(rng *rand.Rand, e *soakEngine) {
-	if !e.faulty.TryLock() {
+func (w *soakWorld) shutDownEngine(rng *rand.Rand, e *soakEngine) {
+	if !e.faultLock.TryLock() {
 		return
 	}
-	defer e.faulty.Unlock()
-	e.leave()
-	span(rng, 300, 1500)
-	w.restart(e)
+	defer e.faultLock.Unlock()
+	e.shutDown()
+	sleepBetween(rng, 300, 1500)
+	w.startEngineAgain(e)
 }
 
-func (w *soakWorld) restart(e *soakEngine) {
+func (w *soakWorld) startEngineAgain(e *soakEngine) {
 	if err := e.start(false); err != nil {
 		w.record.problem("engine at %s: %v", e.listen, err)
 	}
--- a/e2e/soak_link_test.go
+++ b/e2e/soak_link_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// linkState is what a link does to the bytes that pass it. The zero value
-// passes them on.
+// linkState is the network fault that a link simulates. The zero value forwards
+// everything at once.
 type linkState struct {
-	// delay is added to each piece, in either direction.
+	// delay is added to each read, in either direction.
 	delay time.Duration
-	// cutUp and cutDown hold back what clients and what the server send.
+	// cutUp holds back the bytes of clients, cutDown those of the server.
 	cutUp, cutDown bool
-	// refuse resets new connections.
+	// refuse makes the link reset new connections.
 	refuse bool
 }
 
@@ -33,11 +33,11 @@
 // pipe is one connection through a link.
 type pipe struct {
 	client, server net.Conn
-	// silent pipes pass nothing on until they are closed; closed ones are done.
+	// silent pipes forward nothing until they are closed.
 	silent, closed bool
 }
 
-// newLink listens at addr and passes connections on to target.
+// newLink listens at addr and forwards connections to target.
 func newLink(addr, target string) (*link, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -62,7 +62,7 @@
 	k.changed.Broadcast()
 }
 
-// silence makes the open connections go silent for good; new ones work.
+// silence stops the open connections from forwarding for good; new ones work.
 func (k *link) silence() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -76,12 +76,12 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for p := range k.pipes {
-		k.end(p, true)
+		k.closePipe(p, true)
 	}
 }
 
-// end closes a connection. It is called with k.mu held.
-func (k *link) end(p *pipe, reset bool) {
+// closePipe closes both sides of a connection, with a TCP reset if reset is set. k.mu is held.
+func (k *link) closePipe(p *pipe, reset bool) {
 	if p.closed {
 		return
 	}
@@ -129,12 +129,12 @@
 	go k.copy(p, client, server, false)
 }
 
-// copy passes one direction on until either side ends.
+// copy forwards one direction until either side closes.
 func (k *link) copy(p *pipe, to, from net.Conn, up bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if !k.hold(p, up) {
+		if !k.awaitForwardable(p, up) {
 			return
 		}
 		if n > 0 {
@@ -144,15 +144,16 @@
 		}
 		if err != nil {
 			k.mu.Lock()
-			k.end(p, !errors.Is(err, io.EOF))
+			k.closePipe(p, !errors.Is(err, io.EOF))
 			k.mu.Unlock()
 			return
 		}
 	}
 }
 
-// hold waits until a piece may pass, and says whether the connection lives.
-func (k *link) hold(p *pipe, up bool) bool {
+// awaitForwardable waits until bytes may be forwarded, and reports whether the connection is
+// still open.
+func (k *link) awaitForwardable(p *pipe, up bool) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if d := k.state.delay; d > 0 {
--- a/e2e/soak_lookups_test.go
+++ b/e2e/soak_lookups_test.go
@@ -12,8 +12,8 @@
 	"mulberryscale.example/platform/ingress"
 )
 
-// look makes requests of all forwarded kinds until ctx ends.
-func (c *soakClient) look(ctx context.Context) {
+// sendRequests sends requests of all forwarded kinds until ctx is cancelled.
+func (c *soakClient) sendRequests(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.next++
 		id := fmt.Sprintf("%s-%d", c.name, c.next)
@@ -27,29 +27,29 @@
 		default:
 			c.forward(ctx, c.entry(), id, http.MethodGet, prefixLook+id, false)
 		}
-		sleep(ctx, soakPause)
+		sleep(ctx, soakCallInterval)
 	}
 }
 
-// forward makes one request whose answer is a whole, and says whether it was served.
+// forward makes one request with a single response body, and reports whether it was served.
 func (c *soakClient) forward(ctx context.Context, entry, id, method, target string, once bool) bool {
 	body := ""
 	if method == http.MethodPost {
 		body = bodyOf(id)
 	}
-	c.w.record.send(id, &request{method: method, target: target, body: body, services: c.w.allowed(target), once: once, organisation: c.organisation})
-	ctx, cancel := context.WithTimeout(ctx, soakDeadline)
+	c.w.record.requestSent(id, &request{method: method, target: target, body: body, services: c.w.allowedServices(target), runsOnce: once, organisation: c.organisation})
+	ctx, cancel := context.WithTimeout(ctx, soakAttemptTimeout)
 	defer cancel()
 	resp, err := c.do(ctx, ingress.Attempt{Entry: entry, ID: id, Method: method, Target: target, Body: body})
 	if err != nil {
-		return c.lost(id, err)
+		return c.unanswered(id, err)
 	}
 	defer resp.Body.Close()
 	got, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return c.lost(id, err)
+		return c.unanswered(id, err)
 	}
-	if !c.checkHead(id, entry, resp) {
+	if !c.checkHeader(id, entry, resp) {
 		return false
 	}
 	if string(got) != answerOf(id, body) {
@@ -59,24 +59,24 @@
 	return true
 }
 
-func (c *soakClient) lost(id string, err error) bool {
+func (c *soakClient) unanswered(id string, err error) bool {
 	c.w.record.count("unanswered")
 	c.w.note("request %s: %v", id, err)
 	return false
 }
 
-// checkHead checks the status and the headers of an answer, and says whether
+// checkHeader checks the status and the headers of a response, and reports whether
 // it is a success.
-func (c *soakClient) checkHead(id, entry string, resp *http.Response) bool {
-	stamp, answered := enginehttp.Signature(resp.Header), ingress.RequestID(resp.Header)
+func (c *soakClient) checkHeader(id, entry string, resp *http.Response) bool {
+	signature, answeredID := enginehttp.Signature(resp.Header), ingress.RequestID(resp.Header)
 	switch {
-	case resp.StatusCode == http.StatusOK && (!isStamp(stamp, id) || answered != id):
-		c.w.record.problem("request %s at %s: 200 with stamp %q and id %q", id, entry, stamp, answered)
+	case resp.StatusCode == http.StatusOK && (!isSignature(signature, id) || answeredID != id):
+		c.w.record.problem("request %s at %s: 200 with signature %q and id %q", id, entry, signature, answeredID)
 		return false
 	case resp.StatusCode == http.StatusOK:
 		return true
 	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
-		c.w.record.refuse(id)
+		c.w.record.requestsRefused(id)
 		if resp.Header.Get("Retry-After") == "" {
 			c.w.record.problem("request %s at %s: %s without Retry-After", id, entry, resp.Status)
 		}
@@ -87,40 +87,41 @@
 	return false
 }
 
-// stream reads a stream, of a route that may be resumed or of one whose
-// requests run once only.
+// stream sends a request to a streaming route and checks the events. once says that the
+// route's requests may run only once; streams of the other route can be resumed.
 func (c *soakClient) stream(ctx context.Context, entry, id, target string, once bool) {
 	body := bodyOf(id)
-	c.w.record.send(id, &request{method: http.MethodPost, target: target, body: body, model: soakModels[0], services: []string{serviceEngines}, once: once, organisation: c.organisation})
-	ctx, cancel := context.WithTimeout(ctx, 2*soakDeadline)
+	c.w.record.requestSent(id, &request{method: http.MethodPost, target: target, body: body, model: soakModels[0], services: []string{serviceEngines}, runsOnce: once, organisation: c.organisation})
+	ctx, cancel := context.WithTimeout(ctx, 2*soakAttemptTimeout)
 	defer cancel()
 	resp, err := c.do(ctx, ingress.Attempt{Entry: entry, ID: id, Method: http.MethodPost, Target: target, Body: body, Model: soakModels[0]})
 	if err != nil {
-		c.lost(id, err)
+		c.unanswered(id, err)
 		return
 	}
 	defer resp.Body.Close()
-	if !c.checkHead(id, entry, resp) {
+	if !c.checkHeader(id, entry, resp) {
 		return
 	}
-	n, err := readText(resp.Body, id)
+	n, err := readEvents(resp.Body, id)
 	switch {
 	case errors.Is(err, errWrongEvent) || errors.Is(err, ingress.ErrMalformedEvent) || errors.Is(err, ingress.ErrTruncatedEvent):
 		c.w.record.problem("request %s at %s: %v", id, entry, err)
 	case err != nil:
-		c.lost(id, err)
-	case n != eventsOf(id):
-		c.w.record.problem("request %s at %s: ended after event %d of %d", id, entry, n, eventsOf(id))
+		c.unanswered(id, err)
+	case n != eventCountOf(id):
+		c.w.record.problem("request %s at %s: ended after event %d of %d", id, entry, n, eventCountOf(id))
 	default:
 		c.w.record.count("streamed")
 	}
 }
 
-// errWrongEvent says that an event is not the one that is due.
+// errWrongEvent reports an event other than the next expected one.
 var errWrongEvent = errors.New("wrong event")
 
-// readText reads a stream to its end and returns how many events it had.
-func readText(body io.Reader, id string) (events int, err error) {
+// readEvents reads a stream to its end and returns the number of its events. An unexpected
+// event gives errWrongEvent.
+func readEvents(body io.Reader, id string) (events int, err error) {
 	err = ingress.ReadEvents(body, func(n int, data string) error {
 		if n != events+1 || data != eventOf(id, n) {
 			return fmt.Errorf("%w: %d %q after event %d", errWrongEvent, n, data, events)
--- a/e2e/soak_organisations_test.go
+++ b/e2e/soak_organisations_test.go
@@ -11,36 +11,36 @@
 	"mulberryscale.example/platform/operator"
 )
 
-// soakOrganisations are the deployment's. Each has a key that it keeps and one
-// that every configuration changes.
+// soakOrganisations are the deployment's organisations. Each has a permanent key and one
+// that every configuration version replaces.
 var soakOrganisations = []string{"guthi", "trust"}
 
-func keptKey(organisation string) string { return "secret-kept-" + organisation }
+func permanentKey(organisation string) string { return "secret-kept-" + organisation }
 
-func changedKey(organisation string, version int) string {
+func rotatedKey(organisation string, version int) string {
 	return fmt.Sprintf("secret-%s-%d", organisation, version)
 }
 
 func organisationsOf(version int) (list []fleetview.Organisation) {
 	for _, name := range soakOrganisations {
 		list = append(list, fleetview.Organisation{Name: name, Keys: []fleetview.APIKey{
-			fleetview.APIKey(keptKey(name)), fleetview.APIKey(changedKey(name, version)),
+			fleetview.APIKey(permanentKey(name)), fleetview.APIKey(rotatedKey(name, version)),
 		}})
 	}
 	return list
 }
 
-// otherThan is an organisation that is not this one.
-func otherThan(organisation string) string {
+// otherOrganisation returns the organisation that is not this one.
+func otherOrganisation(organisation string) string {
 	if organisation == soakOrganisations[0] {
 		return soakOrganisations[1]
 	}
 	return soakOrganisations[0]
 }
 
-// strange sends requests with a key that no configuration ever had, until ctx
-// ends: none may run.
-func (c *soakClient) strange(ctx context.Context) {
+// sendUnknownKeys sends requests with a key that no configuration ever had, until ctx
+// is cancelled. None may run.
+func (c *soakClient) sendUnknownKeys(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.next++
 		id := fmt.Sprintf("%s-%d", c.name, c.next)
@@ -53,25 +53,26 @@
 			c.w.record.problem("request %s with an unknown key: %d", id, status)
 		}
 		c.w.record.count("requests with unknown keys")
-		sleep(ctx, 10*soakPause)
+		sleep(ctx, 10*soakCallInterval)
 	}
 }
 
-// pry asks for a job with another organisation's key: nothing of it is shown.
-func (c *soakClient) pry(ctx context.Context, j *soakJob) {
+// readWithForeignKey asks for a job's results and a body with another organisation's key,
+// which must be refused.
+func (c *soakClient) readWithForeignKey(ctx context.Context, j *soakJob) {
 	for _, target := range []string{ingress.ResultsTarget(j.id, 0), ingress.BodyTarget(j.id, j.items[0])} {
 		status, _ := c.call(ctx, ingress.Attempt{
-			Entry: c.entry(), ID: j.id, Method: http.MethodGet, Target: target, Key: keptKey(otherThan(j.organisation)),
+			Entry: c.entry(), ID: j.id, Method: http.MethodGet, Target: target, Key: permanentKey(otherOrganisation(j.organisation)),
 		})
 		if status == http.StatusOK {
-			c.w.record.problem("job %s of %s: shown to %s", j.id, j.organisation, otherThan(j.organisation))
+			c.w.record.problem("job %s of %s: readable by %s", j.id, j.organisation, otherOrganisation(j.organisation))
 		}
 	}
 }
 
-// settleKeys checks that the newest keys serve at every entry and that those
-// which were withdrawn do not.
-func (w *soakWorld) settleKeys() {
+// checkKeyRotation checks that every entry accepts the newest keys and rejects the
+// previous ones.
+func (w *soakWorld) checkKeyRotation() {
 	c := w.client("keyholder")
 	w.mu.Lock()
 	version := w.config
@@ -79,15 +80,15 @@
 	for _, e := range w.entries {
 		for _, organisation := range soakOrganisations {
 			for key, want := range map[string]int{
-				changedKey(organisation, version): http.StatusOK, changedKey(organisation, version-1): http.StatusUnauthorized,
+				rotatedKey(organisation, version): http.StatusOK, rotatedKey(organisation, version-1): http.StatusUnauthorized,
 			} {
 				eventually(w.t, fmt.Sprintf("%s answers %d to a key of %s", e.name, want, organisation), func() error {
 					c.next++
 					id := fmt.Sprintf("%s-%d", c.name, c.next)
-					w.record.send(id, &request{
-						method: http.MethodGet, target: prefixLook + id, services: w.allowed(prefixLook), organisation: organisation,
+					w.record.requestSent(id, &request{
+						method: http.MethodGet, target: prefixLook + id, services: w.allowedServices(prefixLook), organisation: organisation,
 					})
-					if status, _ := c.call(w.t.Context(), ingress.Attempt{Entry: e.front, ID: id, Method: http.MethodGet, Target: prefixLook + id, Key: key}); status != want {
+					if status, _ := c.call(w.t.Context(), ingress.Attempt{Entry: e.clientAddr, ID: id, Method: http.MethodGet, Target: prefixLook + id, Key: key}); status != want {
 						return fmt.Errorf("status %d", status)
 					}
 					return nil
@@ -99,7 +100,7 @@
 
 func containsSecret(text string) bool { return strings.Contains(text, "secret-") }
 
-// checkSecrets looks for keys in what the processes logged and wrote to the store.
+// checkSecrets checks that the processes wrote no key to their logs or to the store.
 func (w *soakWorld) checkSecrets() {
 	for _, m := range append(w.entries, w.agents...) {
 		if log := m.process.log.String(); containsSecret(log) {
@@ -108,7 +109,7 @@
 	}
 	for _, row := range w.store.rows.All() {
 		if row.Table != operator.TableOperator && containsSecret(row.Name+string(row.Value)) {
-			w.record.problem("a key stands in table %s", row.Table)
+			w.record.problem("table %s contains a key", row.Table)
 		}
 	}
 }
--- a/e2e/soak_record_test.go
+++ b/e2e/soak_record_test.go
@@ -12,49 +12,49 @@
 	"mulberryscale.example/platform/enginehttp"
 )
 
-// request is what a client sent, or the item of a batch job.
+// request is a request that a client sent, or an item of a batch job.
 type request struct {
 	method, target, body, model string
-	services                    []string // that may run it
-	once                        bool     // may run once only
-	organisation                string   // that it runs under
+	services                    []string // the services that may run it
+	runsOnce                    bool     // may run once only
+	organisation                string   // the organisation it is sent under
 }
 
-// sameResult says whether two results are one.
+// sameResult reports whether two results are equal in all fields that clients compare.
 func sameResult(a, b *batch.Result) bool {
 	return a.ID == b.ID && a.State == b.State && a.Output == b.Output && a.Score == b.Score && slices.Equal(a.Versions, b.Versions)
 }
 
-// soakJob is a batch job and what was read of it.
+// soakJob is a batch job and the results read so far.
 type soakJob struct {
 	id           string
 	organisation string
 	minVersion   uint64
 	items        []string
-	accepted     time.Time // zero until its 202 came
-	ended        bool      // its end was sent
-	listed       []batch.Result
+	accepted     time.Time // zero until its 202 arrived
+	ended        bool      // its client sent the request that ends it
+	results      []batch.Result
 }
 
-// record is what callers and engines saw, and which promises broke.
+// record collects what callers and engines saw, and the violations found in it.
 type record struct {
-	mu       sync.Mutex
-	sent     map[string]*request
-	runs     map[string]int
-	lookups  map[string]int              // begun, by organisation
-	made     map[string]map[int][]uint64 // by item and event: the versions that made it
-	failed   map[string]bool
-	rewards  map[string]int  // failures of reward calls, by their ids
-	refused  map[string]bool // promised not to run
-	crashes  map[string]int  // endpoints that ended under a target
-	versions map[string]uint64
-	orders   map[string]orderer
-	jobs     []*soakJob
-	problems []string
-	counts   map[string]int
-}
-
-// orderer is who ordered an engine last.
+	mu              sync.Mutex
+	sent            map[string]*request
+	runs            map[string]int
+	lookups         map[string]int              // lookups started, by organisation
+	producers       map[string]map[int][]uint64 // by request and event: weight versions that produced it
+	failedOnce      map[string]bool
+	rewardFailures  map[string]int  // failed reward calls, by their ids
+	refused         map[string]bool // requests that a response promised not to run
+	crashesByTarget map[string]int  // endpoints that crashed, by request target
+	namedVersions   map[string]uint64
+	orders          map[string]orderer
+	jobs            []*soakJob
+	problems        []string
+	counts          map[string]int
+}
+
+// orderer identifies the sender of an engine's last order.
 type orderer struct {
 	holder string
 	token  uint64
@@ -62,20 +62,20 @@
 
 func newRecord() *record {
 	return &record{
-		sent: map[string]*request{}, runs: map[string]int{}, lookups: map[string]int{}, made: map[string]map[int][]uint64{}, failed: map[string]bool{}, rewards: map[string]int{},
-		refused: map[string]bool{}, crashes: map[string]int{}, versions: map[string]uint64{}, orders: map[string]orderer{}, counts: map[string]int{},
+		sent: map[string]*request{}, runs: map[string]int{}, lookups: map[string]int{}, producers: map[string]map[int][]uint64{}, failedOnce: map[string]bool{}, rewardFailures: map[string]int{},
+		refused: map[string]bool{}, crashesByTarget: map[string]int{}, namedVersions: map[string]uint64{}, orders: map[string]orderer{}, counts: map[string]int{},
 	}
 }
 
-// broke notes a broken promise. It is called with r.mu held.
-func (r *record) broke(format string, args ...any) {
+// problemLocked records a violation. r.mu is held.
+func (r *record) problemLocked(format string, args ...any) {
 	r.problems = append(r.problems, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
 }
 
 func (r *record) problem(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broke(format, args...)
+	r.problemLocked(format, args...)
 }
 
 func (r *record) count(what string) {
@@ -84,15 +84,15 @@
 	r.counts[what]++
 }
 
-// send notes a request before it is sent.
-func (r *record) send(id string, q *request) {
+// requestSent records a request. It is called before the request is sent.
+func (r *record) requestSent(id string, q *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent[id] = q
 }
 
-// refuse notes a promise that a request did not run and never will.
-func (r *record) refuse(ids ...string) {
+// requestsRefused records that a response promised that these requests did not and will not run.
+func (r *record) requestsRefused(ids ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range ids {
@@ -100,33 +100,35 @@
 	}
 }
 
-// named is the newest named version of a model; name names the next.
-func (r *record) named(model string) uint64 {
+// namedVersion returns the newest named weight version of a model, 1 if none was named;
+// setNamedVersion sets it.
+func (r *record) namedVersion(model string) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return max(1, r.versions[model])
+	return max(1, r.namedVersions[model])
 }
 
-func (r *record) name(model string, version uint64) {
+func (r *record) setNamedVersion(model string, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.versions[model] = version
+	r.namedVersions[model] = version
 }
 
-// ordered checks who orders an engine.
-func (r *record) ordered(engine, holder string, token uint64) {
+// checkOrder checks that the fencing tokens of an engine's orders never decrease and that a
+// token has one holder.
+func (r *record) checkOrder(engine, holder string, token uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last := r.orders[engine]
 	if token < last.token || (token == last.token && holder != last.holder) {
-		r.broke("engine %s: order of %s with token %d after one of %s with token %d", engine, holder, token, last.holder, last.token)
+		r.problemLocked("engine %s: order of %s with token %d after one of %s with token %d", engine, holder, token, last.holder, last.token)
 	}
 	r.orders[engine] = orderer{holder, token}
 	r.counts["orders"]++
 }
 
-// began checks a run that begins at an engine of a service.
-func (r *record) began(service string, a enginehttp.ReceivedRequest) {
+// runStarted checks a request whose run starts at an engine of a service.
+func (r *record) runStarted(service string, a enginehttp.ReceivedRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs[a.ID]++
@@ -136,163 +138,163 @@
 	q := r.sent[a.ID]
 	switch {
 	case q == nil:
-		r.broke("request %q: run by %s, and nobody sent it", a.ID, service)
+		r.problemLocked("request %q: run by %s, but never sent", a.ID, service)
 		return
 	case q.organisation != a.Organisation || a.Key != "":
-		r.broke("request %s: sent under %q, run under %q with the key %q", a.ID, q.organisation, a.Organisation, a.Key)
+		r.problemLocked("request %s: sent under %q, run under %q with the key %q", a.ID, q.organisation, a.Organisation, a.Key)
 	case q.method != a.Method || q.target != a.Target || q.body != a.Body || q.model != a.Model:
-		r.broke("request %s: sent as %+v, run as %+v", a.ID, *q, a)
+		r.problemLocked("request %s: sent as %+v, run as %+v", a.ID, *q, a)
 	case !slices.Contains(q.services, service):
-		r.broke("request %s: run by service %s, allowed are %v", a.ID, service, q.services)
-	case q.once && r.runs[a.ID] > 1:
-		r.broke("request %s: run %d times", a.ID, r.runs[a.ID])
+		r.problemLocked("request %s: run by service %s, allowed are %v", a.ID, service, q.services)
+	case q.runsOnce && r.runs[a.ID] > 1:
+		r.problemLocked("request %s: run %d times", a.ID, r.runs[a.ID])
 	case r.refused[a.ID]:
-		r.broke("request %s: run after it was refused", a.ID)
+		r.problemLocked("request %s: run after it was refused", a.ID)
 	}
 	if item, isReward := strings.CutPrefix(a.ID, rewardPrefix); isReward {
 		r.counts["reward calls"]++
-		if len(r.made[item][eventsOf(item)]) == 0 {
-			r.broke("reward call %s: run before the last event of its text was made", a.ID)
+		if len(r.producers[item][eventCountOf(item)]) == 0 {
+			r.problemLocked("reward call %s: run before the last event of its text was produced", a.ID)
 		}
 	}
 	if a.After == 0 {
 		return
 	}
 	r.counts["resumed"]++
-	if len(r.made[a.ID][a.After]) == 0 {
-		r.broke("request %s: resumed after event %d, which no engine has made", a.ID, a.After)
+	if len(r.producers[a.ID][a.After]) == 0 {
+		r.problemLocked("request %s: resumed after event %d, which no engine has produced", a.ID, a.After)
 	}
 }
 
-// runsOf is how many lookups of an organisation began.
-func (r *record) runsOf(organisation string) int {
+// lookupsOf returns the number of lookups of an organisation that were started.
+func (r *record) lookupsOf(organisation string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lookups[organisation]
 }
 
-// rewardFails notes that a reward call was answered with a failure.
-func (r *record) rewardFails(id string) {
+// rewardFailed records that a reward call was answered with a failure.
+func (r *record) rewardFailed(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rewards[id]++
+	r.rewardFailures[id]++
 }
 
-// madeEvent notes that an engine made an event of a request.
-func (r *record) madeEvent(id string, n int, version uint64) {
+// eventProduced records that an engine produced an event of a request with a weight version.
+func (r *record) eventProduced(id string, n int, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.made[id] == nil {
-		r.made[id] = map[int][]uint64{}
+	if r.producers[id] == nil {
+		r.producers[id] = map[int][]uint64{}
 	}
-	if !slices.Contains(r.made[id][n], version) {
-		r.made[id][n] = append(r.made[id][n], version)
+	if !slices.Contains(r.producers[id][n], version) {
+		r.producers[id][n] = append(r.producers[id][n], version)
 	}
 }
 
-// unfinished says that no engine has finished an item or can have failed it, so
-// that its body is owed.
+// unfinished reports whether no engine has completed an item or can have failed it, so that
+// its body must still be readable.
 func (r *record) unfinished(item string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	kind := kindOf(item)
-	return kind != itemImpossible && kind != itemFailing && len(r.made[item][eventsOf(item)]) == 0
+	return kind != itemImpossible && kind != itemAlwaysFails && len(r.producers[item][eventCountOf(item)]) == 0
 }
 
-// failOnce says whether an item has still to fail.
-func (r *record) failOnce(id string) bool {
+// firstFailure reports whether the request has not failed yet, and marks it as failed.
+func (r *record) firstFailure(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	first := !r.failed[id]
-	r.failed[id] = true
+	first := !r.failedOnce[id]
+	r.failedOnce[id] = true
 	return first
 }
 
-// read checks a page of results of a job against what was read before.
-func (r *record) read(j *soakJob, entry string, after, total int, page []batch.Result) {
+// checkPage checks a page of a job's results against the results read before.
+func (r *record) checkPage(j *soakJob, entry string, after, total int, page []batch.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if total != len(j.items) {
-		r.broke("job %s at %s: Total is %d of %d items", j.id, entry, total, len(j.items))
+		r.problemLocked("job %s at %s: Total is %d of %d items", j.id, entry, total, len(j.items))
 	}
 	for i := range page {
 		position, result := after+i, &page[i]
 		switch {
-		case position < len(j.listed):
-			if !sameResult(result, &j.listed[position]) {
-				r.broke("job %s at %s: position %d was %+v and is %+v", j.id, entry, position, j.listed[position], *result)
+		case position < len(j.results):
+			if !sameResult(result, &j.results[position]) {
+				r.problemLocked("job %s at %s: position %d was %+v and is %+v", j.id, entry, position, j.results[position], *result)
 			}
-		case position == len(j.listed):
-			r.check(j, position, result)
-			j.listed = append(j.listed, *result)
+		case position == len(j.results):
+			r.checkResult(j, position, result)
+			j.results = append(j.results, *result)
 		}
 	}
 }
 
-// check checks a result that is read for the first time. r.mu is held.
-func (r *record) check(j *soakJob, position int, result *batch.Result) {
+// checkResult checks a result that is read for the first time. r.mu is held.
+func (r *record) checkResult(j *soakJob, position int, result *batch.Result) {
 	at := fmt.Sprintf("job %s, position %d, item %s", j.id, position, result.ID)
 	if !slices.Contains(j.items, result.ID) {
-		r.broke("%s: of another job", at)
+		r.problemLocked("%s: the item belongs to another job", at)
 	}
-	if slices.ContainsFunc(j.listed, func(o batch.Result) bool { return o.ID == result.ID }) {
-		r.broke("%s: listed at two positions", at)
+	if slices.ContainsFunc(j.results, func(o batch.Result) bool { return o.ID == result.ID }) {
+		r.problemLocked("%s: listed at two positions", at)
 	}
 	r.counts["results"]++
 	kind := kindOf(result.ID)
 	switch result.State {
 	case batch.StateFailed:
-		r.counts["given up"]++
-		if kind != itemImpossible && kind != itemFailing && r.rewards[rewardOf(result.ID)] < soakRewardAttempts && !j.ended {
-			r.broke("%s: given up without a reason", at)
+		r.counts["failed results"]++
+		if kind != itemImpossible && kind != itemAlwaysFails && r.rewardFailures[rewardIDOf(result.ID)] < soakRewardAttempts && !j.ended {
+			r.problemLocked("%s: failed without a reason", at)
 		}
 	case batch.StateDone:
 		if result.Output != textOf(result.ID) {
-			r.broke("%s: text is %q, want %q", at, result.Output, textOf(result.ID))
+			r.problemLocked("%s: text is %q, want %q", at, result.Output, textOf(result.ID))
 		}
 		switch {
-		case !hasReward(result.ID) && result.Score != "":
-			r.broke("%s: score %q of no call", at, result.Score)
-		case hasReward(result.ID) && (!isStamp(result.Score, rewardOf(result.ID)) || r.runs[rewardOf(result.ID)] == 0):
-			r.broke("%s: score %q is no signature of its reward call", at, result.Score)
+		case !hasRewardCall(result.ID) && result.Score != "":
+			r.problemLocked("%s: score %q without a reward call", at, result.Score)
+		case hasRewardCall(result.ID) && (!isSignature(result.Score, rewardIDOf(result.ID)) || r.runs[rewardIDOf(result.ID)] == 0):
+			r.problemLocked("%s: score %q is not a signature of its reward call", at, result.Score)
 		}
 		r.checkVersions(j, at, result)
 	default:
-		r.broke("%s: state %q", at, result.State)
+		r.problemLocked("%s: state %q", at, result.State)
 	}
 }
 
-// checkVersions checks that a text can have been made by the versions that it
-// names, all of them. r.mu is held.
+// checkVersions checks that each event of a text was produced by one of the result's weight
+// versions, and that each of these versions produced an event. r.mu is held.
 func (r *record) checkVersions(j *soakJob, at string, result *batch.Result) {
 	used := map[uint64]bool{}
-	for n := 1; n <= eventsOf(result.ID); n++ {
+	for n := 1; n <= eventCountOf(result.ID); n++ {
 		explained := false
-		for _, v := range r.made[result.ID][n] {
+		for _, v := range r.producers[result.ID][n] {
 			if slices.Contains(result.Versions, v) {
 				used[v], explained = true, true
 			}
 		}
 		if !explained {
-			r.broke("%s: versions %v, and event %d was made by %v", at, result.Versions, n, r.made[result.ID][n])
+			r.problemLocked("%s: versions %v, but event %d was produced by %v", at, result.Versions, n, r.producers[result.ID][n])
 		}
 	}
 	for _, v := range result.Versions {
 		if v < j.minVersion || !used[v] {
-			r.broke("%s: versions %v, of which %d is older than %d or made nothing", at, result.Versions, v, j.minVersion)
+			r.problemLocked("%s: versions %v, of which %d is older than %d or produced no event", at, result.Versions, v, j.minVersion)
 		}
 	}
 }
 
-// accept notes the 202 of a job, end that its end was sent.
-func (r *record) accept(j *soakJob) {
+// jobAccepted records the 202 of a job, jobEnded that its client sent the request that ends it.
+func (r *record) jobAccepted(j *soakJob) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j.accepted = time.Now()
 	r.counts["jobs"]++
 }
 
-func (r *record) end(j *soakJob) {
+func (r *record) jobEnded(j *soakJob) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j.ended = true
@@ -304,7 +306,7 @@
 	r.jobs = append(r.jobs, j)
 }
 
-// acceptedJobs are the jobs that are owed.
+// acceptedJobs returns the accepted jobs, whose results must stay readable.
 func (r *record) acceptedJobs() []*soakJob {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -317,34 +319,34 @@
 	return list
 }
 
-// position is how many results of a job were read.
-func (r *record) position(j *soakJob) int {
+// resultsRead returns the number of a job's results that were read.
+func (r *record) resultsRead(j *soakJob) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(j.listed)
+	return len(j.results)
 }
 
-// state says when a job was accepted and whether its end was sent.
+// state returns when a job was accepted and whether its client has ended it.
 func (r *record) state(j *soakJob) (accepted time.Time, ended bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return j.accepted, j.ended
 }
 
-// isListed says whether an item's result was read.
-func (r *record) isListed(j *soakJob, item string) bool {
+// hasResult reports whether an item's result was read.
+func (r *record) hasResult(j *soakJob, item string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.ContainsFunc(j.listed, func(o batch.Result) bool { return o.ID == item })
+	return slices.ContainsFunc(j.results, func(o batch.Result) bool { return o.ID == item })
 }
 
-// checkRefused checks at the end that what was refused has not run.
+// checkRefused checks, at the end of a seed, that no refused request has run.
 func (r *record) checkRefused() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id := range r.refused {
 		if r.runs[id] > 0 {
-			r.broke("request %s: refused as not run, and run %d times", id, r.runs[id])
+			r.problemLocked("request %s: refused as not run, and run %d times", id, r.runs[id])
 		}
 	}
 }
--- a/e2e/soak_store_test.go
+++ b/e2e/soak_store_test.go
@@ -16,20 +16,20 @@
 	"mulberryscale.example/store"
 )
 
-// storeMode is how the store answers all processes.
+// storeMode selects how the store answers the processes.
 type storeMode int
 
 // Modes of the store. Engines and trainers write to it in storeServes and
 // storeLimited only.
 const (
 	storeServes  storeMode = iota
-	storeLimited           // refuses every other call for its rate
-	storeRefuses           // refuses all
-	storeHangs             // gives no answer
-	storeResets            // breaks connections
+	storeLimited           // answers every other call with 429
+	storeRefuses           // answers every call with 503
+	storeHangs             // never answers
+	storeResets            // resets connections
 )
 
-// soakStore is the platform's store, as all processes reach it.
+// soakStore is the platform's store as the processes reach it, with fault injection.
 type soakStore struct {
 	rows    *rowstore.Store
 	handler http.Handler
@@ -50,15 +50,15 @@
 	s.mode = m
 }
 
-// away says whether the store serves nobody.
-func (s *soakStore) away() bool {
+// unavailable reports whether the store serves no caller.
+func (s *soakStore) unavailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.mode != storeServes && s.mode != storeLimited
 }
 
-// put writes a row as the platform does, with the error of its encoding, which
-// never fails for what the soak writes.
+// put writes a row as the platform does. err is the error of encoding the row, which never
+// fails for the soak's rows; put panics if it does.
 func (s *soakStore) put(row store.Row, err error) {
 	if err != nil {
 		panic(err)
@@ -87,32 +87,32 @@
 	}
 }
 
-// registry keeps the engines' entries in the store: they lapse after three
-// heartbeats of silence, at times also while the store is away.
+// registry keeps the engines' registrations in the store. They expire after three missed
+// heartbeats, sometimes also while the store is unavailable.
 type registry struct {
 	store *soakStore
 	rng   *rand.Rand
 
-	mu    sync.Mutex
-	heard map[string]time.Time
+	mu            sync.Mutex
+	lastHeartbeat map[string]time.Time
 }
 
-// beat takes in an instance's heartbeat, unless the store is away.
-func (g *registry) beat(i fleetview.Instance, beats uint64) {
-	if g.store.away() {
+// heartbeat writes an instance's registration, unless the store is unavailable.
+func (g *registry) heartbeat(i fleetview.Instance, heartbeats uint64) {
+	if g.store.unavailable() {
 		return
 	}
 	g.mu.Lock()
-	g.heard[i.ID] = time.Now()
+	g.lastHeartbeat[i.ID] = time.Now()
 	g.mu.Unlock()
-	g.store.put(operator.InstanceRow(i, beats))
+	g.store.put(operator.InstanceRow(i, heartbeats))
 }
 
-// foreign writes an entry of another writer, under an id of its own or in the
-// place of an engine's, until that one's next heartbeat.
-func (g *registry) foreign(rng *rand.Rand) {
+// writeForeignRow writes a row as another writer would: under an id of its own, or over an
+// engine's registration until that engine's next heartbeat.
+func (g *registry) writeForeignRow(rng *rand.Rand) {
 	g.mu.Lock()
-	ids := slices.Sorted(maps.Keys(g.heard))
+	ids := slices.Sorted(maps.Keys(g.lastHeartbeat))
 	g.mu.Unlock()
 	if len(ids) == 0 {
 		return
@@ -121,7 +121,7 @@
 	if rng.IntN(2) == 0 {
 		id = fmt.Sprint("i-foreign-", rng.IntN(5))
 		g.mu.Lock()
-		g.heard[id] = time.Now() // lapses
+		g.lastHeartbeat[id] = time.Now() // so that it expires
 		g.mu.Unlock()
 	}
 	values := []string{
@@ -133,28 +133,29 @@
 	g.store.put(store.Row{Key: operator.InstanceKey(id), Value: []byte(values[rng.IntN(len(values))])}, nil)
 }
 
-// remove takes an entry out at once.
+// remove deletes a registration at once.
 func (g *registry) remove(id string) {
 	g.mu.Lock()
-	delete(g.heard, id)
+	delete(g.lastHeartbeat, id)
 	g.mu.Unlock()
 	g.store.rows.Remove(operator.InstanceKey(id))
 }
 
-// lapse takes out the entries of engines that were silent for too long.
-func (g *registry) lapse(stop chan struct{}) {
+// removeExpired deletes the registrations of engines that missed three heartbeats, until stop
+// is closed.
+func (g *registry) removeExpired(stop chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
 		case <-time.After(soakHeartbeat):
 		}
-		if g.store.away() && g.rng.IntN(2) == 0 {
+		if g.store.unavailable() && g.rng.IntN(2) == 0 {
 			continue
 		}
 		g.mu.Lock()
 		var silent []string
-		for id, at := range g.heard {
+		for id, at := range g.lastHeartbeat {
 			if time.Since(at) > 3*soakHeartbeat {
 				silent = append(silent, id)
 			}
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -11,8 +11,8 @@
 )
 
 // The soak runs the programs of the users' platform as separate processes on
-// loopback addresses, disturbs them from outside in an order that a seed
-// draws, and checks what callers and engines see. By hand:
+// loopback addresses, injects faults from outside in an order that a seed
+// determines, and checks what callers and engines see. To run it by hand:
 //
 //	go test ./e2e -run 'TestSoak$' -soak.first 100 -soak.seeds 50 -soak.logs DIR
 var (
@@ -22,14 +22,14 @@
 	soakTime  = flag.Duration("soak.time", 8*time.Second, "how long a seed's faults go on")
 )
 
-// soakCases are seeds that failed once, each with its cause and the number of
-// kinds of faults that it drew from.
+// soakCases are seeds that failed in the past, each with the cause and the number of
+// fault kinds that it drew from.
 var soakCases = []struct {
 	seed  uint64
 	kinds int
 	cause string
 }{
-	// The program heard signals only once its settings were read.
+	// The program handled signals only after it had read its settings.
 	{15, 18, "SIGTERM within milliseconds of the start"},
 	{16, 18, "SIGHUP within milliseconds of the start ended the process"},
 	{18, 18, "SIGTERM within milliseconds of the start"},
@@ -37,7 +37,7 @@
 	{45, 18, "SIGTERM within milliseconds of the start"},
 }
 
-// TestSoak plays seeds; those that failed once are always among them.
+// TestSoak runs seeds; those that failed in the past are always among them.
 func TestSoak(t *testing.T) {
 	for _, c := range soakCases {
 		t.Run(fmt.Sprintf("case-%d", c.seed), func(t *testing.T) {
@@ -52,32 +52,32 @@
 	}
 }
 
-// soakSlot bounds how many deployments run at a time.
-var soakSlot = make(chan struct{}, atOnce)
+// soakWorldSlots limits how many deployments run at a time.
+var soakWorldSlots = make(chan struct{}, maxDeployments)
 
-// soak plays one seed.
+// soak runs one seed.
 func soak(t *testing.T, seed uint64, kinds int) {
-	soakSlot <- struct{}{}
-	defer func() { <-soakSlot }()
+	soakWorldSlots <- struct{}{}
+	defer func() { <-soakWorldSlots }()
 	w := startSoak(t, seed)
 	ctx, cancel := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
 	for i := range soakCallers {
-		callers.Go(func() { w.client(fmt.Sprintf("caller-%d", i)).look(ctx) })
+		callers.Go(func() { w.client(fmt.Sprintf("caller-%d", i)).sendRequests(ctx) })
 	}
 	callers.Go(func() { w.client("rereader").reread(ctx) })
-	callers.Go(func() { w.client("stranger").strange(ctx) })
+	callers.Go(func() { w.client("stranger").sendUnknownKeys(ctx) })
 	for _, model := range soakModels {
 		callers.Go(func() { (&soakTrainer{soakClient: w.client("trainer-" + model), model: model}).run(ctx) })
 	}
-	w.disturb(kinds)
+	w.injectFaults(kinds)
 	cancel()
 	callers.Wait()
-	w.settle()
-	w.settleKeys()
-	w.settleUsage()
+	w.checkRecovery()
+	w.checkKeyRotation()
+	w.checkUsageReports()
 	if kinds == len(soakFaults) {
-		w.settleCrashing("soak")
+		w.checkCrashingRequest("soak")
 	}
 	w.checkSecrets()
 	for _, p := range w.record.problems {
@@ -86,12 +86,12 @@
 	t.Logf("seed %d:%s", seed, w.record.summary())
 }
 
-// settle checks, once all is whole again, that everything is served and that
+// checkRecovery checks, after all faults are repaired, that every entry serves and that
 // every accepted job can be read to its end at every entry.
-func (w *soakWorld) settle() {
+func (w *soakWorld) checkRecovery() {
 	for _, m := range append(w.entries, w.agents...) {
 		if !m.process.running() {
-			w.record.problem("%s has ended by itself: %s", m.name, m.process.end())
+			w.record.problem("%s has ended by itself: %s", m.name, m.process.exitReport())
 			m.process.start()
 		}
 	}
@@ -101,7 +101,7 @@
 		eventually(w.t, e.name+" serves", func() error {
 			c.next++
 			id := fmt.Sprintf("%s-%d", c.name, c.next)
-			if !c.forward(w.t.Context(), e.front, id, http.MethodGet, prefixLook+id, false) {
+			if !c.forward(w.t.Context(), e.clientAddr, id, http.MethodGet, prefixLook+id, false) {
 				return fmt.Errorf("%s not served", id)
 			}
 			return nil
@@ -109,7 +109,7 @@
 	}
 	for _, j := range w.record.acceptedJobs() {
 		for _, e := range w.entries {
-			eventually(w.t, fmt.Sprintf("job %s is read to its end at %s", j.id, e.name), func() error { return c.readAll(w.t.Context(), e.front, j) })
+			eventually(w.t, fmt.Sprintf("job %s is read to its end at %s", j.id, e.name), func() error { return c.readAll(w.t.Context(), e.clientAddr, j) })
 		}
 	}
 	w.record.checkRefused()
--- a/e2e/soak_texts_test.go
+++ b/e2e/soak_texts_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// What engines answer follows from the ids of requests, so that callers know it.
+// Engines derive their answers from request ids, so that callers can compute the expected ones.
 
-// Kinds of items, by a hash of their ids.
+// Kinds of items, chosen by a hash of their ids.
 const (
-	itemWhole = iota
+	itemSucceeds = iota
 	itemImpossible
-	itemFailing
+	itemAlwaysFails
 	itemFailsOnce
 )
 
@@ -27,81 +27,81 @@
 
 func kindOf(id string) int {
 	if !strings.HasPrefix(id, "item-") {
-		return itemWhole
+		return itemSucceeds
 	}
 	switch hashOf(id) % 30 {
 	case 0:
 		return itemImpossible
 	case 1:
-		return itemFailing
+		return itemAlwaysFails
 	case 2, 3:
 		return itemFailsOnce
 	}
-	return itemWhole
+	return itemSucceeds
 }
 
-// Kinds of reward calls, by a hash of their ids.
+// Kinds of reward calls, chosen by a hash of their ids.
 const (
-	rewardScores = iota
-	rewardFailing
+	rewardSucceeds = iota
+	rewardAlwaysFails
 	rewardFailsOnce
-	rewardLostOnce
+	rewardAbortsOnce
 	rewardSlow
 )
 
-// rewardPrefix begins the ids of reward calls; the item's id follows.
+// rewardPrefix is the prefix of reward call ids; the item's id follows.
 const rewardPrefix = "reward-"
 
-// hasReward says whether an item bears a reward call: two of three do.
-func hasReward(item string) bool { return hashOf(item)%3 != 0 }
+// hasRewardCall reports whether an item has a reward call: two of three do.
+func hasRewardCall(item string) bool { return hashOf(item)%3 != 0 }
 
-func rewardOf(item string) string { return rewardPrefix + item }
+func rewardIDOf(item string) string { return rewardPrefix + item }
 
 func rewardKindOf(id string) int {
 	switch hashOf(id) % 40 {
 	case 0:
-		return rewardFailing
+		return rewardAlwaysFails
 	case 1, 2:
 		return rewardFailsOnce
 	case 3, 4:
-		return rewardLostOnce
+		return rewardAbortsOnce
 	case 5, 6:
 		return rewardSlow
 	}
-	return rewardScores
+	return rewardSucceeds
 }
 
-// workOf is how long a request that is no stream takes.
-func workOf(id string) time.Duration { return time.Duration(5+hashOf(id)%200) * time.Millisecond }
+// durationOf returns how long a request without a stream runs.
+func durationOf(id string) time.Duration { return time.Duration(5+hashOf(id)%200) * time.Millisecond }
 
-// losesAnswer says whether the engine breaks off once it has run a request.
-func losesAnswer(id string) bool { return hashOf(id)%40 == 7 }
+// abortsAnswer reports whether the engine aborts the response after it has run a request.
+func abortsAnswer(id string) bool { return hashOf(id)%40 == 7 }
 
-// bodyOf is the body of a request or an item.
+// bodyOf returns the body of a request or an item.
 func bodyOf(id string) string { return "body of " + id }
 
-// isStamp says whether a text is some instance's signature of a request.
-func isStamp(text, request string) bool {
+// isSignature reports whether a text is an instance's signature of a request.
+func isSignature(text, request string) bool {
 	instance, _, found := strings.Cut(text, "/")
-	return found && text == stampOf(instance, request)
+	return found && text == signatureOf(instance, request)
 }
 
-// eventsOf is how many events a text has, eventOf one of them.
-func eventsOf(id string) int { return 8 + int(hashOf(id)%25) }
+// eventCountOf returns the number of events of a text, eventOf the event number n.
+func eventCountOf(id string) int { return 8 + int(hashOf(id)%25) }
 func eventOf(id string, n int) string {
 	return fmt.Sprintf("%s.%d.%x", id, n, hashOf(id+strconv.Itoa(n))%0xffff)
 }
 
-// textOf is a whole text as a result holds it.
+// textOf returns the whole text, as a result holds it.
 func textOf(id string) string {
 	var events []string
-	for n := 1; n <= eventsOf(id); n++ {
+	for n := 1; n <= eventCountOf(id); n++ {
 		events = append(events, eventOf(id, n))
 	}
 	return strings.Join(events, "\n")
 }
 
 func answerOf(request, body string) string { return "answer to " + request + " about " + body }
-func stampOf(instance, request string) string {
+func signatureOf(instance, request string) string {
 	return fmt.Sprintf("%s/%x", instance, hashOf(instance+request))
 }
--- a/e2e/soak_trainer_test.go
+++ b/e2e/soak_trainer_test.go
@@ -11,30 +11,30 @@
 	"mulberryscale.example/platform/operator"
 )
 
-// Sizes and times of the trainers' work.
+// Sizes and timeouts of the trainers' steps.
 const (
-	soakGroups     = 6 // of a batch job
-	soakWanted     = 5 // groups that the trainer waits for
-	soakGroupItems = 4
-	// soakStepTime is how long a trainer waits for a step, soakSubmitTime for
-	// its acceptance.
-	soakStepTime   = 15 * time.Second
-	soakSubmitTime = 10 * time.Second
+	soakGroups       = 6 // of a batch job
+	soakWantedGroups = 5 // groups that the trainer waits for
+	soakGroupItems   = 4
+	// soakStepTimeout is how long a trainer waits for a step's results, soakSubmitTimeout
+	// how long for the job to be accepted.
+	soakStepTimeout   = 15 * time.Second
+	soakSubmitTimeout = 10 * time.Second
 )
 
-// soakTrainer takes steps with one model until ctx ends.
+// soakTrainer runs training steps with one model until ctx is cancelled.
 type soakTrainer struct {
 	*soakClient
 	model string
-	// again holds the items, by group, that were not complete in the last step.
-	again [][]string
+	// carriedOver holds the groups that the last step left incomplete.
+	carriedOver [][]string
 }
 
 func (t *soakTrainer) run(ctx context.Context) {
 	for step := 0; ctx.Err() == nil; step++ {
 		version := uint64(step + 1)
 		if step > 0 {
-			t.w.record.name(t.model, version)
+			t.w.record.setNamedVersion(t.model, version)
 			row, err := operator.NamedVersionRow(t.model, version)
 			t.w.write(ctx, row, err)
 		}
@@ -42,10 +42,10 @@
 	}
 }
 
-// step submits a job, reads it, and ends it.
+// step submits a job, reads its results, and ends it.
 func (t *soakTrainer) step(ctx context.Context, step int, minVersion uint64) {
 	j := &soakJob{id: fmt.Sprintf("job-%s-%d", t.model, step), organisation: t.organisation, minVersion: minVersion}
-	groups := t.again
+	groups := t.carriedOver
 	for g := len(groups); g < soakGroups; g++ {
 		var items []string
 		for i := range soakGroupItems {
@@ -53,39 +53,39 @@
 		}
 		groups = append(groups, items)
 	}
-	fresh := groups[len(t.again):]
-	t.again = nil
-	body := t.body(j, step, groups)
+	newGroups := groups[len(t.carriedOver):]
+	t.carriedOver = nil
+	body := t.encodeJob(j, step, groups)
 	t.w.record.addJob(j)
-	if !t.submit(ctx, j, body, fresh) {
+	if !t.submit(ctx, j, body, newGroups) {
 		return
 	}
-	t.read(ctx, j, groups)
-	t.end(j)
+	t.readResults(ctx, j, groups)
+	t.endJob(j)
 	for _, group := range groups {
-		if !t.complete(j, group) && len(t.again) < soakWanted/2 {
-			t.again = append(t.again, group)
+		if !t.complete(j, group) && len(t.carriedOver) < soakWantedGroups/2 {
+			t.carriedOver = append(t.carriedOver, group)
 		}
 	}
 }
 
-// body encodes a job and registers its items.
-func (t *soakTrainer) body(j *soakJob, step int, groups [][]string) string {
-	s := &batch.Submission{Model: t.model, Step: step, MinVersion: j.minVersion, WantedGroups: soakWanted}
+// encodeJob encodes a job, and records its items and reward calls as sent.
+func (t *soakTrainer) encodeJob(j *soakJob, step int, groups [][]string) string {
+	s := &batch.Submission{Model: t.model, Step: step, MinVersion: j.minVersion, WantedGroups: soakWantedGroups}
 	for _, group := range groups {
 		for _, id := range group {
 			j.items = append(j.items, id)
 			item := batch.Item{
-				ID: id, Path: "/" + t.model + "/" + id, Body: []byte(bodyOf(id)), Tokens: 100, Group: group[0], ExpectedTokens: eventsOf(id),
+				ID: id, Path: "/" + t.model + "/" + id, Body: []byte(bodyOf(id)), Tokens: 100, Group: group[0], ExpectedTokens: eventCountOf(id),
 			}
-			if hasReward(id) {
-				item.Reward = &batch.RewardCall{ID: rewardOf(id), Host: soakHost, Path: prefixScore + id, Body: []byte(bodyOf(rewardOf(id)))}
-				t.w.record.send(rewardOf(id), &request{
-					method: http.MethodPost, target: prefixScore + id, body: bodyOf(rewardOf(id)), services: []string{serviceDesk},
+			if hasRewardCall(id) {
+				item.Reward = &batch.RewardCall{ID: rewardIDOf(id), Host: soakHost, Path: prefixScore + id, Body: []byte(bodyOf(rewardIDOf(id)))}
+				t.w.record.requestSent(rewardIDOf(id), &request{
+					method: http.MethodPost, target: prefixScore + id, body: bodyOf(rewardIDOf(id)), services: []string{serviceDesk},
 				})
 			}
 			s.Items = append(s.Items, item)
-			t.w.record.send(id, &request{
+			t.w.record.requestSent(id, &request{
 				method: http.MethodPost, target: item.Path, body: bodyOf(id), model: t.model, services: []string{serviceEngines},
 				organisation: t.organisation,
 			})
@@ -98,16 +98,17 @@
 	return string(text)
 }
 
-// submit repeats until the job is accepted, and says whether it was.
-func (t *soakTrainer) submit(ctx context.Context, j *soakJob, body string, fresh [][]string) bool {
-	began, refusedOnly := time.Now(), true
-	for time.Since(began) < soakSubmitTime && ctx.Err() == nil {
+// submit retries until the job is accepted, and reports whether it was. If all answers were
+// refusals, it records that the new items must not run.
+func (t *soakTrainer) submit(ctx context.Context, j *soakJob, body string, newGroups [][]string) bool {
+	started, refusedOnly := time.Now(), true
+	for time.Since(started) < soakSubmitTimeout && ctx.Err() == nil {
 		status, _ := t.call(ctx, ingress.Attempt{
 			Entry: t.entry(), ID: j.id, Method: http.MethodPost, Target: "/" + t.model + "/" + j.id, Body: body,
 		})
 		switch status {
 		case http.StatusAccepted:
-			t.w.record.accept(j)
+			t.w.record.jobAccepted(j)
 			return true
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		case http.StatusBadRequest, http.StatusNotFound:
@@ -116,53 +117,54 @@
 		default:
 			refusedOnly = false
 		}
-		sleep(ctx, 10*soakPause)
+		sleep(ctx, 10*soakCallInterval)
 	}
 	if refusedOnly && ctx.Err() == nil {
-		for _, group := range fresh {
-			t.w.record.refuse(group...)
+		for _, group := range newGroups {
+			t.w.record.requestsRefused(group...)
 			for _, id := range group {
-				t.w.record.refuse(rewardOf(id))
+				t.w.record.requestsRefused(rewardIDOf(id))
 			}
 		}
 	}
 	return false
 }
 
-// read reads a job until enough groups are complete or the step's time is up.
-func (t *soakTrainer) read(ctx context.Context, j *soakJob, groups [][]string) {
-	ctx, cancel := context.WithTimeout(ctx, soakStepTime)
+// readResults reads a job's results until enough groups are complete or soakStepTimeout has
+// passed.
+func (t *soakTrainer) readResults(ctx context.Context, j *soakJob, groups [][]string) {
+	ctx, cancel := context.WithTimeout(ctx, soakStepTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		t.page(ctx, t.entry(), j, t.w.record.position(j))
+		t.readPage(ctx, t.entry(), j, t.w.record.resultsRead(j))
 		complete := 0
 		for _, group := range groups {
 			if t.complete(j, group) {
 				complete++
 			}
 		}
-		if complete >= soakWanted {
+		if complete >= soakWantedGroups {
 			t.w.record.count("steps")
 			return
 		}
-		sleep(ctx, soakPause)
+		sleep(ctx, soakCallInterval)
 	}
 }
 
 func (t *soakTrainer) complete(j *soakJob, group []string) bool {
 	for _, id := range group {
-		if !t.w.record.isListed(j, id) {
+		if !t.w.record.hasResult(j, id) {
 			return false
 		}
 	}
 	return true
 }
 
-// end ends a job; the end counts from when it is first sent.
-func (t *soakTrainer) end(j *soakJob) {
-	t.w.record.end(j)
-	began := time.Now()
-	for time.Since(began) < soakSubmitTime {
+// endJob ends a job, with retries. The job counts as ended from the first attempt on.
+func (t *soakTrainer) endJob(j *soakJob) {
+	t.w.record.jobEnded(j)
+	started := time.Now()
+	for time.Since(started) < soakSubmitTimeout {
 		status, _ := t.call(context.Background(), ingress.Attempt{
 			Entry: t.entry(), ID: j.id, Method: http.MethodDelete, Target: ingress.DeleteTarget(j.id),
 		})
@@ -170,9 +172,9 @@
 		case http.StatusOK:
 			return
 		case http.StatusNotFound:
-			t.w.record.problem("job %s: its end was answered 404", j.id)
+			t.w.record.problem("job %s: DELETE was answered 404", j.id)
 			return
 		}
-		time.Sleep(10 * soakPause)
+		time.Sleep(10 * soakCallInterval)
 	}
 }
--- a/e2e/soak_world_test.go
+++ b/e2e/soak_world_test.go
@@ -20,55 +20,55 @@
 	serviceEngines = "engines"
 	serviceDesk    = "desk"
 	serviceDesk2   = "desk-2"
-	serviceKiosk   = "kiosk" // its endpoints crash under some requests
+	serviceKiosk   = "kiosk" // some requests crash its endpoints
 	soakEntries    = 3
-	soakAgents     = 4 // with an engine and an agent each
+	soakAgents     = 4 // each with an engine
 	soakCallers    = 6
 )
 
-// Prefixes of the routes that are forwarded.
+// Path prefixes of the forwarded routes.
 const (
-	prefixLook  = "/look/"  // may be repeated; the operator moves it between two services
-	prefixBook  = "/book/"  // runs once
-	prefixTell  = "/tell/"  // a stream that may be resumed
-	prefixScore = "/score/" // scores texts; it may be repeated
-	prefixSay   = "/say/"   // a stream that runs once
-	prefixPeek  = "/peek/"  // may be repeated
+	prefixLook  = "/look/"  // repeatable; the operator moves it between two services
+	prefixBook  = "/book/"  // runs at most once
+	prefixTell  = "/tell/"  // a resumable stream
+	prefixScore = "/score/" // scores texts; repeatable
+	prefixSay   = "/say/"   // a stream that runs at most once
+	prefixPeek  = "/peek/"  // repeatable
 )
 
 var soakModels = []string{"guide", "meter"}
 
 // Ports, the same on each instance.
 const (
-	portFront      = 8100 // through its link
+	portFront      = 8100 // through the link
 	portFrontInner = 8101
 	portReady      = 8102
 	portStore      = 8103 // the instance's links to the store
 	portStore2     = 8104
-	portEngine     = 8105 // through its link
+	portEngine     = 8105 // through the link
 	portEngineIn   = 8106
-	portDuties     = 8107 // through its link
+	portDuties     = 8107 // through the link
 	portDutiesIn   = 8108
 	portPeers      = 8110
 	portMetrics    = 8120
 )
 
-// soakInstance is an instance with one of our processes.
+// soakInstance is an instance that runs an entry or an agent process.
 type soakInstance struct {
-	name, ip, role string
-	process        *process
-	settings       string
-	storeLinks     []*link
-	usesLink       int
-	// front is the address for clients, link the way to the entry or the engine.
-	front  string
-	link   *link
-	engine *soakEngine
-	// dutyLink is an agent's way to the platform's duty calls.
+	name, ip, role  string
+	process         *process
+	settings        string
+	storeLinks      []*link
+	activeStoreLink int
+	// clientAddr is an entry's address for clients; link is in front of the entry or the engine.
+	clientAddr string
+	link       *link
+	engine     *soakEngine
+	// dutyLink is an agent's link to the platform's duty endpoint.
 	dutyLink *link
 
-	mu     sync.Mutex // held by the one fault that stops or starts the process
-	logged int        // the length of the log at the last start
+	mu        sync.Mutex // held by the fault that stops or starts the process
+	logOffset int        // length of the log at the last start
 }
 
 // soakWorld is one deployment.
@@ -76,7 +76,7 @@
 	t         *testing.T
 	seed      uint64
 	dir       string
-	octet     int // of all its addresses
+	octet     int // third octet of all its addresses
 	store     *soakStore
 	server    *http.Server
 	entries   []*soakInstance
@@ -86,13 +86,13 @@
 	kiosks    []*soakEngine
 	duties    *soakDuties
 	record    *record
-	reg       *registry
+	registry  *registry
 	stop      chan struct{}
 
-	mu     sync.Mutex
-	config int
-	notes  strings.Builder
-	began  time.Time
+	mu            sync.Mutex
+	config        int
+	notes         strings.Builder
+	faultsStarted time.Time
 }
 
 func (w *soakWorld) note(format string, args ...any) {
@@ -101,8 +101,8 @@
 	fmt.Fprintf(&w.notes, "%s %s\n", time.Now().Format("15:04:05.000"), fmt.Sprintf(format, args...))
 }
 
-// allowed are the services that may run a request.
-func (w *soakWorld) allowed(target string) []string {
+// allowedServices returns the services that may run a request to a target.
+func (w *soakWorld) allowedServices(target string) []string {
 	switch {
 	case strings.HasPrefix(target, prefixLook):
 		return []string{serviceDesk, serviceDesk2}
@@ -112,7 +112,7 @@
 	return []string{serviceDesk}
 }
 
-// soakWorlds numbers the deployments of this run, for their addresses.
+// soakWorlds numbers the deployments of this test run, so that their addresses differ.
 var soakWorlds struct {
 	sync.Mutex
 	next int
@@ -138,8 +138,8 @@
 		t: t, seed: seed, dir: t.TempDir(), octet: octet, store: newSoakStore(), record: newRecord(), stop: make(chan struct{}),
 	}
 	w.duties = newSoakDuties(w.record)
-	w.reg = &registry{store: w.store, rng: rand.New(rand.NewPCG(seed, 1)), heard: map[string]time.Time{}}
-	go w.reg.lapse(w.stop)
+	w.registry = &registry{store: w.store, rng: rand.New(rand.NewPCG(seed, 1)), lastHeartbeat: map[string]time.Time{}}
+	go w.registry.removeExpired(w.stop)
 	t.Cleanup(w.close)
 	w.startStore()
 	w.configure()
@@ -158,7 +158,7 @@
 	for _, e := range w.entries {
 		eventually(t, e.name+" is ready", func() error { return ready(e.ip) })
 	}
-	w.began = time.Now()
+	w.faultsStarted = time.Now()
 	return w
 }
 
@@ -168,10 +168,10 @@
 		w.t.Fatal(err)
 	}
 	w.server = &http.Server{Handler: w.store}
-	go w.server.Serve(l) // ends with close
+	go w.server.Serve(l) // returns after Close
 }
 
-// link opens a link that is closed with the deployment.
+// link opens a link that is closed at the end of the test.
 func (w *soakWorld) link(from, to string) *link {
 	k, err := newLink(from, to)
 	if err != nil {
@@ -188,12 +188,12 @@
 		m.storeLinks = append(m.storeLinks, w.link(addr(ip, port), addr(w.ip(1), portStore)))
 	}
 	if role == "entry" {
-		m.front = addr(ip, portFront)
-		m.link = w.link(m.front, addr(ip, portFrontInner))
+		m.clientAddr = addr(ip, portFront)
+		m.link = w.link(m.clientAddr, addr(ip, portFrontInner))
 	} else {
 		m.link = w.link(addr(ip, portEngine), addr(ip, portEngineIn))
 		m.engine = w.startEngine(serviceEngines, ip, soakModels)
-		w.openDuties(m)
+		w.startDutyServer(m)
 	}
 	w.writeSettings(m)
 	m.process = startProcess(w.t, m.name, "mulberry-node", role, "--settings", m.settings, "--log-level", "debug")
@@ -207,14 +207,14 @@
 }
 
 func (w *soakWorld) startEngine(service, ip string, models []string) *soakEngine {
-	return w.startAt(service, ip, addr(ip, portEngineIn), addr(ip, portEngine), models)
+	return w.startEngineAt(service, ip, addr(ip, portEngineIn), addr(ip, portEngine), models)
 }
 
-// startAt starts an engine that listens at one address and tells the store another.
-func (w *soakWorld) startAt(service, ip, listen, told string, models []string) *soakEngine {
+// startEngineAt starts an engine that listens at one address and registers another.
+func (w *soakWorld) startEngineAt(service, ip, listen, advertised string, models []string) *soakEngine {
 	e := &soakEngine{
-		service: service, zone: zoneOf(ip), listen: listen, addr: told, models: models,
-		registry: w.reg, record: w.record,
+		service: service, zone: zoneOf(ip), listen: listen, addr: advertised, models: models,
+		registry: w.registry, record: w.record,
 	}
 	if err := e.start(false); err != nil {
 		w.t.Fatal(err)
@@ -222,21 +222,21 @@
 	return e
 }
 
-// startKiosk starts an endpoint without a link: once it has crashed, its port
-// refuses connections.
+// startKiosk starts an endpoint without a link, so that its port refuses connections
+// after a crash.
 func (w *soakWorld) startKiosk(n int) {
 	ip := w.ip(n)
 	at := addr(ip, portEngine)
-	w.kiosks = append(w.kiosks, w.startAt(serviceKiosk, ip, at, at, nil))
+	w.kiosks = append(w.kiosks, w.startEngineAt(serviceKiosk, ip, at, at, nil))
 }
 
 // soakZones are the availability zones.
 var soakZones = []string{"zone-0", "zone-1"}
 
-// zoneOf puts every second instance into the other zone.
+// zoneOf assigns instances to the zones alternately, by the last digit of their address.
 func zoneOf(ip string) string { return "zone-" + fmt.Sprint(int(ip[len(ip)-1]-'0')%2) }
 
-// ready is nil when an entry calls itself ready.
+// ready returns nil if an entry reports itself ready.
 func ready(ip string) error {
 	resp, err := direct.Get("http://" + addr(ip, portReady) + "/readyz")
 	if err != nil {
@@ -255,18 +255,18 @@
 		m.engine.crash()
 	}
 	for _, d := range slices.Concat(w.desks, w.kiosks) {
-		d.faulty.Lock() // a fault that still has it starts it again first
+		d.faultLock.Lock() // waits for a fault that still has to restart the engine
 		d.crash()
-		d.faulty.Unlock()
+		d.faultLock.Unlock()
 	}
 	w.server.Close()
 	if w.t.Failed() {
-		w.keepLogs()
+		w.writeLogs()
 	}
 }
 
-// keepLogs writes what the processes and the callers said.
-func (w *soakWorld) keepLogs() {
+// writeLogs writes the logs of the processes and the callers to -soak.logs, if it is set.
+func (w *soakWorld) writeLogs() {
 	if *soakLogs == "" {
 		return
 	}
--- a/e2e/table_test.go
+++ b/e2e/table_test.go
@@ -19,8 +19,8 @@
 	exitFailed = 1
 )
 
-// applied is what a mulberryctl apply ended with.
-type applied struct {
+// applyResult is what a mulberryctl apply ended with.
+type applyResult struct {
 	status         int
 	stdout, stderr string
 }
@@ -52,7 +52,7 @@
 }
 
 // applyAtOnce applies each text to version 1, all at once.
-func (f *fleet) applyAtOnce(texts ...string) []applied {
+func (f *fleet) applyAtOnce(texts ...string) []applyResult {
 	f.t.Helper()
 	cmds := make([]*exec.Cmd, len(texts))
 	stdouts, stderrs := make([]bytes.Buffer, len(texts)), make([]bytes.Buffer, len(texts))
@@ -67,10 +67,10 @@
 			f.t.Fatal(err)
 		}
 	}
-	results := make([]applied, len(texts))
+	results := make([]applyResult, len(texts))
 	for i, cmd := range cmds {
 		cmd.Wait() // the status is read below
-		results[i] = applied{cmd.ProcessState.ExitCode(), stdouts[i].String(), stderrs[i].String()}
+		results[i] = applyResult{cmd.ProcessState.ExitCode(), stdouts[i].String(), stderrs[i].String()}
 	}
 	return results
 }
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -68,12 +68,12 @@
 
 // runningStep is a step in progress and what its trainer has received.
 type runningStep struct {
-	f        *fleet
-	requests []api.SampleRequest
-	received chan api.Sample // closed with the step's end
-	got      map[string][]oracle.Delivery
-	result   *trainer.Result
-	err      error
+	f          *fleet
+	requests   []api.SampleRequest
+	received   chan api.Sample // closed with the step's end
+	deliveries map[string][]oracle.Delivery
+	result     *trainer.Result
+	err        error
 }
 
 // startStep begins a step; its first session goes to the first entry.
@@ -86,7 +86,7 @@
 		f.t.Fatal(err)
 	}
 	s := &runningStep{
-		f: f, requests: requests, received: make(chan api.Sample, len(requests)), got: map[string][]oracle.Delivery{},
+		f: f, requests: requests, received: make(chan api.Sample, len(requests)), deliveries: map[string][]oracle.Delivery{},
 	}
 	go func() {
 		defer close(s.received)
@@ -102,33 +102,33 @@
 // idleTimeout is how long the trainer waits for a silent entry.
 const idleTimeout = 2 * time.Second
 
-// await takes in n samples, so that the step is in the middle.
-func (s *runningStep) await(n int) {
+// awaitSamples takes in n samples, so that the step is in the middle.
+func (s *runningStep) awaitSamples(n int) {
 	s.f.t.Helper()
 	for range n {
-		if !s.takeOne() {
+		if !s.receiveOne() {
 			s.f.t.Fatalf("the step ended too early: %v", s.err)
 		}
 	}
 }
 
-func (s *runningStep) takeOne() bool {
+func (s *runningStep) receiveOne() bool {
 	s.f.t.Helper()
 	select {
 	case sample, ok := <-s.received:
 		if ok {
-			s.got[sample.ID] = append(s.got[sample.ID], oracle.Delivery{Sample: sample, Version: version})
+			s.deliveries[sample.ID] = append(s.deliveries[sample.ID], oracle.Delivery{Sample: sample, Version: version})
 		}
 		return ok
-	case <-time.After(waitBound):
-		s.f.t.Fatalf("no further sample; %d of %d came", len(s.got), len(s.requests))
+	case <-time.After(waitTimeout):
+		s.f.t.Fatalf("no further sample; %d of %d came", len(s.deliveries), len(s.requests))
 		return false
 	}
 }
 
 // drain takes in samples until the step has ended.
 func (s *runningStep) drain() {
-	for s.takeOne() {
+	for s.receiveOne() {
 	}
 }
 
@@ -144,14 +144,14 @@
 	records := s.f.engineRecords()
 	for i := range s.requests {
 		req := &s.requests[i]
-		if err := records.CheckScored(req, s.got[req.ID], 1); err != nil {
+		if err := records.CheckScored(req, s.deliveries[req.ID], 1); err != nil {
 			t.Errorf("sample %s: %v", req.ID, err)
 		}
 	}
 	if s.result.Dropped != 0 {
 		t.Errorf("%d samples came to the trainer's library twice or too old", s.result.Dropped)
 	}
-	if len(s.got) != len(s.requests) || len(s.result.Refused) > 0 {
-		t.Errorf("%d samples came, %d were asked for, refused: %v", len(s.got), len(s.requests), s.result.Refused)
+	if len(s.deliveries) != len(s.requests) || len(s.result.Refused) > 0 {
+		t.Errorf("%d samples came, %d were asked for, refused: %v", len(s.deliveries), len(s.requests), s.result.Refused)
 	}
 }
