--- a/e2e/agentstop_test.go
+++ b/e2e/agentstop_test.go
@@ -16,7 +16,7 @@
 	"mulberryscale.example/wire"
 )
 
-// peerKeys is the keys of a further entry, whose part the test plays.
+// peerKeys returns the keys of a third entry, which the test acts as.
 func (f *fleet) peerKeys() keys.Source {
 	f.t.Helper()
 	source, err := f.authority.Source("entry-3")
@@ -26,7 +26,7 @@
 	return source
 }
 
-// openRun sends a run to an agent and returns its stream once the first chunk is there.
+// openRun sends a run to an agent and returns its stream after the first chunk.
 func (f *fleet) openRun(source keys.Source, agent *node) transport.Stream {
 	f.t.Helper()
 	dialer := quictransport.NewDialer(source)
@@ -44,7 +44,8 @@
 	return s
 }
 
-// A SIGTERM in the middle of a stream cuts nothing off, and the agent ends well.
+// An agent that gets SIGTERM in the middle of a stream completes the stream and exits
+// with status 0.
 func TestSIGTERMCutsNothingOff(t *testing.T) {
 	f := startFleet(t, fleetOptions{tokenTime: 20 * time.Millisecond})
 	agent := f.agents[0]
@@ -54,7 +55,7 @@
 	for reply.Done == nil {
 		reply = wire.Reply{}
 		if err := s.Recv(&reply); err != nil {
-			t.Fatalf("the stream was cut off: %v", err)
+			t.Fatalf("the stream was aborted: %v", err)
 		}
 		if reply.Refusal != nil {
 			t.Fatal(reply.Refusal)
@@ -69,8 +70,8 @@
 	}
 }
 
-// A stop tells the peers at once, so that none waits for its idle timeout
-// before it looks for the next incarnation.
+// A stopping agent closes its connections at once, so that peers don't wait for their
+// idle timeout before they connect to the next incarnation.
 func TestStopClosesConnections(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	source, agent := f.peerKeys(), f.agents[0]
@@ -80,11 +81,11 @@
 	<-conn.Context().Done()
 	var closed *quic.ApplicationError
 	if cause := context.Cause(conn.Context()); !errors.As(cause, &closed) {
-		t.Fatalf("the connection ended with %v, want a close by the agent", cause)
+		t.Fatalf("the connection was closed with %v, want a close by the agent", cause)
 	}
 }
 
-// openConnection returns a connection that the agent has begun to serve.
+// openConnection returns a connection that the agent is serving.
 func openConnection(t *testing.T, source keys.Source, addr string) *quic.Conn {
 	t.Helper()
 	conn, err := quic.DialAddr(t.Context(), addr, source.ClientConfig(), &quic.Config{KeepAlivePeriod: quictransport.KeepAlive})
@@ -98,7 +99,7 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	// The stream without a request is ended by the agent.
+	// The agent closes the stream because it has no request.
 	_, _ = io.ReadAll(s)
 	return conn
 }
--- a/e2e/ask_test.go
+++ b/e2e/ask_test.go
@@ -12,14 +12,14 @@
 	"mulberryscale.example/internal/standin/plain"
 )
 
-// awaitReady waits until every process is ready and every entry hears from every agent.
+// awaitReady waits until every process is ready and every entry receives every agent's status.
 func (f *fleet) awaitReady() {
 	f.t.Helper()
 	for _, n := range append(append([]*node{}, f.agents...), f.entries...) {
 		eventually(f.t, n.id+" ready", func() error { return f.ready(n) })
 	}
 	for _, e := range f.entries {
-		eventually(f.t, e.id+" hears the agents", func() error { return f.hasAgentHeartbeats(e) })
+		eventually(f.t, e.id+" receives the agents' status", func() error { return f.hasAgentStatus(e) })
 	}
 }
 
@@ -38,7 +38,7 @@
 
 func (f *fleet) ready(n *node) error {
 	if !n.running() {
-		f.t.Fatalf("%s has ended", n.id)
+		f.t.Fatalf("%s has exited", n.id)
 	}
 	resp, err := direct.Get("http://" + n.admin + api.PathReady)
 	if err != nil {
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// hasAgentHeartbeats says whether the entry has heard from the running agents, and
-// from no earlier incarnation.
-func (f *fleet) hasAgentHeartbeats(e *node) error {
+// hasAgentStatus returns nil if the entry has a recent status of every running agent, and
+// not one of an earlier incarnation.
+func (f *fleet) hasAgentStatus(e *node) error {
 	statuses, err := statusOf(e)
 	if err != nil {
 		return err
@@ -61,13 +61,13 @@
 	for _, a := range f.agents {
 		s, ok := statuses[a.id]
 		if a.running() && (!ok || s.SeenSeconds < 0 || s.SeenSeconds > 2 || s.TableVersion == 0 || s.Draining) {
-			return fmt.Errorf("%s knows of %s: %+v", e.id, a.id, s)
+			return fmt.Errorf("%s has status of %s: %+v", e.id, a.id, s)
 		}
 	}
 	return nil
 }
 
-// statusOf asks an entry's operators' listener, by process id.
+// statusOf reads the process statuses from an entry's operators' listener, by process id.
 func statusOf(e *node) (map[string]api.ProcessStatus, error) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+e.admin+api.PathStatus, nil)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return v
 }
 
-// engineRecords are what all engines recorded.
+// engineRecords returns the records of all engines by run id.
 func (f *fleet) engineRecords() oracle.Records {
 	f.t.Helper()
 	all := oracle.Records{}
@@ -146,7 +146,7 @@
 	return fetch[counters](f.t, "http://"+n.admin+"/debug/vars")
 }
 
-// retries counts the repeats of a row at an entry, for all reasons.
+// retries returns the number of retries of a row at an entry, for all reasons.
 func (f *fleet) retries(n *node, row string) int64 {
 	f.t.Helper()
 	var sum int64
@@ -156,7 +156,7 @@
 	return sum
 }
 
-// entryURLs are the callers' base URLs.
+// entryURLs returns the entries' base URLs for callers.
 func (f *fleet) entryURLs() []string {
 	var urls []string
 	for _, e := range f.entries {
--- a/e2e/claims_test.go
+++ b/e2e/claims_test.go
@@ -14,22 +14,22 @@
 	"mulberryscale.example/internal/standin/fault"
 )
 
-// serviceDelay is the time from a call's execution to its answer, in which the
-// tests kill a process.
+// serviceDelay is the time from a call's execution to its answer. The tests kill
+// processes within it.
 const serviceDelay = time.Second
 
-// booking is a call that may not be repeated.
+// booking returns a call that must not be repeated.
 func booking(name string) serviceCall {
 	return serviceCall{row: rowBookings, method: http.MethodPost, name: name, body: "two seats", key: "key-" + name, nonIdem: true}
 }
 
-// outcome is what a caller learns of one call.
+// outcome is the answer that a caller gets to one call, or the error.
 type outcome struct {
 	body []byte
 	err  error
 }
 
-// notRun says whether the caller was told that its call did not run.
+// notRun reports whether the answer says that the call did not run.
 func (o outcome) notRun() bool {
 	var r *caller.Refused
 	return errors.As(o.err, &r) && r.Refusal.NotRun == api.NotRunTrue
@@ -45,7 +45,7 @@
 	return done
 }
 
-// awaitOutcome waits for a call in the background.
+// awaitOutcome waits for the outcome of a call in the background.
 func (f *fleet) awaitOutcome(done <-chan outcome) outcome {
 	f.t.Helper()
 	select {
@@ -71,8 +71,8 @@
 	return done
 }
 
-// A call that may not be repeated is answered through the other entry when its
-// own entry is killed while it runs, and runs once.
+// When the entry of a non-repeatable call is killed while the call runs, a repeat through
+// the other entry gets the answer of that run, and the call runs once.
 func TestBookingWithEntryKilled(t *testing.T) {
 	f := startFleet(t, fleetOptions{serviceDelay: serviceDelay})
 	c := booking("entry-killed")
@@ -83,14 +83,14 @@
 	}
 	for range 2 {
 		if _, err := call(t.Context(), f.entries[1].url, c); err != nil {
-			t.Errorf("the repeat was not answered with the run's answer: %v", err)
+			t.Errorf("the repeat did not get the run's answer: %v", err)
 		}
 	}
 	f.checkExecutions(c, 1)
 }
 
-// lostOutcomes are the ways to lose the outcome of a call that runs, and how
-// often the service, once it is back, remembers to have executed it.
+// lostOutcomes are the faults that lose the outcome of a running call. recorded is how
+// many executions of the call the service has on record after it has recovered.
 var lostOutcomes = map[string]struct {
 	lose     func(f *fleet)
 	recover  func(f *fleet)
@@ -101,12 +101,12 @@
 		recover:  (*fleet).awaitReady,
 		recorded: 1,
 	},
-	"service-crashed": { // its records stay
+	"service-crashed": { // it keeps its records
 		lose:     func(f *fleet) { f.fault(f.serviceURL, fault.Fault{Kind: fault.Crash}) },
 		recover:  func(*fleet) {},
 		recorded: 1,
 	},
-	"service-killed": { // it has no records afterwards
+	"service-killed": { // it loses its records
 		lose: func(f *fleet) { f.service.kill() },
 		recover: func(f *fleet) {
 			f.service.start()
@@ -116,8 +116,8 @@
 	},
 }
 
-// When the outcome of a call is lost, its caller is told so, and no repeat runs
-// the call again, through whichever entry and agent.
+// When the outcome of a call is lost, the refusal says that it is unknown, and no repeat
+// through any entry or agent runs the call again.
 func TestBookingWithOutcomeLost(t *testing.T) {
 	for name, outcomeLoss := range lostOutcomes {
 		t.Run(name, func(t *testing.T) {
@@ -135,7 +135,7 @@
 	}
 }
 
-// checkExecutions checks how often the service says to have executed a call.
+// checkExecutions checks how many executions of a call the service has on record.
 func (f *fleet) checkExecutions(c serviceCall, want int) {
 	f.t.Helper()
 	if n := f.executions(c.name); n != want {
@@ -143,20 +143,20 @@
 	}
 }
 
-// checkOutcomeUnknown checks that a call that ran was refused without saying that it did not.
+// checkOutcomeUnknown checks that a call that ran was refused, and not as "not run".
 func (f *fleet) checkOutcomeUnknown(c serviceCall, o outcome) {
 	f.t.Helper()
 	if o.err == nil {
 		f.t.Errorf("%s: answered with %q though the answer was lost", c.name, o.body)
 	}
 	if o.notRun() {
-		f.t.Errorf("%s: said not to have run, and it ran: %v", c.name, o.err)
+		f.t.Errorf("%s: refused as not run, but it ran: %v", c.name, o.err)
 	}
 }
 
-// Bookings that are repeated through the other entry while agent and entries
-// are killed at any moment run at most once, and never when all that their
-// caller heard is "not run".
+// Bookings that are repeated through the other entry, while the agent and the entries are
+// killed at arbitrary times, run at most once, and never if all their answers were
+// "not run".
 func TestBookingsUnderKills(t *testing.T) {
 	f := startFleet(t, fleetOptions{serviceDelay: 20 * time.Millisecond})
 	const calls, callers = 120, 8
@@ -189,9 +189,9 @@
 		case n > 1:
 			t.Errorf("%s ran %d times", r.name, n)
 		case n == 1 && r.onlyNotRun:
-			t.Errorf("%s ran, and its caller heard only that it did not", r.name)
+			t.Errorf("%s ran, but all its answers were \"not run\"", r.name)
 		case n == 0 && r.answered:
-			t.Errorf("%s was answered and never ran", r.name)
+			t.Errorf("%s was answered but never ran", r.name)
 		}
 		if r.answered {
 			answered++
@@ -203,15 +203,15 @@
 	}
 }
 
-// bookingResult is what a caller heard of a booking in all its attempts.
+// bookingResult summarizes the answers to all attempts of a booking.
 type bookingResult struct {
 	name       string
 	answered   bool
 	onlyNotRun bool
 }
 
-// bookWithRetries repeats a booking at one entry after the other, at most a
-// few times.
+// bookWithRetries sends a booking to the entries in turn, beginning with number entry, until
+// it is answered or has no attempts left.
 func (f *fleet) bookWithRetries(c serviceCall, entry int) bookingResult {
 	const attempts = 4
 	r := bookingResult{name: c.name, onlyNotRun: true}
@@ -230,8 +230,8 @@
 	return r
 }
 
-// With the table service gone a whole step is served; a call that may not be
-// repeated is refused as not run, with the time to come back.
+// While the table service is down, a whole step is still served. A non-repeatable call is
+// not sent and is refused with Retry-After.
 func TestTableServiceGone(t *testing.T) {
 	f := startFleet(t, fleetOptions{tokenTime: slowTokens})
 	f.table.kill()
@@ -248,8 +248,8 @@
 	f.checkExecutions(c, 0)
 }
 
-// With a table service that hangs, the call is refused too; the claim that
-// takes effect later keeps nobody from repeating it.
+// When the table service hangs, the call is refused too. Its claim, which takes effect
+// later, does not block a repeat.
 func TestTableServiceHangs(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	c := booking("table-hangs")
@@ -263,9 +263,9 @@
 	f.checkExecutions(c, 1)
 }
 
-// checkClaimRefused wants a refusal that does not say "not run": this call was
-// not sent, and an earlier one with its key may have run, which only the table
-// service that is away could tell.
+// checkClaimRefused checks for a refusal that does not say "not run": this call was not
+// sent, but an earlier one with its key may have run, which only the unavailable table
+// service knows.
 func (f *fleet) checkClaimRefused(c serviceCall, o outcome) {
 	f.t.Helper()
 	var r *caller.Refused
--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// slowTokens makes a step of stepSamples last long enough to be disturbed.
+// slowTokens makes a step of stepSamples last long enough to inject a fault.
 const (
 	slowTokens  = 5 * time.Millisecond
 	stepSamples = 128
-	midStep     = 16 // samples received when the disturbance comes
+	midStep     = 16 // samples received when the fault is injected
 )
 
-// startSlowStep starts a deployment with a step that is in the middle.
+// startSlowStep starts a deployment and a step, and waits for the first midStep samples.
 func startSlowStep(t *testing.T) (*fleet, *runningStep) {
 	t.Helper()
 	f := startFleet(t, fleetOptions{tokenTime: slowTokens})
@@ -38,7 +38,7 @@
 	f.agents[0].start()
 	step.check()
 	if f.retries(f.entries[0], rowTrainer) == 0 {
-		t.Error("no sample was disturbed by the kill")
+		t.Error("no sample was retried after the kill")
 	}
 }
 
@@ -51,12 +51,12 @@
 	step.check()
 }
 
-// A step's entry that is paused for longer than the trainer waits for it, and
-// goes on while the trainer's next session runs, delivers nothing twice.
+// An entry that is paused for longer than the trainer's idle timeout, and resumes while
+// the trainer's next session runs, delivers no sample twice.
 func TestPausedEntryInMidStep(t *testing.T) {
 	f, step := startSlowStep(t)
 	f.entries[0].pause()
-	step.awaitSamples(midStep) // more come through the other entry
+	step.awaitSamples(midStep) // further samples come through the other entry
 	f.entries[0].signal(syscall.SIGCONT)
 	step.check()
 	if step.result.Sessions < 2 {
@@ -64,14 +64,14 @@
 	}
 }
 
-// An agent that is paused is given up, and what it sends when it goes on is not
+// A paused agent's runs are retried, and what it sends after it resumes is not
 // taken for another sample.
 func TestPausedAgentInMidStep(t *testing.T) {
 	f, step := startSlowStep(t)
 	f.agents[0].pause()
-	eventually(t, "the agent is given up", func() error {
+	eventually(t, "a sample is retried", func() error {
 		if f.retries(f.entries[0], rowTrainer) == 0 {
-			return errors.New("no sample was tried again")
+			return errors.New("no sample was retried")
 		}
 		return nil
 	})
--- a/e2e/doc.go
+++ b/e2e/doc.go
@@ -1,4 +1,4 @@
-// Package e2e holds the tests that run the programs as separate processes on
-// the loopback address and stop them with real signals; TestSoak also disturbs
-// what is between them. The package is made of tests only.
+// Package e2e contains the tests that run the programs as separate processes on
+// loopback addresses and stop them with real signals. TestSoak also injects
+// network and store faults. The package contains only tests.
 package e2e
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -36,14 +36,14 @@
 guide-scorer,plain,,1,,,,,4000,30s,,,,,true
 `
 
-// direct passes over proxies that the environment may name.
+// direct is an HTTP client that ignores the proxy settings of the environment.
 var direct = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
 // node is an entry or an agent with its operators' listener.
 type node struct {
 	*process
 	id, role, zone string
-	addr           string // for our processes
+	addr           string // for entries and agents
 	admin          string
 	url            string // callers' base URL of an entry
 }
@@ -57,32 +57,32 @@
 	tableURL  string
 	instances string
 	weights   string
-	// engineURLs and serviceURL have the stand-ins' records and faults.
+	// engineURLs and serviceURL are the stand-ins' base URLs, also for their records and faults.
 	engineURLs []string
 	serviceURL string
 	service    *process
 	engines    []*process
-	agents     []*node // the engines' first
+	agents     []*node // the engines' agents come first
 	entries    []*node
 }
 
-// fleetOptions change a deployment.
+// fleetOptions are the settings of a deployment.
 type fleetOptions struct {
 	tokenTime time.Duration
 	// serviceDelay is the plain service's time from a call's execution to its answer.
 	serviceDelay time.Duration
-	// unreadyDelay is how long a stopping entry shows itself unready first.
+	// unreadyDelay is how long a stopping entry reports itself unready before it drains.
 	unreadyDelay time.Duration
 }
 
-// maxDeployments is how many deployments run at a time.
+// maxDeployments is the number of deployments that run at a time.
 const maxDeployments = 2
 
 // fleetSlots holds an item for each running deployment.
 var fleetSlots = make(chan struct{}, maxDeployments)
 
 // startFleet starts 3 engines, a plain service, a scorer, their agents and 2
-// entries in 2 zones, and waits until they know each other.
+// entries in 2 zones, and waits until every entry routes requests.
 func startFleet(t *testing.T, o fleetOptions) *fleet {
 	t.Helper()
 	t.Parallel()
@@ -123,7 +123,7 @@
 	return f
 }
 
-// issueKeys makes an authority and a certificate for each process.
+// issueKeys creates an authority and issues a certificate for each process.
 func (f *fleet) issueKeys(ids ...string) {
 	f.t.Helper()
 	authority, err := keys.NewDevAuthority()
@@ -156,7 +156,7 @@
 	return p, "http://" + addr
 }
 
-// reachable says whether an HTTP server answers, with any status.
+// reachable returns nil if an HTTP server answers, with any status.
 func reachable(url string) error {
 	resp, err := direct.Get(url + "/no-such-path")
 	if err == nil {
@@ -165,7 +165,7 @@
 	return err
 }
 
-// apply makes text the table version after base, with mulberryctl.
+// apply applies text as the table version after base, with mulberryctl.
 func (f *fleet) apply(base uint64, text string) {
 	f.t.Helper()
 	path := f.file("table.csv")
@@ -177,7 +177,7 @@
 	}
 }
 
-// ctl is a mulberryctl command line.
+// ctl returns a mulberryctl command.
 func (f *fleet) ctl(args ...string) *exec.Cmd {
 	all := append([]string{"--table-service", f.tableURL}, args...)
 	return exec.Command(filepath.Join(binDir, "mulberryctl"), all...)
@@ -210,7 +210,7 @@
 	return &node{id: id, role: role, zone: zone, addr: freeAddr(f.t), admin: freeAddr(f.t)}
 }
 
-// common are the flags that entries and agents share.
+// common returns the flags that entries and agents share.
 func (f *fleet) common(n *node, listenFlag string) []string {
 	return []string{
 		"--id", n.id, "--zone", n.zone, listenFlag, n.addr, "--admin", n.admin, "--admin-token", adminToken,
@@ -218,14 +218,14 @@
 	}
 }
 
-// register puts a node into the instance list, as the platform does.
+// register adds a node to the instance list, as the platform does.
 func (f *fleet) register(n *node) {
 	f.t.Helper()
 	instance := platform.Instance{ID: n.id, Role: platform.Role(n.role), Zone: n.zone, Addr: n.addr}
 	f.send(http.MethodPut, f.instances+"/instances/"+n.id, instance)
 }
 
-// fault switches a fault of a stand-in.
+// fault switches a fault of a stand-in on or off.
 func (f *fleet) fault(url string, fl fault.Fault) {
 	f.t.Helper()
 	f.send(http.MethodPost, url+"/faults", fl)
--- a/e2e/main_test.go
+++ b/e2e/main_test.go
@@ -39,12 +39,12 @@
 	return m.Run()
 }
 
-// statSources looks at the sources of the programs once in a test run, so that
-// the go command's cache of test results depends on them.
+// statSources stats the sources of the programs once per test run, so that the go
+// command's cached test results depend on them.
 var statSources = sync.OnceValue(func() error {
 	return filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() && path != ".." && entry.Name()[0] == '.' {
-			return fs.SkipDir // .git and directories that went away
+			return fs.SkipDir // .git, and directories that were removed meanwhile
 		}
 		switch filepath.Ext(path) {
 		case ".go", ".yaml", ".mod":
--- a/e2e/openai_test.go
+++ b/e2e/openai_test.go
@@ -13,7 +13,7 @@
 	"mulberryscale.example/internal/oracle"
 )
 
-// A client library from the registry does a completion and a streamed one.
+// The OpenAI client library gets a completion and a streamed completion.
 func TestOpenAIClient(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	client := openai.NewClient(
@@ -58,7 +58,7 @@
 	checkOpenAI(t, want, text, last)
 }
 
-// checkOpenAI compares a text with the versions that the answer's JSON names.
+// checkOpenAI checks a text against the weight versions that the answer's JSON names.
 func checkOpenAI(t *testing.T, want api.CompletionRequest, text, rawJSON string) {
 	t.Helper()
 	var answer api.Completion
@@ -70,7 +70,7 @@
 	}
 }
 
-// A refusal reaches the library as an error of its own kind.
+// The library returns a refusal as its own error type.
 func TestOpenAIClientGetsRefusal(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	client := openai.NewClient(
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -14,26 +14,26 @@
 	"time"
 )
 
-// waitTimeout is how long a test waits for a condition before it gives up. It is
-// far longer than any condition takes, so that a busy machine changes no verdict.
+// waitTimeout is how long a test waits for a condition before it fails. It is far
+// longer than any condition takes, so that no test fails because the machine is busy.
 const waitTimeout = 30 * time.Second
 
-// pollInterval is how often a condition is looked at.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 20 * time.Millisecond
 
-// process is one program of the deployment. It can be stopped and started
-// again with the same command line.
+// process is a program of the deployment that runs as a separate process. It can be
+// stopped and started again with the same command line.
 type process struct {
 	t    *testing.T
 	name string
-	args []string // the program's name first
+	args []string // the first is the program's name
 
 	cmd    *exec.Cmd
 	log    *lockedBuffer
-	exited chan struct{} // closed when the running process has ended
+	exited chan struct{} // closed when the running process has exited
 }
 
-// lockedBuffer gathers a process's output.
+// lockedBuffer collects a process's output. It is safe for concurrent use.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -65,7 +65,7 @@
 	return p
 }
 
-// tail is the end of a long output.
+// tail returns the last bytes of a long output.
 func tail(s string) string {
 	const most = 4 << 10
 	if len(s) <= most {
@@ -74,7 +74,7 @@
 	return "...\n" + s[len(s)-most:]
 }
 
-// start starts the process, or starts it again once it has ended.
+// start starts the process, or starts it again after it has exited.
 func (p *process) start() {
 	p.t.Helper()
 	cmd := exec.Command(filepath.Join(binDir, p.args[0]), p.args[1:]...)
@@ -105,7 +105,7 @@
 	eventually(p.t, p.name+" is paused", p.paused)
 }
 
-// paused is nil when the system shows every thread as stopped.
+// paused returns nil if the kernel reports every thread as stopped.
 func (p *process) paused() error {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	if err != nil || len(threads) == 0 {
@@ -124,13 +124,13 @@
 	return nil
 }
 
-// kill ends the process with SIGKILL; one that has ended stays so.
+// kill terminates the process with SIGKILL and waits for its exit.
 func (p *process) kill() {
-	p.cmd.Process.Kill() // an error says that it has ended
+	p.cmd.Process.Kill() // fails only if it has exited
 	<-p.exited
 }
 
-// exitReport says how a process ended that was not to, with its last output.
+// exitReport describes an unexpected exit of the process, with its last output.
 func (p *process) exitReport() string {
 	<-p.exited
 	return fmt.Sprintf("%s, after\n%s", p.cmd.ProcessState, tail(p.log.String()))
@@ -145,7 +145,8 @@
 	}
 }
 
-// terminate sends SIGTERM and waits until the process has ended with status 0.
+// terminate sends SIGTERM and waits until the process has exited. It returns an error if the
+// status is not 0.
 func (p *process) terminate() error {
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return fmt.Errorf("%s: SIGTERM: %w", p.name, err)
@@ -153,15 +154,16 @@
 	return p.awaitExit()
 }
 
-// awaitExit waits until the process has ended with status 0 after a SIGTERM.
+// awaitExit waits until the process has exited after SIGTERM. It returns an error if the
+// status is not 0.
 func (p *process) awaitExit() error {
 	select {
 	case <-p.exited:
 	case <-time.After(waitTimeout):
-		return fmt.Errorf("%s did not end after SIGTERM", p.name)
+		return fmt.Errorf("%s did not exit after SIGTERM", p.name)
 	}
 	if status := p.cmd.ProcessState.ExitCode(); status != 0 {
-		return fmt.Errorf("%s ended with status %d after SIGTERM", p.name, status)
+		return fmt.Errorf("%s exited with status %d after SIGTERM", p.name, status)
 	}
 	return nil
 }
@@ -174,7 +176,7 @@
 	}
 }
 
-// poll waits until condition returns nil, for at most waitBound.
+// poll waits until condition returns nil, for at most waitTimeout, and returns its last error.
 func poll(condition func() error) error {
 	end := time.Now().Add(waitTimeout)
 	for {
@@ -186,17 +188,16 @@
 	}
 }
 
-// Ports below the range from which the system gives out ports by itself, so
-// that a process can be started again on the port that it had. Each test run
-// takes one block of them.
+// Ports below the range of ephemeral ports, so that a process can be started again
+// on the same port. Each test run reserves one block of them.
 const (
 	firstPort  = 20000
 	blockPorts = 800
 	blocks     = 15
 )
 
-// portBlock is the block of this test run. The listener on its first port keeps
-// it from other runs.
+// portBlock is the block of this test run. The listener on its first port reserves
+// it against other runs.
 type portBlock struct {
 	lock net.Listener
 	base int
@@ -216,7 +217,7 @@
 	return nil, errors.New("every block of ports is taken")
 })
 
-// freeAddr is a loopback address whose port is free for TCP and UDP.
+// freeAddr returns a loopback address whose port is free for TCP and UDP.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	block, err := takeBlock()
--- a/e2e/ready_test.go
+++ b/e2e/ready_test.go
@@ -12,8 +12,8 @@
 	"mulberryscale.example/internal/standin/fault"
 )
 
-// callersReady is the answer of /ready on an entry's callers' listener, as the
-// balancer sees it.
+// callersReady returns the status of /ready on an entry's callers' listener, which the
+// balancer polls.
 func callersReady(e *node) (status int, err error) {
 	resp, err := direct.Get(e.url + api.PathReady)
 	if err != nil {
@@ -35,8 +35,8 @@
 	})
 }
 
-// An entry that knows the table and no agents yet is not ready; when it is
-// ready, it serves the first call.
+// An entry that has the table but no agents yet is not ready. Once it is ready, it
+// serves the first call.
 func TestReadyOnlyWithAgents(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	e := f.entries[1]
@@ -63,7 +63,7 @@
 	}
 }
 
-// A stopping entry shows itself unready to the balancer while it still serves.
+// A stopping entry reports itself unready to the balancer while it still serves.
 func TestUnreadyBeforeDrain(t *testing.T) {
 	f := startFleet(t, fleetOptions{unreadyDelay: time.Minute})
 	e := f.entries[0]
--- a/e2e/restart_test.go
+++ b/e2e/restart_test.go
@@ -16,18 +16,17 @@
 	"mulberryscale.example/internal/standin/engine"
 )
 
-// balancer sends callers to entries as the platform's balancer does: it asks
-// each entry's callers' listener whether it is ready, and repeats a call only
-// when the connection was refused or the entry said that it is stopping and
-// did not run the call.
+// balancer distributes calls over the entries as the platform's balancer does: it polls
+// each entry's callers' listener for readiness, and repeats a call only if the connection
+// was refused or the entry answered that it is draining and did not run the call.
 type balancer struct {
 	f       *fleet
 	unready [2]atomic.Bool
 	next    atomic.Int64
 }
 
-// healthInterval is how often the balancer asks; it is far below the entries'
-// unready delay.
+// healthInterval is the time between the balancer's readiness checks, far below the
+// entries' unready delay.
 const healthInterval = 50 * time.Millisecond
 
 func (b *balancer) run(ctx context.Context) {
@@ -40,7 +39,7 @@
 	}
 }
 
-// do makes a call at one entry after the other until one takes it.
+// do sends a call to the entries in turn until one accepts it.
 func (b *balancer) do(ctx context.Context, makeCall func(url string) error) error {
 	for {
 		i := int(b.next.Add(1)) % len(b.f.entries)
@@ -65,10 +64,10 @@
 }
 
 // minLongTokens is the least length of a long lookup. With slowTokens it runs for
-// longer than a restarting entry shows itself unready.
+// longer than a restarting entry's unready delay.
 const minLongTokens = 200
 
-// longLookup is lookup number i with a seed that makes its answer long.
+// longLookup returns lookup number i with a seed that makes its answer long.
 func longLookup(i int, stream bool) api.CompletionRequest {
 	req := lookupRequest(i, stream)
 	req.MaxTokens = 2 * minLongTokens
@@ -78,8 +77,8 @@
 	return req
 }
 
-// callers make lookups, every second one streamed, until stop is called, which
-// returns how many were answered and what failed.
+// startCallers starts callers that make lookups, every second one streamed, until stop is
+// called. stop returns the number of answered lookups and the failures.
 func startCallers(t *testing.T, b *balancer, count int) (stop func() (answered int64, failures []error)) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -112,8 +111,8 @@
 	}
 }
 
-// restart stops a node gracefully, starts it again, and waits until the
-// entries know it.
+// restart stops a node with SIGTERM, starts it again, and waits until every process is
+// ready.
 func (f *fleet) restart(n *node) {
 	f.t.Helper()
 	if err := n.terminate(); err != nil {
@@ -123,20 +122,20 @@
 	f.awaitReady()
 }
 
-// checkNoBrokenRuns checks that no run of an entry was broken off since its start.
+// checkNoBrokenRuns checks that no run of an entry was aborted since the entry's start.
 func (f *fleet) checkNoBrokenRuns() {
 	f.t.Helper()
 	for _, e := range f.entries {
 		for row, reasons := range f.counters(e).Retries {
 			if n := reasons["broken"] + reasons["attach"] + reasons["endpoint"]; n > 0 {
-				f.t.Errorf("%s: %d runs of row %s were broken off: %v", e.id, n, row, reasons)
+				f.t.Errorf("%s: %d runs of row %s were aborted: %v", e.id, n, row, reasons)
 			}
 		}
 	}
 }
 
-// startTrainer takes step after step until stop is called, and returns the
-// steps, the last one still to be checked.
+// startTrainer runs one step after the other until stop is called. stop returns the
+// steps, which are still to be checked.
 func startTrainer(f *fleet) (stop func() []*runningStep) {
 	stopping := make(chan struct{})
 	done := make(chan []*runningStep, 1)
@@ -160,8 +159,8 @@
 	}
 }
 
-// A rolling restart of all entries and agents, under lookups and steps with
-// long streams, cuts nothing off.
+// A rolling restart of all entries and agents, during lookups and steps with long
+// streams, aborts no run.
 func TestRollingRestart(t *testing.T) {
 	f := startFleet(t, fleetOptions{tokenTime: slowTokens, unreadyDelay: 500 * time.Millisecond})
 	stopCallers := startCallers(t, &balancer{f: f}, 4)
@@ -180,12 +179,11 @@
 		t.Error(err)
 	}
 	if answered == 0 || len(steps) == 0 {
-		t.Error("nothing was asked for during the restarts")
+		t.Error("no lookup or no step during the restarts")
 	}
 }
 
-// A sample whose scoring service is away for a moment is scored later, not
-// refused.
+// A sample whose scoring service is briefly unavailable is scored later, not refused.
 func TestScorerAwayInMidStep(t *testing.T) {
 	f := startFleet(t, fleetOptions{tokenTime: slowTokens})
 	step := f.startStep("1", samples("s", stepSamples, 400))
@@ -194,9 +192,9 @@
 	if err := scorer.terminate(); err != nil {
 		t.Error(err)
 	}
-	eventually(t, "a score is asked for meanwhile", func() error {
+	eventually(t, "a scoring call is retried", func() error {
 		if f.counters(f.entries[0]).Retries[rowScorer]["scorer"] == 0 {
-			return errors.New("no scoring was tried again")
+			return errors.New("no scoring call was retried")
 		}
 		return nil
 	})
@@ -204,8 +202,8 @@
 	step.check()
 }
 
-// A call that may not be repeated and runs while its agent and then its entry
-// are stopped is answered.
+// A non-repeatable call is answered although its agent, or its entry, is stopped while
+// the call runs.
 func TestBookingDuringStops(t *testing.T) {
 	f := startFleet(t, fleetOptions{serviceDelay: serviceDelay})
 	for _, n := range []*node{f.agents[3], f.entries[0]} {
--- a/e2e/soak_record_test.go
+++ b/e2e/soak_record_test.go
@@ -20,7 +20,7 @@
 	organisation                string   // the organisation it is sent under
 }
 
-// sameResult reports whether two results are equal in all fields that clients compare.
+// sameResult reports whether two results are equal.
 func sameResult(a, b *batch.Result) bool {
 	return a.ID == b.ID && a.State == b.State && a.Output == b.Output && a.Score == b.Score && slices.Equal(a.Versions, b.Versions)
 }
@@ -265,7 +265,8 @@
 }
 
 // checkVersions checks that each event of a text was produced by one of the result's weight
-// versions, and that each of these versions produced an event. r.mu is held.
+// versions, and that each of these versions produced an event and is not older than the
+// job's least version. r.mu is held.
 func (r *record) checkVersions(j *soakJob, at string, result *batch.Result) {
 	used := map[uint64]bool{}
 	for n := 1; n <= eventCountOf(result.ID); n++ {
--- a/e2e/table_test.go
+++ b/e2e/table_test.go
@@ -19,15 +19,15 @@
 	exitFailed = 1
 )
 
-// applyResult is what a mulberryctl apply ended with.
+// applyResult is the exit status and output of a mulberryctl apply.
 type applyResult struct {
 	status         int
 	stdout, stderr string
 }
 
-// Two operators apply different edits of the same version at once: one wins,
-// the other gets the three-way difference, and the winner's version comes into
-// force on every process.
+// Two operators apply different edits of the same version concurrently: one succeeds,
+// the other gets the three-way difference, and the winner's version takes effect on
+// every process.
 func TestTwoOperatorsRace(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	shares := strings.Replace(tableText, "guide,4,", "guide,5,", 1)
@@ -41,7 +41,7 @@
 		t.Fatalf("want one winner, got %+v", results)
 	}
 	if !strings.Contains(winner.stdout, "version 2") {
-		t.Errorf("the winner reads %q", winner.stdout)
+		t.Errorf("the winner printed %q", winner.stdout)
 	}
 	for _, want := range []string{"mine", "theirs", rowLookups, rowBookings} {
 		if !strings.Contains(loser.stdout, want) {
@@ -51,7 +51,7 @@
 	f.awaitInForce(2)
 }
 
-// applyAtOnce applies each text to version 1, all at once.
+// applyAtOnce applies each text to version 1, concurrently.
 func (f *fleet) applyAtOnce(texts ...string) []applyResult {
 	f.t.Helper()
 	cmds := make([]*exec.Cmd, len(texts))
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -13,7 +13,7 @@
 	"mulberryscale.example/trainer"
 )
 
-// lookupRequest is lookup number i.
+// lookupRequest returns lookup number i.
 func lookupRequest(i int, stream bool) api.CompletionRequest {
 	return api.CompletionRequest{
 		Model: rowLookups, Prompt: fmt.Sprintf("What is open near square %d this Saturday?", i),
@@ -21,7 +21,7 @@
 	}
 }
 
-// lookup makes one lookup and checks that its answer is its own and whole.
+// lookup makes one lookup and checks that its answer is complete and belongs to it.
 func lookup(ctx context.Context, url string, req api.CompletionRequest) (*api.Completion, error) {
 	answer, err := caller.Complete(ctx, direct, url, &req, nil)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return caller.CallService(ctx, direct, url, c.row, "/visits", caller.Call{Method: c.method, Header: header, Body: []byte(c.body)})
 }
 
-// samples makes the samples of a step, in groups that share a prompt.
+// samples returns the sample requests of a step, in groups that share a prompt.
 func samples(prefix string, n, maxTokens int) []api.SampleRequest {
 	const groupSize = 8
 	requests := make([]api.SampleRequest, n)
@@ -66,17 +66,17 @@
 	return requests
 }
 
-// runningStep is a step in progress and what its trainer has received.
+// runningStep is a step in progress, with the samples that its trainer has received.
 type runningStep struct {
 	f          *fleet
 	requests   []api.SampleRequest
-	received   chan api.Sample // closed with the step's end
+	received   chan api.Sample // closed when the step returns
 	deliveries map[string][]oracle.Delivery
 	result     *trainer.Result
 	err        error
 }
 
-// startStep begins a step; its first session goes to the first entry.
+// startStep starts a step; its first session goes to the first entry.
 func (f *fleet) startStep(name string, requests []api.SampleRequest) *runningStep {
 	f.t.Helper()
 	client, err := trainer.New(trainer.Config{
@@ -99,15 +99,15 @@
 	return s
 }
 
-// idleTimeout is how long the trainer waits for a silent entry.
+// idleTimeout is how long the trainer waits for an entry that sends nothing.
 const idleTimeout = 2 * time.Second
 
-// awaitSamples takes in n samples, so that the step is in the middle.
+// awaitSamples receives n samples, so that the step is in progress.
 func (s *runningStep) awaitSamples(n int) {
 	s.f.t.Helper()
 	for range n {
 		if !s.receiveOne() {
-			s.f.t.Fatalf("the step ended too early: %v", s.err)
+			s.f.t.Fatalf("the step returned too early: %v", s.err)
 		}
 	}
 }
@@ -121,19 +121,19 @@
 		}
 		return ok
 	case <-time.After(waitTimeout):
-		s.f.t.Fatalf("no further sample; %d of %d came", len(s.deliveries), len(s.requests))
+		s.f.t.Fatalf("no further sample; received %d of %d", len(s.deliveries), len(s.requests))
 		return false
 	}
 }
 
-// drain takes in samples until the step has ended.
+// drain receives samples until the step has returned.
 func (s *runningStep) drain() {
 	for s.receiveOne() {
 	}
 }
 
-// check waits for the step's end and checks that each sample came once, whole
-// and truthfully labelled, against the engines' own records.
+// check waits until the step has returned and checks, against the engines' records, that
+// each sample was received once, complete and with the right weight versions.
 func (s *runningStep) check() {
 	t := s.f.t
 	t.Helper()
@@ -149,9 +149,9 @@
 		}
 	}
 	if s.result.Dropped != 0 {
-		t.Errorf("%d samples came to the trainer's library twice or too old", s.result.Dropped)
+		t.Errorf("the trainer's library dropped %d samples as duplicate or too old", s.result.Dropped)
 	}
 	if len(s.deliveries) != len(s.requests) || len(s.result.Refused) > 0 {
-		t.Errorf("%d samples came, %d were asked for, refused: %v", len(s.deliveries), len(s.requests), s.result.Refused)
+		t.Errorf("received %d samples, requested %d, refused: %v", len(s.deliveries), len(s.requests), s.result.Refused)
 	}
 }
