--- a/cmd/mulberryctl/jobs.go
+++ b/cmd/mulberryctl/jobs.go
@@ -15,9 +15,9 @@
 	"mulberryscale.example/store"
 )
 
-// jobLine is the JSON of a job.
+// jobLine is the JSON of a batch job.
 type jobLine struct {
-	ID           string  `json:"id"` // as its client knows it
+	ID           string  `json:"id"` // the client's id of the job
 	Organisation string  `json:"organisation,omitempty"`
 	Route        string  `json:"route"`
 	Model        string  `json:"model"`
@@ -31,14 +31,15 @@
 	Owners       int     `json:"owners"`
 }
 
-// States of a job, in the order in which they are shown.
+// States of a job, in display order: not all items have results, all items have
+// results, the client has ended the job.
 const (
 	jobOpen     = "open"
 	jobFinished = "finished"
 	jobEnded    = "ended"
 )
 
-var jobOrder = []string{jobOpen, jobFinished, jobEnded}
+var jobStateOrder = []string{jobOpen, jobFinished, jobEnded}
 
 func showJobs(ctx context.Context, cmd *cli.Command) error {
 	client, err := openMetastore(cmd)
@@ -59,7 +60,7 @@
 	return write(cmd, out, jobs)
 }
 
-// readJobs reads the jobs and counts their results, ended ones only if asked to.
+// readJobs reads the jobs and counts their results. It includes ended jobs if all is true.
 func readJobs(ctx context.Context, rows store.Store, all bool) ([]jobLine, error) {
 	ledger := &batch.Ledger{Store: rows}
 	s, err := rows.List(ctx, store.Range{Table: batch.TableJobs})
@@ -84,19 +85,19 @@
 		if ended[job.ID] && !all {
 			continue
 		}
-		line, err := readJob(ctx, ledger, job, s.Now, ended[job.ID])
+		line, err := countResults(ctx, ledger, job, s.Now, ended[job.ID])
 		if err != nil {
 			return nil, err
 		}
 		jobs = append(jobs, line)
 	}
 	slices.SortFunc(jobs, func(a, b jobLine) int {
-		return cmp.Or(cmp.Compare(slices.Index(jobOrder, a.State), slices.Index(jobOrder, b.State)), cmp.Compare(a.AgeSeconds, b.AgeSeconds))
+		return cmp.Or(cmp.Compare(slices.Index(jobStateOrder, a.State), slices.Index(jobStateOrder, b.State)), cmp.Compare(a.AgeSeconds, b.AgeSeconds))
 	})
 	return jobs, nil
 }
 
-func readJob(ctx context.Context, ledger *batch.Ledger, job *batch.Job, now time.Duration, ended bool) (jobLine, error) {
+func countResults(ctx context.Context, ledger *batch.Ledger, job *batch.Job, now time.Duration, ended bool) (jobLine, error) {
 	listing, err := ledger.Results(ctx, job.ID)
 	if err != nil {
 		return jobLine{}, trace.Wrap(err, "read the results of job %s", job.ID)
--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -81,7 +81,7 @@
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: benchCallers}}
 	defer client.CloseIdleConnections()
 	through := cpuOfCalls(b, func(i int) error { return callEntry(b.Context(), client, url, tokens, i) })
-	base, stop, err := fabric.Serve("direct", d.Agents[0].Core.Handler())
+	base, stop, err := fabric.Serve("direct", d.Agents[0].StandIn.Handler())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 // cpuOfCalls is the processor time of this process for one call, in microseconds.
 func cpuOfCalls(b *testing.B, call func(i int) error) float64 {
 	var callers sync.WaitGroup
-	before := benchmeter.ProcessorTime(b)
+	before := benchmeter.CPUTime(b)
 	for c := range benchCallers {
 		callers.Go(func() {
 			for i := range benchRequests {
@@ -114,7 +114,7 @@
 		})
 	}
 	callers.Wait()
-	return benchmeter.Micros(b, before, benchCallers*benchRequests)
+	return benchmeter.CPUMicrosPerOp(b, before, benchCallers*benchRequests)
 }
 
 func callEntry(ctx context.Context, client *http.Client, url string, tokens, i int) error {
