--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -25,16 +25,16 @@
 
 func TestLowerBound(t *testing.T) {
 	w := &Workload{Engines: 2, Slots: 2, TokenTime: 10 * time.Millisecond}
-	// Four slots and eight samples of 100 tokens: two rounds of one second.
+	// 4 slots and 8 samples of 100 tokens need two rounds of 1 s.
 	lengths := []int{100, 100, 100, 100, 100, 100, 100, 100}
 	if got := w.LowerBound(lengths, 8); got != 2*time.Second {
 		t.Errorf("bound %v, want 2s", got)
 	}
-	// One straggler alone takes longer than all the rest.
+	// The straggler alone takes longer than the busy time of all slots.
 	if got := w.LowerBound([]int{10, 10, 500}, 3); got != 5*time.Second {
 		t.Errorf("bound %v, want 5s", got)
 	}
-	// Without the straggler the bound is that of the two short ones.
+	// Without the straggler, the two short samples determine the bound.
 	if got := w.LowerBound([]int{10, 10, 500}, 2); got != 100*time.Millisecond {
 		t.Errorf("bound %v, want 100ms", got)
 	}
--- a/internal/experiment/lookups.go
+++ b/internal/experiment/lookups.go
@@ -21,34 +21,36 @@
 )
 
 const (
-	// lookupDeadline is what callers wait at most; goodput counts what came whole within it.
+	// lookupDeadline is the deadline of a lookup. Goodput counts the complete and correct
+	// responses within it.
 	lookupDeadline = 2 * time.Second
-	// smallEngines and smallSlots make a rig that one machine can overload.
-	smallEngines = 3
-	smallSlots   = 4
-	significant  = 3 // digits of the latency histogram
+	// smallEngines and smallSlots are the size of a deployment that load from one machine
+	// can saturate.
+	smallEngines      = 3
+	smallSlots        = 4
+	significantDigits = 3 // of the latency histograms
 )
 
-// LookupResult is one run of interactive lookups.
+// LookupResult is the result of one run of interactive lookups.
 type LookupResult struct {
-	// Offered is the rate of lookups relative to what the engines can serve.
+	// Offered is the rate of lookups relative to the capacity of the engines.
 	Offered float64 `json:"offered"`
-	// Trainers is how many trainers saturated the engines beside them.
+	// Trainers is the number of trainers that saturated the engines at the same time.
 	Trainers int     `json:"trainers"`
 	Failure  Failure `json:"failure"`
 	Sent     int     `json:"sent"`
 	OK       int     `json:"ok"`
 	Refused  int     `json:"refused"`
 	Broken   int     `json:"broken"`
-	// Goodput is answers a second that came whole within the deadline.
+	// Goodput is the rate of complete responses within the deadline, per second.
 	Goodput float64 `json:"goodput_per_second"`
-	// P50, P99 and P999 are latencies of good answers, in milliseconds.
+	// P50, P99 and P999 are latency percentiles of these responses, in milliseconds.
 	P50  float64 `json:"p50_ms"`
 	P99  float64 `json:"p99_ms"`
 	P999 float64 `json:"p999_ms"`
 }
 
-// small is a workload's model cut down to a few engines.
+// small returns a copy of the workload with few engines, few slots and twice the token time.
 func (w *Workload) small() *Workload {
 	s := *w
 	s.Engines = smallEngines
@@ -57,14 +59,15 @@
 	return &s
 }
 
-// lookupCapacity is how many lookups a second the engines can serve.
+// lookupCapacity returns how many lookups per second the engines can serve.
 func (w *Workload) lookupCapacity() float64 {
 	mean := w.Lookups.MedianTokens * math.Exp(w.Lookups.Sigma*w.Lookups.Sigma/2)
 	return w.TokensPerSecond() / mean
 }
 
-// RunLookups offers lookups at a rate for a time, beside some of the
-// workload's trainers, which take steps without pause.
+// RunLookups sends lookups for the duration d at a rate of offered times the capacity of the
+// engines, while the first trainers of the workload run steps without a pause. The failure f is
+// injected after half of d.
 func RunLookups(ctx context.Context, w *Workload, offered float64, trainers int, f Failure, d time.Duration, seed uint64) (*LookupResult, error) {
 	w = w.small()
 	r, err := newRig(ctx, w, Policies()[len(Policies())-1], seed)
@@ -74,23 +77,24 @@
 	defer r.close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	trained, err := r.startTrainers(ctx, w.Trainers[:trainers], seed)
+	trainersDone, err := r.startTrainers(ctx, w.Trainers[:trainers], seed)
 	if err != nil {
 		return nil, err
 	}
 	if trainers > 0 {
-		time.Sleep(d / 4) // let the trainers fill the engines
+		time.Sleep(d / 4) // until the trainers have filled the engines
 	}
-	fail := time.AfterFunc(d/2, func() { r.fail(f) })
-	load := &lookupLoad{r: r, hist: hdr.New(1, time.Minute.Microseconds(), significant)}
+	fail := time.AfterFunc(d/2, func() { r.inject(f) })
+	load := &lookupLoad{r: r, hist: hdr.New(1, time.Minute.Microseconds(), significantDigits)}
 	load.run(ctx, offered*w.lookupCapacity(), d, seed)
 	fail.Stop()
 	cancel()
-	trained.Wait()
+	trainersDone.Wait()
 	return load.result(offered, trainers, f, d), nil
 }
 
-// startTrainers lets trainers take steps until ctx ends.
+// startTrainers starts trainers that run steps until ctx is done. The wait group is done once all
+// have returned.
 func (r *rig) startTrainers(ctx context.Context, trainers []Trainer, seed uint64) (*sync.WaitGroup, error) {
 	clients := make([]*trainer.Client, len(trainers))
 	for i := range trainers {
@@ -107,17 +111,18 @@
 	return running, nil
 }
 
-// trainForever takes steps until ctx ends.
+// trainForever runs steps until ctx is done.
 func (r *rig) trainForever(ctx context.Context, client *trainer.Client, t *Trainer, seed uint64) {
 	for n := 1; ctx.Err() == nil; n++ {
 		samples, _ := r.w.step(t, n, seed)
 		step := trainer.Step{Name: fmt.Sprint(n), Version: 1, Samples: samples}
-		// An error here is the end of ctx, which the loop sees.
+		// The only expected error is the cancellation of ctx, which the loop checks.
 		_, _ = client.RunStep(ctx, step, func(api.Sample) error { return nil })
 	}
 }
 
-// lookupLoad sends lookups at random times, whether earlier ones are answered or not.
+// lookupLoad is an open-loop load: it sends lookups at random times without waiting for the
+// responses to earlier ones.
 type lookupLoad struct {
 	r       *rig
 	mu      sync.Mutex
@@ -144,7 +149,7 @@
 	wg.Wait()
 }
 
-// lookup makes one lookup and counts how it ended.
+// lookup sends one lookup and counts its outcome.
 func (l *lookupLoad) lookup(ctx context.Context, n, tokens int) {
 	req := api.CompletionRequest{
 		Model: l.r.w.Lookups.Row, Prompt: engine.PromptOfLength(tokens, fmt.Sprintf("lookup %d", n)),
@@ -164,11 +169,12 @@
 		l.ok.Add(1)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		_ = l.hist.RecordValue(took.Microseconds()) // the deadline is within the range
+		_ = l.hist.RecordValue(took.Microseconds()) // the deadline is within the range of the histogram
 	}
 }
 
-// complete sends a completion to the n-th of the entries; a refusal is known by its status.
+// complete sends a completion request to the n-th entry, modulo their number. For a refusal it
+// returns the HTTP status and no error.
 func complete(ctx context.Context, client *http.Client, urls []string, n int, req *api.CompletionRequest) (int, *api.Completion, error) {
 	header := http.Header{}
 	header.Set(api.HeaderDeadline, lookupDeadline.String())
--- a/internal/experiment/overhead.go
+++ b/internal/experiment/overhead.go
@@ -26,20 +26,21 @@
 `
 )
 
-// OverheadResult compares the path over real loopback sockets with calling the
-// stand-in engine directly over HTTP.
+// OverheadResult compares the path through an entry and an agent, over real loopback sockets,
+// with direct HTTP calls to the stand-in engine.
 type OverheadResult struct {
 	DirectPerSecond float64 `json:"direct_per_second"`
 	PathPerSecond   float64 `json:"path_per_second"`
-	// Ratio is the path's throughput to the direct one.
+	// Ratio is the throughput of the path divided by that of direct calls.
 	Ratio     float64 `json:"throughput_ratio"`
 	DirectP50 float64 `json:"direct_p50_ms"`
 	PathP50   float64 `json:"path_p50_ms"`
-	// AddedP50 is what the path adds to the median latency.
+	// AddedP50 is the median latency of the path minus that of direct calls, in milliseconds.
 	AddedP50 float64 `json:"added_p50_ms"`
 }
 
-// RunOverhead makes short completions, first directly, then by way of an entry and an agent.
+// RunOverhead runs short completions for d each: directly at the engine, then through an entry
+// and an agent.
 func RunOverhead(ctx context.Context, d time.Duration) (*OverheadResult, error) {
 	fabric, err := deployment.NewLoopback()
 	if err != nil {
@@ -72,7 +73,7 @@
 	engineClient := httpendpoint.NewEngine(base)
 	direct := closedLoop(d, func(n int) error { return generateDirectly(ctx, engineClient, n) })
 	urls := dep.EntryURLs()
-	path := closedLoop(d, func(n int) error { return completeOver(ctx, fabric.Client(), urls, n) })
+	path := closedLoop(d, func(n int) error { return completeViaEntry(ctx, fabric.Client(), urls, n) })
 	res := &OverheadResult{
 		DirectPerSecond: direct.perSecond, PathPerSecond: path.perSecond, Ratio: path.perSecond / direct.perSecond,
 		DirectP50: direct.p50, PathP50: path.p50, AddedP50: path.p50 - direct.p50,
@@ -103,7 +104,7 @@
 	}
 }
 
-func completeOver(ctx context.Context, client *http.Client, urls []string, n int) error {
+func completeViaEntry(ctx context.Context, client *http.Client, urls []string, n int) error {
 	status, _, err := complete(ctx, client, urls, n, &api.CompletionRequest{
 		Model: "visitors", Prompt: overheadPrompt(n), MaxTokens: overheadTokens,
 	})
@@ -113,7 +114,7 @@
 	return err
 }
 
-// loopResult is what a closed loop of callers measured.
+// loopResult is the measurement of one closed loop.
 type loopResult struct {
 	perSecond float64
 	p50       float64 // milliseconds
@@ -127,9 +128,10 @@
 	return b.err
 }
 
-// closedLoop lets callers call one after another for a time.
+// closedLoop runs overheadCallers concurrent callers for the duration d. Each starts its next call
+// once the previous one has returned.
 func closedLoop(d time.Duration, call func(n int) error) *loopResult {
-	hist := hdr.New(1, time.Minute.Microseconds(), significant)
+	hist := hdr.New(1, time.Minute.Microseconds(), significantDigits)
 	res := &loopResult{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -144,7 +146,7 @@
 				if err != nil && res.err == nil {
 					res.err = err
 				}
-				_ = hist.RecordValue(took.Microseconds()) // calls take less than a minute
+				_ = hist.RecordValue(took.Microseconds()) // calls take less than the histogram's maximum of a minute
 				mu.Unlock()
 			}
 		})
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -15,7 +15,7 @@
 	barWidth   = 0.4 * vg.Centimeter
 )
 
-// PlotSteps draws the ratio of each policy's step time to the lower bound.
+// PlotSteps writes a bar chart of each policy's step time relative to the lower bound to path.
 func (r *Report) PlotSteps(path string) error {
 	p := plot.New()
 	p.Title.Text = "step time to the offline lower bound, " + r.Workload
@@ -44,7 +44,7 @@
 	return p.Save(plotWidth, plotHeight, path)
 }
 
-// PlotGoodput draws goodput against the offered load.
+// PlotGoodput writes a plot of the goodput of lookups without trainers over the offered load to path.
 func (r *Report) PlotGoodput(path string) error {
 	p := plot.New()
 	p.Title.Text = "goodput of lookups alone, " + r.Workload
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Options say which experiments run.
+// Options select the experiments to run and their workload.
 type Options struct {
 	Workload string
-	// Parts are the experiments to run: PartSteps and so on; all when empty.
+	// Parts are the experiments to run, such as PartSteps; all if empty.
 	Parts []string
 	// Duration is the length of each run of lookups, shares and overhead.
 	Duration time.Duration
 	Seed     uint64
-	// Progress takes lines of progress.
+	// Progress receives one line at the start of each run; nil disables them.
 	Progress io.Writer
 }
 
@@ -30,14 +30,14 @@
 	PartOverhead = "overhead"
 )
 
-// Parts lists all parts.
+// Parts returns the names of all parts.
 func Parts() []string { return []string{PartSteps, PartLookups, PartShares, PartOverhead} }
 
-// sharesFactor lengthens the run of shares: a straggler is a large part of what
-// an engine does in a few seconds.
+// sharesFactor is how many times Options.Duration the run of shares takes: in a few seconds, a
+// single straggler is a large part of an engine's work and would distort the shares.
 const sharesFactor = 3
 
-// Check returns an error that names an unknown workload or part.
+// Check returns an error if the workload or a part is unknown.
 func (o *Options) Check() error {
 	if _, err := LoadWorkload(o.Workload); err != nil {
 		return err
@@ -50,13 +50,14 @@
 	return nil
 }
 
-// offeredLoads are the rates of lookups relative to capacity.
+// offeredLoads are the rates of lookups without trainers, relative to the capacity.
 var offeredLoads = []float64{0.7, 1, 1.5, 3}
 
-// besideLoad is the rate of lookups beside trainers, and alone for comparison.
-const besideLoad = 0.3
+// loadBesideTrainers is the rate of lookups relative to the capacity while trainers run, and in
+// the run without trainers for comparison.
+const loadBesideTrainers = 0.3
 
-// Report holds the results of all parts that ran.
+// Report holds the results of the parts that ran.
 type Report struct {
 	Workload string          `json:"workload"`
 	Seed     uint64          `json:"seed"`
@@ -66,7 +67,7 @@
 	Overhead *OverheadResult `json:"overhead,omitempty"`
 }
 
-// Run runs the experiments one after another.
+// Run runs the selected experiments one after another. It returns the first error.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	w, err := LoadWorkload(o.Workload)
 	if err != nil {
@@ -133,18 +134,18 @@
 		r.Lookups = append(r.Lookups, *res)
 		return nil
 	}
-	for _, offered := range append([]float64{besideLoad}, offeredLoads...) {
+	for _, offered := range append([]float64{loadBesideTrainers}, offeredLoads...) {
 		if err := run(offered, 0, FailNone); err != nil {
 			return err
 		}
 	}
-	if err := run(besideLoad, len(w.Trainers), FailNone); err != nil {
+	if err := run(loadBesideTrainers, len(w.Trainers), FailNone); err != nil {
 		return err
 	}
-	return run(besideLoad, len(w.Trainers), FailEngine)
+	return run(loadBesideTrainers, len(w.Trainers), FailEngine)
 }
 
-// WriteTable writes the report as tables.
+// WriteTable writes the report as text tables, one for each part.
 func (r *Report) WriteTable(out io.Writer) error {
 	tw := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if len(r.Steps) > 0 {
--- a/internal/experiment/rig.go
+++ b/internal/experiment/rig.go
@@ -14,39 +14,40 @@
 	"mulberryscale.example/service/entry"
 )
 
-// startTimeout bounds the start of a deployment.
+// startTimeout bounds how long a deployment may take until it is ready.
 const startTimeout = 20 * time.Second
 
-// Policy is a way of placing samples that an experiment compares.
+// Policy is a placement policy for samples.
 type Policy struct {
 	Name string
-	// training makes the picker, nil for the product's own.
+	// training returns a picker of agents for training samples; nil means the product's own.
 	training func() routing.Picker
 	rollout  rollout.Policy
 }
 
-// eager sends every sample at once, without waiting for a free slot.
-const eager = 1 << 20
+// unlimitedBacklog makes a policy send every sample immediately, without waiting for a free slot.
+const unlimitedBacklog = 1 << 20
 
-// Policies are compared in this order; the last is the product's.
+// Policies returns the policies in the order in which they are compared; the last is the
+// product's own.
 func Policies() []Policy {
 	return []Policy{
 		{Name: "round_robin", training: func() routing.Picker { return &routing.RoundRobin{} },
-			rollout: rollout.Policy{Backlog: eager, NoMoves: true}},
-		{Name: "least_load", rollout: rollout.Policy{Backlog: eager, NoMoves: true}},
+			rollout: rollout.Policy{Backlog: unlimitedBacklog, NoMoves: true}},
+		{Name: "least_load", rollout: rollout.Policy{Backlog: unlimitedBacklog, NoMoves: true}},
 		{Name: "late_binding", rollout: rollout.Policy{NoMoves: true}},
 		{Name: "product"},
 	}
 }
 
-// rig is a deployment of a workload.
+// rig is a running deployment of a workload.
 type rig struct {
 	w      *Workload
 	fabric *deployment.Memory
 	d      *deployment.Deployment
 }
 
-// newRig starts a deployment with two entries.
+// newRig starts a deployment with two entries and waits until it is ready.
 func newRig(ctx context.Context, w *Workload, p Policy, seed uint64) (*rig, error) {
 	fabric := deployment.NewMemory()
 	opts := deployment.Options{
@@ -92,7 +93,7 @@
 	r.fabric.Close()
 }
 
-// generated counts the tokens that all engines generated.
+// generated returns the number of tokens that all engines have generated.
 func (r *rig) generated() int {
 	n := 0
 	for _, a := range r.d.Agents {
--- a/internal/experiment/shares.go
+++ b/internal/experiment/shares.go
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// ShareResult is what one row got of the engines while all rows wanted more.
+// ShareResult is one row's share of the generated tokens while all rows saturated the engines.
 type ShareResult struct {
 	Row string `json:"row"`
-	// Want and Got are parts of one.
+	// Want is the configured share and Got the measured one, both as fractions of 1.
 	Want float64 `json:"want"`
 	Got  float64 `json:"got"`
-	// Deviation is the difference relative to Want.
+	// Deviation is the absolute difference relative to Want.
 	Deviation float64 `json:"deviation"`
 }
 
-// RunShares lets all trainers of a workload saturate a few engines for a time.
+// RunShares measures the shares for the duration d while all trainers of a workload saturate a
+// few engines.
 func RunShares(ctx context.Context, w *Workload, d time.Duration, seed uint64) ([]ShareResult, error) {
 	w = w.small()
 	r, err := newRig(ctx, w, Policies()[len(Policies())-1], seed)
@@ -27,16 +28,16 @@
 	defer r.close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	trained, err := r.startTrainers(ctx, w.Trainers, seed)
+	trainersDone, err := r.startTrainers(ctx, w.Trainers, seed)
 	if err != nil {
 		return nil, err
 	}
-	time.Sleep(d / 4) // until all are at work
+	time.Sleep(d / 4) // until all trainers saturate the engines
 	before := r.tokensByRow()
 	time.Sleep(d)
 	after := r.tokensByRow()
 	cancel()
-	trained.Wait()
+	trainersDone.Wait()
 	return w.shares(before, after), nil
 }
 
@@ -55,7 +56,7 @@
 	return results
 }
 
-// tokensByRow counts the tokens that the engines generated for each trainer.
+// tokensByRow returns the number of tokens that the engines have generated for each trainer.
 func (r *rig) tokensByRow() map[string]int {
 	tokens := map[string]int{}
 	for _, a := range r.d.Agents {
--- a/internal/experiment/steps.go
+++ b/internal/experiment/steps.go
@@ -10,40 +10,41 @@
 	"mulberryscale.example/trainer"
 )
 
-// Failure is what happens in the middle of a step.
+// Failure is a fault that is injected into a run.
 type Failure string
 
-// Failures of step experiments.
+// Failures of the experiments.
 const (
 	FailNone Failure = "none"
-	// FailEngine crashes an engine and kills the agent beside it.
+	// FailEngine crashes an engine and kills its agent.
 	FailEngine Failure = "engine_killed"
-	// FailSlow makes one engine five times slower.
+	// FailSlow slows one engine down by slowFactor.
 	FailSlow Failure = "engine_slow"
 )
 
 const slowFactor = 5
 
-// StepResult is one step of one policy.
+// StepResult is the result of one step under one policy.
 type StepResult struct {
 	Policy  string  `json:"policy"`
 	Failure Failure `json:"failure"`
-	// WaitShare is the share of the step that the trainer waited for.
+	// WaitShare is the share of the step's samples that the trainer waited for.
 	WaitShare float64 `json:"wait_share"`
 	Seconds   float64 `json:"seconds"`
-	// Bound is the offline lower bound in seconds, with all engines alive.
+	// Bound is the offline lower bound in seconds, without the failure.
 	Bound float64 `json:"bound_seconds"`
-	// Ratio is Seconds to Bound.
+	// Ratio is Seconds divided by Bound.
 	Ratio float64 `json:"ratio"`
-	// Idle is the share of the step in which the trainer had no sample at hand.
+	// Idle is the share of the step time in which the trainer had no sample to learn from.
 	Idle      float64 `json:"trainer_idle_ratio"`
 	Delivered int     `json:"delivered"`
-	// Wasted is the share of the generated tokens that is in no delivered or
-	// carried sample, as far as the step has ended.
+	// Wasted is the share of the generated tokens that is in no delivered sample. It is only
+	// measured for steps that wait for all samples, since others carry samples over.
 	Wasted float64 `json:"wasted_token_ratio"`
 }
 
-// RunStep runs one step of the workload's first trainer.
+// RunStep runs one step of the workload's first trainer. The failure f is injected after half of
+// the lower bound.
 func RunStep(ctx context.Context, w *Workload, p Policy, f Failure, waitShare float64, seed uint64) (*StepResult, error) {
 	r, err := newRig(ctx, w, p, seed)
 	if err != nil {
@@ -52,20 +53,20 @@
 	defer r.close()
 	t := w.Trainers[0]
 	samples, lengths := w.step(&t, 1, seed)
-	wanted := int(math.Ceil(waitShare * float64(len(samples))))
-	bound := w.LowerBound(lengths, wanted)
+	needed := int(math.Ceil(waitShare * float64(len(samples))))
+	bound := w.LowerBound(lengths, needed)
 	client, err := r.trainer(t.Row)
 	if err != nil {
 		return nil, err
 	}
-	fail := time.AfterFunc(bound/2, func() { r.fail(f) })
+	fail := time.AfterFunc(bound/2, func() { r.inject(f) })
 	defer fail.Stop()
 	learner := &learner{perSample: w.LearnTime}
 	began := time.Now()
 	tokens := 0
-	_, err = client.RunStep(ctx, trainer.Step{Name: "1", Version: 1, Samples: samples, WaitFor: wanted}, func(s api.Sample) error {
+	_, err = client.RunStep(ctx, trainer.Step{Name: "1", Version: 1, Samples: samples, WaitFor: needed}, func(s api.Sample) error {
 		tokens += s.Tokens
-		learner.take()
+		learner.learn()
 		return nil
 	})
 	elapsed := time.Since(began)
@@ -74,7 +75,7 @@
 	}
 	res := &StepResult{
 		Policy: p.Name, Failure: f, WaitShare: waitShare, Seconds: elapsed.Seconds(), Bound: bound.Seconds(),
-		Ratio: elapsed.Seconds() / bound.Seconds(), Idle: learner.end(elapsed), Delivered: learner.taken,
+		Ratio: elapsed.Seconds() / bound.Seconds(), Idle: learner.idleShare(elapsed), Delivered: learner.learned,
 	}
 	if waitShare == 1 {
 		res.Wasted = 1 - float64(tokens)/float64(r.generated())
@@ -88,7 +89,7 @@
 	})
 }
 
-func (r *rig) fail(f Failure) {
+func (r *rig) inject(f Failure) {
 	victim := r.d.Agents[0]
 	switch f {
 	case FailEngine:
@@ -100,24 +101,24 @@
 	}
 }
 
-// learner is a trainer's own work: it learns from one sample after another.
+// learner models a trainer's learning time: it processes samples one after another.
 type learner struct {
 	perSample time.Duration
 	mu        sync.Mutex
-	taken     int
+	learned   int
 	busy      time.Duration
 }
 
-// take gives it a sample.
-func (l *learner) take() {
+// learn adds the processing of one sample.
+func (l *learner) learn() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.taken++
+	l.learned++
 	l.busy += l.perSample
 }
 
-// end returns the share of elapsed in which it had nothing to learn from.
-func (l *learner) end(elapsed time.Duration) float64 {
+// idleShare returns the share of elapsed in which there was no sample to process.
+func (l *learner) idleShare(elapsed time.Duration) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return max(0, 1-l.busy.Seconds()/elapsed.Seconds())
--- a/internal/experiment/workload.go
+++ b/internal/experiment/workload.go
@@ -19,29 +19,29 @@
 //go:embed workloads/*.yaml
 var workloadFiles embed.FS
 
-// Workload is a model of a deployment and its load, read from a file.
+// Workload describes a deployment and its load, as read from a YAML file.
 type Workload struct {
 	Name    string   `yaml:"name"`
 	Model   string   `yaml:"model"`
 	Zones   []string `yaml:"zones"`
 	Engines int      `yaml:"engines"`
-	// Slots is how many streams an engine batches.
+	// Slots is the number of streams that an engine runs in one batch.
 	Slots int `yaml:"slots"`
-	// TokenTime is the time of one token of a stream that runs alone;
-	// BatchSlowdown lengthens it by this share for each further stream.
+	// TokenTime is the time for one token of a stream that runs alone. Each further stream in the
+	// batch adds the fraction BatchSlowdown to it.
 	TokenTime     time.Duration `yaml:"token_time"`
 	BatchSlowdown float64       `yaml:"batch_slowdown"`
-	// PrefillTime is the time of one token of a prompt, or of a text that is
-	// resumed, that the engine has not cached.
+	// PrefillTime is the time for one token of a prompt, or of the prefix of a resumed sample,
+	// that is not in the engine's cache.
 	PrefillTime time.Duration `yaml:"prefill_time"`
 	Trainers    []Trainer     `yaml:"trainers"`
 	Lookups     Lookups       `yaml:"lookups"`
 	Lengths     Lengths       `yaml:"lengths"`
-	// LearnTime is a trainer's own work on each sample.
+	// LearnTime is how long a trainer processes each sample.
 	LearnTime time.Duration `yaml:"learn_time"`
 }
 
-// Trainer is one trainer's steps.
+// Trainer describes the steps of one trainer, with Samples samples each in groups of Group.
 type Trainer struct {
 	Row       string  `yaml:"row"`
 	Samples   int     `yaml:"samples"`
@@ -50,7 +50,7 @@
 	WaitShare float64 `yaml:"wait_share"`
 }
 
-// Lookups are the interactive requests.
+// Lookups describes the interactive requests, whose lengths are log-normal.
 type Lookups struct {
 	Row          string  `yaml:"row"`
 	Share        float64 `yaml:"share"`
@@ -58,7 +58,8 @@
 	Sigma        float64 `yaml:"sigma"`
 }
 
-// Lengths is a log-normal distribution of lengths with stragglers.
+// Lengths is a log-normal distribution of sample lengths, in which a StragglerShare of the
+// samples is longer by StragglerFactor. MaxTokens caps all lengths.
 type Lengths struct {
 	MedianTokens    float64 `yaml:"median_tokens"`
 	Sigma           float64 `yaml:"sigma"`
@@ -67,7 +68,7 @@
 	MaxTokens       int     `yaml:"max_tokens"`
 }
 
-// WorkloadNames lists the built-in workloads.
+// WorkloadNames returns the names of the built-in workloads.
 func WorkloadNames() []string {
 	entries, err := workloadFiles.ReadDir("workloads")
 	if err != nil {
@@ -80,7 +81,7 @@
 	return names
 }
 
-// LoadWorkload reads a built-in workload.
+// LoadWorkload reads a built-in workload by name.
 func LoadWorkload(name string) (*Workload, error) {
 	text, err := workloadFiles.ReadFile("workloads/" + name + ".yaml")
 	if err != nil {
@@ -89,7 +90,7 @@
 	return ParseWorkload(text)
 }
 
-// ParseWorkload reads a workload and checks it.
+// ParseWorkload parses a workload from YAML and validates it. Unknown fields are errors.
 func ParseWorkload(text []byte) (*Workload, error) {
 	w := new(Workload)
 	d := yaml.NewDecoder(strings.NewReader(string(text)))
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// Table is the operators' table of the workload, in CSV.
+// Table returns the operators' table for the workload, in CSV.
 func (w *Workload) Table() string {
 	var b strings.Builder
 	b.WriteString("name,kind,model,share,staleness_bound,max_rps,max_tps,max_concurrency,max_queue,deadline,wait_share,leftover,scorer,swap,repeatable\n")
@@ -128,7 +129,7 @@
 	return b.String()
 }
 
-// draw draws a length in tokens.
+// draw returns a random length in tokens.
 func (l *Lengths) draw(rng *rand.Rand) int {
 	n := l.MedianTokens * math.Exp(l.Sigma*rng.NormFloat64())
 	if rng.Float64() < l.StragglerShare {
@@ -137,7 +138,7 @@
 	return min(max(1, int(n)), l.MaxTokens)
 }
 
-// step draws the samples of one step of a trainer and their lengths.
+// step returns the samples of one step of a trainer and their random lengths in tokens.
 func (w *Workload) step(t *Trainer, step int, seed uint64) (samples []api.SampleRequest, lengths []int) {
 	rng := rand.New(rand.NewPCG(seed, uint64(step)))
 	for i := range t.Samples {
@@ -154,22 +155,22 @@
 	return samples, lengths
 }
 
-// LowerBound is a time that no schedule of a step can beat on these engines,
-// even knowing all lengths: the wanted samples are at least the shortest ones,
-// all slots are full from first to last, and the longest of the wanted runs
-// alone on its engine.
-func (w *Workload) LowerBound(lengths []int, wanted int) time.Duration {
-	sorted := slices.Sorted(slices.Values(lengths))[:wanted]
+// LowerBound returns a lower bound on the time of a step that needs the given number of samples
+// on these engines, even for a schedule that knows all lengths. It assumes that the needed samples
+// are the shortest ones, and takes the longer of two times: that of all their tokens with all slots
+// full, and that of the longest of them running alone on an engine.
+func (w *Workload) LowerBound(lengths []int, needed int) time.Duration {
+	sorted := slices.Sorted(slices.Values(lengths))[:needed]
 	total := 0
 	for _, n := range sorted {
 		total += n
 	}
 	busy := time.Duration(float64(total) / w.TokensPerSecond() * float64(time.Second))
-	longest := time.Duration(sorted[wanted-1]) * w.TokenTime
+	longest := time.Duration(sorted[needed-1]) * w.TokenTime
 	return max(busy, longest)
 }
 
-// TokensPerSecond is what all engines together generate with full batches.
+// TokensPerSecond returns the rate at which all engines together generate with full batches.
 func (w *Workload) TokensPerSecond() float64 {
 	perToken := w.TokenTime.Seconds() * (1 + w.BatchSlowdown*float64(w.Slots-1))
 	return float64(w.Engines*w.Slots) / perToken
--- a/internal/swapexperiment/doc.go
+++ b/internal/swapexperiment/doc.go
@@ -1,4 +1,4 @@
-// Package swapexperiment measures what a swap policy costs and gives: the time
-// in which trainers wait for samples against the staleness of what they get,
-// while weights change under load on a deployment of stand-ins in memory.
+// Package swapexperiment measures the trade-off of each swap policy: the time in which trainers
+// wait for samples against the staleness of the delivered samples, while new weights are published
+// under load to an in-memory deployment of stand-ins.
 package swapexperiment
--- a/internal/swapexperiment/race_test.go
+++ b/internal/swapexperiment/race_test.go
@@ -1,4 +1,4 @@
 package swapexperiment
 
-// The race detector and bubbles of testing/synctest need one processor.
+// Under the race detector, testing/synctest bubbles must run on a single processor.
 import _ "mulberryscale.example/internal/racelimit"
--- a/internal/swapexperiment/run.go
+++ b/internal/swapexperiment/run.go
@@ -25,57 +25,58 @@
 	model        = "guide"
 	firstVersion = 1
 	startTimeout = time.Minute
-	// maxSeconds bounds the staleness in seconds that is told apart.
+	// maxSeconds is the upper limit of the histogram of staleness in seconds.
 	maxSeconds = 24 * 3600
 )
 
-// Result is what one policy cost and gave.
+// Result is the measurement of one swap policy.
 type Result struct {
 	Policy table.SwapPolicy `json:"policy"`
-	// Idle is the share of the time in which a trainer had no sample to learn
-	// from, the mean over the trainers.
+	// Idle is the share of the time in which a trainer had no sample to learn from, averaged over
+	// the trainers.
 	Idle      float64 `json:"trainer_idle_ratio"`
 	Steps     int     `json:"steps"`
 	Delivered int64   `json:"delivered"`
-	// Staleness of delivered samples: versions behind the newest published one,
-	// and seconds since their oldest weights were outdated.
+	// Staleness of the delivered samples: versions behind the newest published one, and seconds
+	// since the version after their oldest one was published.
 	MeanVersions float64 `json:"staleness_mean_versions"`
 	P99Versions  int64   `json:"staleness_p99_versions"`
 	MeanSeconds  float64 `json:"staleness_mean_seconds"`
 	P99Seconds   float64 `json:"staleness_p99_seconds"`
-	// Mixed is the share of the samples made by more than one version.
+	// Mixed is the share of the samples that more than one version generated.
 	Mixed float64 `json:"mixed_ratio"`
 }
 
-// lateList is an instance list that is known only after the start.
-type lateList struct {
+// deferredList is an instance list that is set only after the deployment has started. Until then
+// it is unavailable.
+type deferredList struct {
 	list atomic.Pointer[instances.List]
 }
 
-func (l *lateList) Instances(ctx context.Context) ([]platform.Instance, error) {
+func (l *deferredList) Instances(ctx context.Context) ([]platform.Instance, error) {
 	if list := l.list.Load(); list != nil {
 		return list.Instances(ctx)
 	}
 	return nil, platform.ErrUnavailable
 }
 
-// experiment is a running one.
+// experiment is a running experiment.
 type experiment struct {
 	o      Options
 	fabric *deployment.Memory
 	d      *deployment.Deployment
 
 	mu          sync.Mutex
-	publishedAt []time.Time // by version, from firstVersion on
+	publishedAt []time.Time // indexed by version - firstVersion
 	versions    *hdrhistogram.Histogram
 	millis      *hdrhistogram.Histogram
 	mixed       int64
 	steps       int
-	busy        time.Duration
+	learning    time.Duration
 }
 
-// Run measures one policy. It takes o.Duration of the clock of package time, so
-// that it can run under testing/synctest.
+// Run measures one swap policy for o.Duration. All its timers are those of package time, so that
+// it can run in a testing/synctest bubble with a fake clock.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if err := o.check(); err != nil {
 		return nil, err
@@ -105,12 +106,12 @@
 }
 
 func (x *experiment) start(ctx context.Context) (err error) {
-	list := &lateList{}
+	list := &deferredList{}
 	opts := deployment.Options{
 		Fabric: x.fabric, Table: x.o.tableText(), Log: observe.Discard(), Seed: x.o.Seed, Retention: time.Minute,
 		Agent: func(c *agent.Config) {
 			c.Instances, c.Weights = list, c.Targets.(platform.WeightStore)
-			c.SwapWindow = x.o.Window
+			c.SwapWindow = x.o.SwapWindow
 		},
 	}
 	for i := range 2 {
@@ -137,9 +138,9 @@
 
 func zone(i int) string { return fmt.Sprint("zone-", i+1) }
 
-// publishAll publishes a version at each interval.
+// publishAll publishes a new version at each publish interval until ctx is done.
 func (x *experiment) publishAll(ctx context.Context) {
-	ticker := time.NewTicker(x.o.Every)
+	ticker := time.NewTicker(x.o.PublishInterval)
 	defer ticker.Stop()
 	for version := uint64(firstVersion + 1); ; version++ {
 		select {
@@ -150,30 +151,31 @@
 		x.mu.Lock()
 		x.publishedAt = append(x.publishedAt, time.Now())
 		x.mu.Unlock()
-		_ = x.d.Weights.Publish(model, version, nil) // versions only grow here
+		_ = x.d.Weights.Publish(model, version, nil) // it fails only if versions do not increase
 	}
 }
 
-// newest is the newest published version.
+// newest returns the newest published version.
 func (x *experiment) newest() uint64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return firstVersion + uint64(len(x.publishedAt)) - 1
 }
 
-// train runs steps until ctx ends; each declares the weights that are newest at its start.
+// train runs the steps of trainer i until ctx is done. Each step declares the newest version at its
+// start.
 func (x *experiment) train(ctx context.Context, i int) error {
 	client, err := trainer.New(trainer.Config{
-		Row: rowOf(i), Entries: x.d.EntryURLs(), HTTP: x.fabric.Client(), StalenessBound: x.o.Bound,
+		Row: rowName(i), Entries: x.d.EntryURLs(), HTTP: x.fabric.Client(), StalenessBound: x.o.StalenessBound,
 	})
 	if err != nil {
 		return err
 	}
 	for n := 1; ctx.Err() == nil; n++ {
 		step := trainer.Step{Name: fmt.Sprint(n), Version: x.newest(), Samples: x.o.samples(i, n)}
-		_, err := client.RunStep(ctx, step, x.deliver)
+		_, err := client.RunStep(ctx, step, x.recordSample)
 		if err != nil && ctx.Err() == nil {
-			return trace.Wrap(err, "trainer %s, step %d", rowOf(i), n)
+			return trace.Wrap(err, "trainer %s, step %d", rowName(i), n)
 		}
 		x.mu.Lock()
 		x.steps++
@@ -182,8 +184,8 @@
 	return nil
 }
 
-// deliver takes in a sample.
-func (x *experiment) deliver(s api.Sample) error {
+// recordSample records the staleness of a delivered sample and its learning time.
+func (x *experiment) recordSample(s api.Sample) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	oldest := api.OldestVersion(s.Versions)
@@ -195,7 +197,7 @@
 	if len(s.Versions) > 1 {
 		x.mixed++
 	}
-	x.busy += x.o.LearnTime
+	x.learning += x.o.LearnTime
 	if err := x.versions.RecordValue(int64(behind)); err != nil {
 		return err
 	}
@@ -208,7 +210,7 @@
 	n := x.versions.TotalCount()
 	return &Result{
 		Policy: x.o.Policy, Steps: x.steps, Delivered: n,
-		Idle:         max(0, 1-x.busy.Seconds()/(x.o.Duration.Seconds()*float64(x.o.Trainers))),
+		Idle:         max(0, 1-x.learning.Seconds()/(x.o.Duration.Seconds()*float64(x.o.Trainers))),
 		MeanVersions: x.versions.Mean(), P99Versions: x.versions.ValueAtQuantile(99),
 		MeanSeconds: x.millis.Mean() / 1000, P99Seconds: float64(x.millis.ValueAtQuantile(99)) / 1000,
 		Mixed: float64(x.mixed) / float64(max(1, n)),
