--- a/cmd/mulberryctl/main_test.go
+++ b/cmd/mulberryctl/main_test.go
@@ -22,7 +22,7 @@
 	status   int
 }
 
-// run runs mulberryctl in process, with an answer on stdin.
+// run runs mulberryctl in the test's process with the given standard input.
 func run(t *testing.T, stdin string, args ...string) result {
 	t.Helper()
 	var out, errs bytes.Buffer
@@ -33,17 +33,17 @@
 	return result{out.String(), errs.String(), status}
 }
 
-// oneSpaced makes the columns' widths of no matter.
-func oneSpaced(text string) string { return strings.Join(strings.Fields(text), " ") }
+// collapseSpaces replaces each run of white space by one space, so that column widths do not matter.
+func collapseSpaces(text string) string { return strings.Join(strings.Fields(text), " ") }
 
-// want fails the test unless the status is right and the texts were printed.
+// want fails the test unless the exit status matches and all texts were printed.
 func (r result) want(t *testing.T, status int, texts ...string) {
 	t.Helper()
 	if r.status != status {
 		t.Errorf("exit status %d, want %d", r.status, status)
 	}
 	for _, text := range texts {
-		if !strings.Contains(oneSpaced(r.out+r.err), oneSpaced(text)) {
+		if !strings.Contains(collapseSpaces(r.out+r.err), collapseSpaces(text)) {
 			t.Errorf("%q was not printed", text)
 		}
 	}
@@ -52,30 +52,30 @@
 	}
 }
 
-// bench is a table service with a directory for files.
-type bench struct {
+// tableFixture is a table service and a directory for table files.
+type tableFixture struct {
 	service *tableservice.Service
 	url     string
 	dir     string
 }
 
-func newBench(t *testing.T) *bench {
+func newTableFixture(t *testing.T) *tableFixture {
 	service := tableservice.New(tableservice.Options{})
 	server := httptest.NewServer(service.Handler())
 	t.Cleanup(server.Close)
 	t.Setenv("MULBERRY_TABLE_SERVICE", server.URL)
 	t.Setenv("MULBERRY_AUTHOR", "ann")
-	return &bench{service: service, url: server.URL, dir: t.TempDir()}
+	return &tableFixture{service: service, url: server.URL, dir: t.TempDir()}
 }
 
-// file writes a YAML table file of plain rows under a first line.
-func (b *bench) file(t *testing.T, name, firstLine string, rows ...string) string {
+// file writes a YAML table file of a first line and rows of kind plain, and returns its path.
+func (f *tableFixture) file(t *testing.T, name, firstLine string, rows ...string) string {
 	t.Helper()
 	text := firstLine + "rows:\n"
 	for _, r := range rows {
 		text += fmt.Sprintf("  - {%s, kind: plain}\n", r)
 	}
-	path := filepath.Join(b.dir, name)
+	path := filepath.Join(f.dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -91,8 +91,8 @@
 }
 
 func TestCheckNamesEachMistake(t *testing.T) {
-	b := newBench(t)
-	bad := b.file(t, "bad.yaml", "", "name: A, share: 0", "name: b, scorer: c")
+	f := newTableFixture(t)
+	bad := f.file(t, "bad.yaml", "", "name: A, share: 0", "name: b, scorer: c")
 	r := run(t, "", "check", bad)
 	r.want(t, 2, "A   name", "A   share", "b   scorer", "1 of 1 files have mistakes")
 	if strings.Count(r.err, "\n") != 1 {
@@ -117,21 +117,21 @@
 }
 
 func TestApplyAsksFirst(t *testing.T) {
-	b := newBench(t)
-	file := b.file(t, "table.yaml", "", "name: a")
+	f := newTableFixture(t)
+	file := f.file(t, "table.yaml", "", "name: a")
 	run(t, "n\n", "apply", file).want(t, 1, "+ a: kind=plain", "declined")
 	run(t, "", "history").want(t, 0, "VERSION")
 	run(t, "y\n", "apply", file).want(t, 0, "applied: version 1")
 }
 
-// TestGetEditApply is the operators' round: get, edit, apply, look back.
+// TestGetEditApply runs an operator's workflow: get, edit, apply, roll back, read old versions.
 func TestGetEditApply(t *testing.T) {
-	b := newBench(t)
-	run(t, "", "apply", "--yes", b.file(t, "first.yaml", "", "name: a")).want(t, 0)
+	f := newTableFixture(t)
+	run(t, "", "apply", "--yes", f.file(t, "first.yaml", "", "name: a")).want(t, 0)
 	got := run(t, "", "get")
-	got.want(t, 0, baseMark+"1\n")
+	got.want(t, 0, baseLinePrefix+"1\n")
 
-	edited := filepath.Join(b.dir, "edited.yaml")
+	edited := filepath.Join(f.dir, "edited.yaml")
 	text := strings.Replace(got.out, "name: a", "name: a, share: 3", 1)
 	if err := os.WriteFile(edited, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -140,12 +140,12 @@
 	run(t, "", "apply", "--yes", edited).want(t, 0, "applied: version 2")
 	run(t, "", "apply", "--yes", edited).want(t, 0, "no difference: version 2")
 	now, err := os.ReadFile(edited)
-	if err != nil || !strings.HasPrefix(string(now), baseMark+"2\nrows:") {
+	if err != nil || !strings.HasPrefix(string(now), baseLinePrefix+"2\nrows:") {
 		t.Fatalf("%q, %v", now, err)
 	}
 	run(t, "", "rollback", "--yes", "1").want(t, 0, "rolled back: version 3", `~ a.share: "3" -> "1"`)
 	run(t, "", "diff", "1", "3").want(t, 0)
-	run(t, "", "get", "--version", "2", "--format", "csv").want(t, 0, baseMark+"2\n", "a,plain,,3,")
+	run(t, "", "get", "--version", "2", "--format", "csv").want(t, 0, baseLinePrefix+"2\n", "a,plain,,3,")
 	var versions []versionResult
 	r := run(t, "", "history", "--output", "json")
 	if err := json.Unmarshal([]byte(r.out), &versions); err != nil || len(versions) != 3 || versions[0].RollbackOf != 1 {
@@ -153,45 +153,45 @@
 	}
 }
 
-// TestSecondOperatorIsRefused: of two operators who started from one version
-// the second is shown both edits, and nothing is lost.
+// TestSecondOperatorIsRefused checks that, of two edits based on the same version, the
+// second is refused with the difference of both, so that the first is not overwritten.
 func TestSecondOperatorIsRefused(t *testing.T) {
-	b := newBench(t)
-	run(t, "", "apply", "--yes", b.file(t, "first.yaml", "", "name: a")).want(t, 0)
-	ann := b.file(t, "ann.yaml", baseMark+"1\n", "name: a, share: 2")
-	bob := b.file(t, "bob.yaml", baseMark+"1\n", "name: a, share: 3", "name: b")
+	f := newTableFixture(t)
+	run(t, "", "apply", "--yes", f.file(t, "first.yaml", "", "name: a")).want(t, 0)
+	ann := f.file(t, "ann.yaml", baseLinePrefix+"1\n", "name: a, share: 2")
+	bob := f.file(t, "bob.yaml", baseLinePrefix+"1\n", "name: a, share: 3", "name: b")
 	run(t, "", "apply", "--yes", ann).want(t, 0, "applied: version 2")
 	run(t, "", "apply", "--yes", "--author", "bob", bob).want(t, 1,
 		"mine    ~ a.share", "mine    + b", "theirs  ~ a.share", "both    ! a.share", `version 2 by "ann" came first`)
 	run(t, "", "get").want(t, 0, "share: 2")
-	noBase := b.file(t, "nobase.yaml", "", "name: c")
+	noBase := f.file(t, "nobase.yaml", "", "name: c")
 	run(t, "", "apply", "--yes", noBase).want(t, 2, "give --base (the current one is 2)")
 }
 
-// TestRepeatAfterLostReply: the same command, repeated, is the same apply.
+// TestRepeatAfterLostReply checks that a repeated command does not apply the edit twice.
 func TestRepeatAfterLostReply(t *testing.T) {
-	b := newBench(t)
-	file := b.file(t, "first.yaml", "", "name: a")
+	f := newTableFixture(t)
+	file := f.file(t, "first.yaml", "", "name: a")
 	run(t, "", "apply", "--yes", "--base", "0", file).want(t, 0, "version 1")
-	b.service.LoseNextReplies(1)
-	second := b.file(t, "second.yaml", "", "name: b")
+	f.service.LoseNextReplies(1)
+	second := f.file(t, "second.yaml", "", "name: b")
 	run(t, "", "apply", "--yes", "--base", "1", second).want(t, 0, "version 2")
 	run(t, "", "apply", "--yes", "--base", "1", second).want(t, 0, "version 2")
 	run(t, "", "apply", "--yes", "--base", "0", file).want(t, 0, "version 1")
 }
 
 func TestOutageIsOneLine(t *testing.T) {
-	b := newBench(t)
-	b.service.Outage(true)
-	r := run(t, "", "apply", "--yes", b.file(t, "table.yaml", "", "name: a"))
+	f := newTableFixture(t)
+	f.service.Outage(true)
+	r := run(t, "", "apply", "--yes", f.file(t, "table.yaml", "", "name: a"))
 	r.want(t, 1, "step table", "peer")
 	if strings.Count(r.err, "\n") != 1 {
 		t.Fatalf("stderr is not one line: %q", r.err)
 	}
 }
 
-// operatorsListener answers as a process does.
-func operatorsListener(t *testing.T, statuses []api.ProcessStatus) string {
+// startOperatorListener serves status and drain like a process and returns its address.
+func startOperatorListener(t *testing.T, statuses []api.ProcessStatus) string {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathStatus, func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(statuses)
@@ -207,17 +207,17 @@
 }
 
 func TestStatusAndDrain(t *testing.T) {
-	b := newBench(t)
+	f := newTableFixture(t)
 	for i, share := range []string{"1", "2"} {
-		file := b.file(t, "table.yaml", fmt.Sprintf("%s%d\n", baseMark, i), "name: a, share: "+share)
+		file := f.file(t, "table.yaml", fmt.Sprintf("%s%d\n", baseLinePrefix, i), "name: a, share: "+share)
 		run(t, "", "apply", "--yes", file).want(t, 0)
 	}
-	one := operatorsListener(t, []api.ProcessStatus{
+	one := startOperatorListener(t, []api.ProcessStatus{
 		{ID: "entry-1", Role: "entry", TableVersion: 2},
 		{ID: "agent-1", Role: "agent", TableVersion: 1, SeenSeconds: 9, AgeSeconds: api.UnknownAge},
 		{ID: "agent-2", Role: "agent", TableVersion: 1, SeenSeconds: 1, AgeSeconds: api.UnknownAge},
 	})
-	two := operatorsListener(t, []api.ProcessStatus{
+	two := startOperatorListener(t, []api.ProcessStatus{
 		{ID: "entry-2", Role: "entry", TableVersion: 2},
 		{ID: "agent-1", Role: "agent", TableVersion: 2, SeenSeconds: 3},
 	})
--- a/cmd/mulberryctl/status.go
+++ b/cmd/mulberryctl/status.go
@@ -16,20 +16,20 @@
 func statusCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
-		Usage: "show which version of the table is in force where, and which processes lag",
-		Description: "Lag is counted against the table service's version if --table-service is given and answers,\n" +
-			"else against the newest version met.",
+		Usage: "show which version of the table each process uses, and which processes lag",
+		Description: "Lag is counted against the newest version that any process uses or, if --table-service is given\n" +
+			"and answers, that the table service has.",
 		Flags: append(operatorsFlags(), &cli.DurationFlag{
 			Name:  flagWait,
-			Usage: "wait this long until no process lags; exit status 1 if one still does",
+			Usage: "wait up to this long until no process lags; exit status 1 if one still does",
 		}),
-		Action: bounded(runStatus),
+		Action: withTimeout(runStatus),
 	}
 }
 
 // fleetStatus is the JSON of status.
 type fleetStatus struct {
-	// Newest is the version against which lag is counted.
+	// Newest is the newest version known; processes with an older one lag.
 	Newest uint64 `json:"newest"`
 	// TableServiceError is set when the table service did not answer.
 	TableServiceError string          `json:"table_service_error,omitempty"`
@@ -43,22 +43,22 @@
 }
 
 func runStatus(ctx context.Context, cmd *cli.Command) error {
-	if err := wantArgs(cmd, 0, 0); err != nil {
+	if err := checkArgs(cmd, 0, 0); err != nil {
 		return err
 	}
-	o, err := operatorsOf(cmd)
+	o, err := newOperatorClient(cmd)
 	if err != nil {
 		return err
 	}
-	status, err := askFleet(ctx, cmd, o)
+	status, err := readFleetStatus(ctx, cmd, o)
 	wait := cmd.Duration(flagWait)
-	for end := time.Now().Add(wait); (err != nil || status.Lagging > 0) && time.Now().Before(end); {
+	for deadline := time.Now().Add(wait); (err != nil || status.Lagging > 0) && time.Now().Before(deadline); {
 		fmt.Fprintf(cmd.Root().ErrWriter, "waiting: %d of %d lag\n", status.Lagging, len(status.Processes))
 		select {
 		case <-ctx.Done():
-			end = time.Time{}
+			deadline = time.Time{}
 		case <-time.After(waitInterval):
-			status, err = askFleet(ctx, cmd, o)
+			status, err = readFleetStatus(ctx, cmd, o)
 		}
 	}
 	if writeErr := printStatus(cmd, status); writeErr != nil {
@@ -70,11 +70,12 @@
 	return err
 }
 
-// askFleet gives what was learnt also when some listeners did not answer.
-func askFleet(ctx context.Context, cmd *cli.Command, o *operators) (fleetStatus, error) {
+// readFleetStatus returns the statuses that it received even if some listeners did
+// not answer; the error joins those of the listeners that failed.
+func readFleetStatus(ctx context.Context, cmd *cli.Command, o *operatorClient) (fleetStatus, error) {
 	processes, err := o.statuses(ctx)
 	status := fleetStatus{Processes: []processResult{}}
-	status.Newest, status.TableServiceError = askTableService(ctx, cmd)
+	status.Newest, status.TableServiceError = readCurrentVersion(ctx, cmd)
 	for _, p := range processes {
 		status.Newest = max(status.Newest, p.TableVersion)
 	}
@@ -88,7 +89,9 @@
 	return status, err
 }
 
-func askTableService(ctx context.Context, cmd *cli.Command) (version uint64, problem string) {
+// readCurrentVersion reads the current version from the table service, if its address
+// is set. Version 0 means unknown or none; problem is set if the read failed.
+func readCurrentVersion(ctx context.Context, cmd *cli.Command) (version uint64, problem string) {
 	if cmd.String(flagTableService) == "" {
 		return 0, ""
 	}
@@ -113,7 +116,7 @@
 			ageText(p.AgeSeconds), ageText(p.SeenSeconds), p.Incarnation,
 		})
 	}
-	out.Rows = append(out.Rows, []string{summary(status)})
+	out.Rows = append(out.Rows, []string{summaryText(status)})
 	return write(cmd, out, status)
 }
 
@@ -128,7 +131,7 @@
 	return state
 }
 
-func summary(status fleetStatus) string {
+func summaryText(status fleetStatus) string {
 	text := fmt.Sprintf("newest version %d, %d of %d processes lag", status.Newest, status.Lagging, len(status.Processes))
 	if status.TableServiceError != "" {
 		text += "; the table service did not answer: " + status.TableServiceError
