--- a/cmd/mulberryscale/demo.go
+++ b/cmd/mulberryscale/demo.go
@@ -15,7 +15,7 @@
 	"mulberryscale.example/internal/demo"
 )
 
-// errDemoFailed makes the demo exit with a nonzero status when a guarantee was violated.
+// errDemoFailed makes the demo exit with a status other than 0 when a guarantee was violated.
 var errDemoFailed = errors.New("a promise broke")
 
 func demoCommand() *cli.Command {
