--- a/batch/quarantine.go
+++ b/batch/quarantine.go
@@ -12,10 +12,10 @@
 // fingerprintOf returns the name of the content of an item for the quarantine; an item that
 // comes again under its id in a later job has the same. It is called with w.mu held.
 func (w *Worker) fingerprintOf(t *task) quarantine.Fingerprint {
-	if t.subject == "" {
-		t.subject = quarantine.FingerprintOf(t.j.job.Organisation, t.j.job.Host, t.item.Path, t.item.ID, string(t.item.Body))
+	if t.fingerprint == "" {
+		t.fingerprint = quarantine.FingerprintOf(t.j.job.Organisation, t.j.job.Host, t.item.Path, t.item.ID, string(t.item.Body))
 	}
-	return t.subject
+	return t.fingerprint
 }
 
 // isQuarantined reports whether an item is quarantined because engines crashed while they
--- a/batch/run.go
+++ b/batch/run.go
@@ -142,7 +142,7 @@
 	w.waiting = slices.Insert(w.waiting, at, t)
 	if w.isQuarantined(t) {
 		w.Quarantine.CountRefused()
-		w.Log.WithFields(t.fields()).WithField(observe.FieldContent, t.subject).Warn("item quarantined: engines have crashed under it")
+		w.Log.WithFields(t.fields()).WithField(observe.FieldContent, t.fingerprint).Warn("item quarantined: engines have crashed under it")
 	}
 }
 
--- a/batch/task.go
+++ b/batch/task.go
@@ -51,8 +51,9 @@
 	stopped chan struct{}
 	// sentTo is the incarnation of the engine to which the item was last sent.
 	sentTo fleet.Incarnation
-	// subject names its content, empty until it is asked for.
-	subject quarantine.Fingerprint
+	// fingerprint identifies the item's content to the quarantine; empty until fingerprintOf
+	// computes it.
+	fingerprint quarantine.Fingerprint
 	// handingOver is true while the item is being handed over to another agent.
 	handingOver bool
 	// finished is true if the result is in the outbox.
--- a/quarantine/follow.go
+++ b/quarantine/follow.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// feedBudget limits what following the table may cost, in bytes a second. feedMaxAge limits
+	// feedBudget limits what following the table may cost, in bytes a second. feedMaxPause limits
 	// how late updates may be while there are many of them: a caller's second attempt comes a
 	// fifth of a second after its first.
-	feedBudget = 1000
-	feedMaxAge = time.Second
-	// feedSavings is how long unused budget accumulates: the rows of one crash come in a burst.
-	feedSavings = 10 * time.Second
+	feedBudget   = 1000
+	feedMaxPause = time.Second
+	// feedBurst is how long unused budget accumulates: the rows of one crash come in a burst.
+	feedBurst = 10 * time.Second
 	// feedWait limits one long poll for updates, so that a silent feed is noticed within the time
 	// in which all processes should know of a crash.
 	feedWait = 2 * time.Second
@@ -30,7 +30,7 @@
 // Run follows the events of other processes and writes those of this one until ctx is cancelled.
 func (t *Tracker) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	pace := store.Pace{BytesPerSecond: feedBudget, MaxPause: feedMaxAge, Burst: feedSavings}
+	pace := store.Pace{BytesPerSecond: feedBudget, MaxPause: feedMaxPause, Burst: feedBurst}
 	wg.Go(func() { store.Follow(ctx, t.Rows, store.Source{Table: Table, Pace: pace, Wait: feedWait}, t) })
 	wg.Go(func() { t.write(ctx) })
 	wg.Go(func() { t.expire(ctx) })
--- a/service/agent/distribution.go
+++ b/service/agent/distribution.go
@@ -20,9 +20,9 @@
 // fields are nil for an agent without an instance list or a dialer; relay is also nil
 // without a weight store or an engine.
 type distribution struct {
-	peers *weights.PeerList
-	news  *weights.VersionGossip
-	relay *weights.Relay
+	peers  *weights.PeerList
+	gossip *weights.VersionGossip
+	relay  *weights.Relay
 }
 
 func (a *Agent) newDistribution() distribution {
@@ -30,11 +30,11 @@
 		return distribution{}
 	}
 	d := distribution{peers: weights.NewPeerList(a.cfg.Instances, a.cfg.ID, a.log, a.cfg.Seed)}
-	d.news = weights.NewVersionGossip(weights.VersionGossipConfig{
+	d.gossip = weights.NewVersionGossip(weights.VersionGossipConfig{
 		Header:       a.header,
 		Dialer:       a.cfg.Dialer,
 		Peers:        d.peers.All,
-		Children:     func(model string, version uint64) []platform.Instance { return a.treePlace(model, version).Children },
+		Children:     func(model string, version uint64) []platform.Instance { return a.treePosition(model, version).Children },
 		OnNewVersion: a.updateTarget,
 		Seed:         a.cfg.Seed,
 		Log:          a.log,
@@ -48,7 +48,7 @@
 		Dialer:    a.cfg.Dialer,
 		Store:     a.cfg.Weights,
 		Peers:     d.peers,
-		OnRequest: a.standing,
+		OnRequest: a.availability,
 		Seed:      a.cfg.Seed,
 		Log:       a.log,
 	})
@@ -60,7 +60,7 @@
 		return
 	}
 	a.tasks.Go(func() { d.peers.Run(ctx) })
-	a.tasks.Go(func() { d.news.Run(ctx) })
+	a.tasks.Go(func() { d.gossip.Run(ctx) })
 }
 
 func (a *Agent) instance() platform.Instance {
@@ -70,8 +70,8 @@
 // LearnTarget notifies the agent that a version was published. It ignores versions
 // that are not newer than the model's target.
 func (a *Agent) LearnTarget(model string, version uint64) {
-	if a.distribution.news != nil {
-		a.distribution.news.Record(model, version)
+	if a.distribution.gossip != nil {
+		a.distribution.gossip.Record(model, version)
 	}
 	// Record calls updateTarget too, but for a version that it knows already that call
 	// may still be going on in another goroutine.
@@ -111,12 +111,12 @@
 	if a.distribution.peers == nil {
 		return 0
 	}
-	place := a.treePlace(model, version)
-	return weights.SwapDelay(place.Rank, place.Agents, a.cfg.SwapWindow)
+	position := a.treePosition(model, version)
+	return weights.SwapDelay(position.Rank, position.Agents, a.cfg.SwapWindow)
 }
 
-// treePlace returns this agent's place in the distribution tree of a version.
-func (a *Agent) treePlace(model string, version uint64) weights.Position {
+// treePosition returns this agent's position in the distribution tree of a version.
+func (a *Agent) treePosition(model string, version uint64) weights.Position {
 	listed := a.distribution.peers.Serving(time.Now(), model)
 	return weights.TreePosition(a.instance(), model, version, listed, weights.DefaultFanout)
 }
@@ -124,10 +124,10 @@
 // restoreTarget sets the target of a model that has just appeared in the engine's
 // status to the newest version heard of before. The caller holds a.mu.
 func (a *Agent) restoreTarget(now time.Time, m *modelState) {
-	if a.distribution.news == nil {
+	if a.distribution.gossip == nil {
 		return
 	}
-	for _, p := range a.distribution.news.Known() {
+	for _, p := range a.distribution.gossip.Known() {
 		if p.Model == m.model && p.Version > m.target {
 			m.target = p.Version
 			m.learnedAt = now
@@ -135,9 +135,9 @@
 	}
 }
 
-// standing returns whether this agent serves, is fetching or no longer has a version
+// availability returns whether this agent serves, is fetching or no longer has a version
 // that a peer asks for. The version was published, so it may become the target.
-func (a *Agent) standing(model string, version uint64) weights.Availability {
+func (a *Agent) availability(model string, version uint64) weights.Availability {
 	a.LearnTarget(model, version)
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/service/agent/distributionfaults_test.go
+++ b/service/agent/distributionfaults_test.go
@@ -13,7 +13,7 @@
 func (f *fleet) byRank(version uint64) []*node {
 	ranked := make([]*node, len(f.nodes))
 	for _, n := range f.nodes {
-		ranked[n.agent.treePlace(model, version).Rank] = n
+		ranked[n.agent.treePosition(model, version).Rank] = n
 	}
 	return ranked
 }
--- a/service/agent/tables.go
+++ b/service/agent/tables.go
@@ -75,8 +75,8 @@
 		TableVersion: a.cfg.Holder.Version(),
 		Leaving:      a.draining,
 	}}}
-	if a.distribution.news != nil {
-		own.Weights = a.distribution.news.Known()
+	if a.distribution.gossip != nil {
+		own.Weights = a.distribution.gossip.Known()
 		return own
 	}
 	for _, m := range a.engine.models {
