--- a/membership/snapshot.go
+++ b/membership/snapshot.go
@@ -1,6 +1,6 @@
 // Package membership tracks the agents and the other entries that an entry instance knows.
-// An agent's own reports decide its state. The platform's instance list lags behind and is
-// used only to discover the instances.
+// An agent's own reports decide its state. The platform's instance list lags behind; it is
+// used only to discover the instances and to learn which of them leave.
 package membership
 
 import (
@@ -12,8 +12,7 @@
 	"mulberryscale.example/wire"
 )
 
-// State is an agent's state in an entry's view, one of the states of the state chart
-// agent.yaml.
+// State is an agent's state in an entry's view.
 type State string
 
 // States of an agent.
--- a/service/agent/agent.go
+++ b/service/agent/agent.go
@@ -48,7 +48,7 @@
 	reports   uint64
 	fence     uint64 // fencing number for this agent's orders, 0 until it is drawn
 	rand      *rand.Rand
-	base      context.Context // canceled when Run returns; parent of the jobs' contexts
+	base      context.Context // cancelled when Run returns; parent of the jobs' contexts
 }
 
 // New returns an agent for the configuration, or an error if that is invalid. Run
--- a/service/agent/config.go
+++ b/service/agent/config.go
@@ -100,7 +100,7 @@
 	PollInterval time.Duration
 	PollTimeout  time.Duration
 	// StallTimeout is how long the engine's status requests may keep failing before
-	// its running streams are canceled.
+	// its running streams are cancelled.
 	StallTimeout time.Duration
 	// TargetInterval is the shortest time between two polls of Targets, before jitter.
 	// StoreReads is the number of polls a second of all known agents together.
--- a/service/agent/distribution.go
+++ b/service/agent/distribution.go
@@ -122,7 +122,7 @@
 }
 
 // restoreTarget sets the target of a model that has just appeared in the engine's
-// status to the newest version heard of before. The caller holds a.mu.
+// status to the newest version known from gossip. The caller holds a.mu.
 func (a *Agent) restoreTarget(now time.Time, m *modelState) {
 	if a.distribution.gossip == nil {
 		return
--- a/service/agent/drain.go
+++ b/service/agent/drain.go
@@ -31,12 +31,12 @@
 	ctx, cancel := context.WithTimeout(ctx, a.cfg.HandOverTimeout)
 	defer cancel()
 	for {
-		settled := a.finished.Wait()
+		finished := a.finished.Wait()
 		if a.results.Undelivered() == 0 {
 			return
 		}
 		select {
-		case <-settled:
+		case <-finished:
 		case <-ctx.Done():
 			a.log.WithField("results", a.results.Undelivered()).Warn("agent stops with undelivered results")
 			return
@@ -46,12 +46,12 @@
 
 func (a *Agent) awaitIdle(ctx context.Context) error {
 	for {
-		settled := a.finished.Wait()
+		finished := a.finished.Wait()
 		if a.idle() {
 			return nil
 		}
 		select {
-		case <-settled:
+		case <-finished:
 		case <-ctx.Done():
 			return trace.Wrap(ctx.Err(), "agent %s: step %s", a.cfg.ID, stepDrain)
 		}
--- a/service/agent/endpointrun.go
+++ b/service/agent/endpointrun.go
@@ -114,14 +114,14 @@
 		a.wakePoll() // the engine may have failed as a whole
 	}
 	refusal := a.failureRefusal(j, err, notRun)
-	refusal.EndpointCrashed = notRun != api.NotRunTrue && j.ctx.Err() == nil && a.endpointEnded(j.ctx)
+	refusal.EndpointCrashed = notRun != api.NotRunTrue && j.ctx.Err() == nil && a.endpointExited(j.ctx)
 	a.logRun(j).WithField(observe.FieldStep, refusal.Step).WithError(err).Info("run failed")
 	j.run.Fail(time.Now(), refusal)
 }
 
-// endpointEnded reports whether the endpoint, on which a run has just failed, no
+// endpointExited reports whether the endpoint, on which a run has just failed, no
 // longer accepts connections. It is false for an endpoint that cannot be probed.
-func (a *Agent) endpointEnded(ctx context.Context) bool {
+func (a *Agent) endpointExited(ctx context.Context) bool {
 	var client any = a.cfg.Service
 	if a.cfg.Engine != nil {
 		client = a.cfg.Engine
--- a/service/agent/job.go
+++ b/service/agent/job.go
@@ -27,7 +27,7 @@
 	// The fields below are guarded by Agent.mu.
 	deadline time.Time
 	// started is when the job got a slot, zero before that. preempted is true once
-	// the job was canceled to free its slot for an interactive request.
+	// the job was cancelled to free its slot for an interactive request.
 	started   time.Time
 	preempted bool
 }
--- a/service/entry/quarantine.go
+++ b/service/entry/quarantine.go
@@ -40,6 +40,8 @@
 }
 
 // quarantineEvents returns the recent quarantine events, for gossip with other entries.
+// For a crash beside an agent, the StartedAt of its endpoint is the time of the crash; see
+// quarantine.Tracker.ReportCrashAtAgent.
 func (e *Entry) quarantineEvents() (list []wire.ContentEvent) {
 	for _, n := range e.quarantine.RecentEvents() {
 		list = append(list, wire.ContentEvent{
--- a/service/entry/steps.go
+++ b/service/entry/steps.go
@@ -24,7 +24,8 @@
 	maxStepSamples = 1 << 16
 	// maxIDLength is the size limit of sample ids, group ids and step names, in bytes.
 	maxIDLength = 256
-	// heartbeatInterval is the interval of heartbeats in a step's event stream.
+	// heartbeatInterval is the interval of heartbeats in a step's event stream, which show
+	// the trainer that its entry is alive.
 	heartbeatInterval = time.Second
 	// eventWriteTimeout is the time limit for writing an event. If a trainer or caller
 	// has not read enough by then, its connection counts as broken.
--- a/service/node/usage_test.go
+++ b/service/node/usage_test.go
@@ -78,9 +78,9 @@
 				began := windows.Index(time.Now())
 				running.Go(func() { e.forwarder.Do(ctx, requestOf("guthi", c.kind)) }) // the answer is tested elsewhere
 
-				sink := reports{}
+				sender := reports{}
 				reporter := &usage.Reporter{
-					Rows: rows, Windows: windows, Zones: []string{"z"}, Delay: usage.ReportDelay(e.settings.UsageDue), Sender: sink, Log: e.log,
+					Rows: rows, Windows: windows, Zones: []string{"z"}, Delay: usage.ReportDelay(e.settings.UsageDue), Sender: sender, Log: e.log,
 				}
 				time.Sleep(time.Until(windows.End(began).Add(reporter.Delay)))
 				work, err := reporter.Decide(ctx, began, nil)
@@ -90,7 +90,7 @@
 				if err := reporter.Send(ctx, duty.Fence{}, func() bool { return true }, work); err != nil {
 					t.Fatal(err)
 				}
-				if got := sink[began]["guthi"]; got != c.want {
+				if got := sender[began]["guthi"]; got != c.want {
 					t.Errorf("%d requests reported, want %d", got, c.want)
 				}
 			})
--- a/service/node/watch.go
+++ b/service/node/watch.go
@@ -13,7 +13,7 @@
 )
 
 // returnGrace is how long an instance that is missing from the list is kept after an
-// outage of the store: if the instance is alive, an entry that expired meanwhile is
+// outage of the store: if the instance is alive, a row that expired meanwhile is
 // written again within two seconds of the store's return.
 const returnGrace = 2300 * time.Millisecond
 
@@ -90,7 +90,7 @@
 func (w *instanceWatcher) Lost(err error) { store.LogLost(w.log, operator.TableInstances, err) }
 
 // minOutage is the shortest outage of the feed after which missing instances are kept
-// for returnGrace. An entry expires after three missed heartbeats, and the first may
+// for returnGrace. A row expires after three missed heartbeats, and the first may
 // already be due when the store fails: 2.4 s, of which a second and more may pass in a
 // call without an answer before the outage is noticed.
 const minOutage = time.Second
@@ -218,7 +218,7 @@
 		if !ok || !known.SameContent(i) {
 			return false
 		}
-		// If two instances claim an address, the version of the entry decides.
+		// If two instances claim an address, the version of the row decides.
 		current, ok := s.AtAddr(i.Addr)
 		return ok && current.ID == i.ID
 	})
