--- a/background/window_test.go
+++ b/background/window_test.go
@@ -19,8 +19,8 @@
 
 func TestWindowStartsAtFairShare(t *testing.T) {
 	for name, c := range map[string]struct {
-		share ServiceCapacity
-		want  int
+		capacity ServiceCapacity
+		want     int
 	}{
 		"nine senders":            {ServiceCapacity{Slots: 24, Senders: 9}, 2}, // 0.7 x 24 / 9
 		"alone":                   {ServiceCapacity{Slots: 24, Senders: 1}, 17},
@@ -28,7 +28,7 @@
 		"nothing known":           {ServiceCapacity{}, 1},
 	} {
 		var w Window
-		if got := w.Size(c.share, 0, start); got != c.want {
+		if got := w.Size(c.capacity, 0, start); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
 		}
 	}
--- a/forward/call.go
+++ b/forward/call.go
@@ -16,7 +16,7 @@
 const maxParallel = 2
 
 // call is the forwarding of one request. Its methods are called by one goroutine, except for
-// reportIfCrashed, which reads only what does not change.
+// outcome and reportIfCrashed, which read only what does not change.
 type call struct {
 	*Forwarder
 	request     *Request
@@ -244,7 +244,7 @@
 		c.mayHaveRun = true
 		return ReasonBroken
 	case a.answer.Declined:
-		c.sent-- // the endpoint did not run it
+		c.sent-- // the endpoint says that it did not run it
 		return ReasonDeclined
 	}
 	c.mayHaveRun = true
--- a/forward/crashrig_test.go
+++ b/forward/crashrig_test.go
@@ -67,10 +67,10 @@
 	for i := range entries {
 		f := New(r.view, r, fmt.Sprint("zone-", i%3), observe.Discard(), observe.NewCounters())
 		if quarantined {
-			k := quarantine.New()
-			k.Rows, k.Clock, k.Prober, k.Log, k.Counters = rows.Client(), rows.Now, r, observe.Discard(), f.Counters
-			f.Quarantine = k
-			go k.Run(t.Context())
+			tracker := quarantine.New()
+			tracker.Rows, tracker.Clock, tracker.Prober, tracker.Log, tracker.Counters = rows.Client(), rows.Now, r, observe.Discard(), f.Counters
+			f.Quarantine = tracker
+			go tracker.Run(t.Context())
 			go f.WatchCrashes(t.Context())
 		}
 		r.entries = append(r.entries, f)
@@ -85,10 +85,10 @@
 	e := &crashEndpoint{id: fmt.Sprint("i-", r.started)}
 	e.crashed, e.cancel = context.WithCancel(context.Background())
 	r.alive[addr] = e
-	entry, zone := uint64(r.started), fmt.Sprint("zone-", len(r.alive)%3)
+	rowVersion, zone := uint64(r.started), fmt.Sprint("zone-", len(r.alive)%3)
 	r.mu.Unlock()
 	r.view.UpdateInstances([]fleet.Instance{{
-		ID: e.id, Service: crashService, Addr: addr, Zone: zone, Slots: 6, RowVersion: entry,
+		ID: e.id, Service: crashService, Addr: addr, Zone: zone, Slots: 6, RowVersion: rowVersion,
 	}}, nil)
 }
 
--- a/limits/average.go
+++ b/limits/average.go
@@ -128,8 +128,8 @@
 }
 
 // HandleOffer applies an offer and returns the reply: this entry's values from before, for
-// the offered rows and for others that fit. An offer of another epoch is not averaged; one
-// of a newer epoch makes this entry join that epoch, starting from demand.
+// the offered rows and for others that fit. For an offer of a newer epoch this entry first
+// joins that epoch, starting from demand. An offer of an older epoch is not averaged.
 func (a *Averager) HandleOffer(now time.Time, offer wire.Gossip, entries int, demand map[string]float64) wire.Gossip {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/quarantine/inspect.go
+++ b/quarantine/inspect.go
@@ -71,8 +71,8 @@
 // afterSlash is the byte after the slash, so it ends the range of keys with a prefix and a slash.
 const afterSlash = "0"
 
-// Release removes all rows of a content and reports whether there were any. It removes up to
-// maxEntries rows.
+// Release removes the rows of a content, at most maxEntries of them, and reports whether there
+// were any.
 func Release(ctx context.Context, rows store.Rows, fingerprint Fingerprint) (bool, error) {
 	prefix := string(fingerprint) + "/"
 	s, err := store.ListAll(ctx, rows, store.Range{Table: Table, From: prefix, To: string(fingerprint) + afterSlash})
--- a/quarantine/rows.go
+++ b/quarantine/rows.go
@@ -12,7 +12,7 @@
 )
 
 // Table holds a row for each crash of an endpoint while it ran a content,
-// FINGERPRINT/end/BORN/ID, and one for each trial, FINGERPRINT/trial/NUMBER. A row never changes,
+// FINGERPRINT/end/STARTED/ID, and one for each trial, FINGERPRINT/trial/NUMBER. A row never changes,
 // so a write without an answer is repeated as it is.
 const Table = "quarantine"
 
@@ -61,9 +61,9 @@
 			err = strconv.ErrRange
 		}
 	case kindCrash:
-		born, id, _ := strings.Cut(rest, "/")
+		startedAt, id, _ := strings.Cut(rest, "/")
 		e.endpoint.ID = id
-		e.endpoint.StartedAt, err = strconv.ParseInt(born, 10, 64)
+		e.endpoint.StartedAt, err = strconv.ParseInt(startedAt, 10, 64)
 	default:
 		err = fmt.Errorf("unknown kind %q", kind)
 	}
--- a/rollout/placer.go
+++ b/rollout/placer.go
@@ -35,7 +35,8 @@
 type level int
 
 const (
-	// levelResumed: the sample has text from a run that a failure interrupted.
+	// levelResumed: the sample has text from a run that a failure, or a preemption for an
+	// interactive request, interrupted.
 	levelResumed level = iota
 	// levelFresh: the sample has no text yet.
 	levelFresh
--- a/rollout/quarantine.go
+++ b/rollout/quarantine.go
@@ -17,9 +17,10 @@
 	return quarantine.FingerprintOf(t.s.row.Name, t.req.ID, t.req.Prompt, fmt.Sprint(t.req.MaxTokens, t.req.Temperature, t.req.Seed))
 }
 
-// checkQuarantine refuses a sample during which endpoints have crashed; nil means that it may
-// run. The refusal is final: the step continues without the sample and its other samples are not
-// affected. There is no trial run, since the step is over before one would be due.
+// checkQuarantine refuses a sample whose content is quarantined, since endpoints have crashed
+// under it; nil means that it may run. The refusal is final: the step continues without the
+// sample and its other samples are not affected. There is no trial, since the step is over before
+// one would be due.
 func (t *task) checkQuarantine() *api.Refusal {
 	state, _ := t.s.Quarantine.State(t.fingerprint(), quarantine.ItemLimit)
 	if state == quarantine.Clear || state == quarantine.Suspect {
--- a/rollout/step_test.go
+++ b/rollout/step_test.go
@@ -94,11 +94,11 @@
 // check checks that each received sample came once and matches what the engines recorded.
 func (r *rig) check() {
 	r.t.Helper()
-	var cores []*engine.Engine
+	var engines []*engine.Engine
 	for _, a := range r.d.Agents {
-		cores = append(cores, a.StandIn)
+		engines = append(engines, a.StandIn)
 	}
-	records := oracle.Collect(cores...)
+	records := oracle.Collect(engines...)
 	for id, got := range r.received {
 		if len(got) != 1 {
 			r.t.Errorf("sample %s was delivered %d times", id, len(got))
--- a/rollout/task.go
+++ b/rollout/task.go
@@ -250,7 +250,8 @@
 }
 
 // priority orders the samples that wait for an agent: first those interrupted by a failure
-// of an agent or engine, then those that have not started, then those that were parked.
+// of an agent or engine, or preempted for an interactive request, then those that have not
+// started, then those that were parked.
 // When the trainer waits for all samples, the longest go first within a level; else, and
 // among parked samples, the shortest do.
 func (t *task) priority() priority {
--- a/routing/profiles.go
+++ b/routing/profiles.go
@@ -38,8 +38,8 @@
 type Router struct {
 	// Strict also drops agents that are suspect or excluded.
 	Strict Profile
-	// Fallback keeps those, so that a network partition or missing reports never
-	// leave a request without agents.
+	// Fallback keeps those, so that a zone that is partitioned off, or reports that have
+	// stopped, never leave a request without agents.
 	Fallback Profile
 }
 
