--- a/endpoint/httpendpoint/httpendpoint_test.go
+++ b/endpoint/httpendpoint/httpendpoint_test.go
@@ -101,15 +101,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error)
+	nextErr := make(chan error)
 	go func() {
 		_, err := s.Next()
-		ended <- err
+		nextErr <- err
 	}()
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-ended; err == nil || err == io.EOF {
+	if err := <-nextErr; err == nil || err == io.EOF {
 		t.Fatalf("Next after Close: %v", err)
 	}
 	for !core.Records()[0].Cancelled {
@@ -215,8 +215,8 @@
 	_, client := startService(t)
 	_, err = client.Call(t.Context(), endpoint.ServiceRequest{Method: http.MethodGet, Path: "http://127.0.0.1:1/"})
 	wantNotStarted(t, err, true)
-	ended, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = client.Call(ended, serviceRequest(http.MethodPost))
+	_, err = client.Call(cancelled, serviceRequest(http.MethodPost))
 	wantNotStarted(t, err, true)
 }
--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -179,15 +179,15 @@
 		samples[i] = api.SampleRequest{ID: fmt.Sprintf("step-1-%d", i), Group: fmt.Sprintf("group-%d", i/8), Prompt: fmt.Sprintf("what is open near square %d", i/8), MaxTokens: 512}
 	}
 	ctx, cancel := context.WithCancel(b.Context())
-	ended := make(chan struct{})
+	stepDone := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stepDone)
 		_, _ = client.RunStep(ctx, trainer.Step{Name: "1", Version: 1, Samples: samples}, func(api.Sample) error { return nil })
 	}()
 	time.Sleep(2 * time.Second) // until all samples are placed or waiting
 	used := benchmeter.MemoryInUse() - before
 	cancel()
-	<-ended
+	<-stepDone
 	return float64(used)
 }
 
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -30,12 +30,12 @@
 		t.Fatal(err)
 	}
 	_, rest, found := strings.Cut(string(page), pageBegin)
-	made, _, ended := strings.Cut(rest, pageEnd)
-	if !found || !ended {
+	generated, _, closed := strings.Cut(rest, pageEnd)
+	if !found || !closed {
 		t.Fatal("the page lacks the markers around the program's tables")
 	}
-	if want := plannedReport(t).Markdown(); made != want {
-		t.Errorf("the page differs from the program's output; run: go run ./cmd/mulberryscale capacity --output markdown\n%s", firstDifference(made, want))
+	if want := plannedReport(t).Markdown(); generated != want {
+		t.Errorf("the page differs from the program's output; run: go run ./cmd/mulberryscale capacity --output markdown\n%s", firstDifference(generated, want))
 	}
 }
 
--- a/transport/conformance_test.go
+++ b/transport/conformance_test.go
@@ -167,8 +167,8 @@
 				err = fmt.Errorf("got message %d of %d bytes", m.N, len(m.Text))
 			}
 			if err == nil {
-				if end := s.Recv(&note{}); end != io.EOF {
-					err = fmt.Errorf("after the last message: %w", end)
+				if eof := s.Recv(&note{}); eof != io.EOF {
+					err = fmt.Errorf("after the last message: %w", eof)
 				}
 			}
 			received <- err
@@ -315,9 +315,9 @@
 
 func TestOpenHonoursItsContextAndAddress(t *testing.T) {
 	runConformance(t, func(t *testing.T, ctx context.Context, f fixture) {
-		ended, cancel := context.WithCancel(ctx)
+		cancelled, cancel := context.WithCancel(ctx)
 		cancel()
-		if _, err := f.dialer.Open(ended, "127.0.0.1:9"); !errors.Is(err, context.Canceled) {
+		if _, err := f.dialer.Open(cancelled, "127.0.0.1:9"); !errors.Is(err, context.Canceled) {
 			t.Fatalf("cancelled context: got %v", err)
 		}
 		must(t, f.dialer.Close())
--- a/transport/quictransport/quictransport_test.go
+++ b/transport/quictransport/quictransport_test.go
@@ -219,12 +219,12 @@
 	l, err := ListenOptions("127.0.0.1:0", sourceOf(t, a, "agent-1"), shortTimeouts)
 	check(t, err)
 	defer l.Close()
-	ended := make(chan error, 1)
+	sendErr := make(chan error, 1)
 	go l.Serve(ctx, func(_ context.Context, s transport.Stream) {
 		_ = s.Recv(&ping{})
 		_ = s.Send(ping{7})
 		<-s.Context().Done()
-		ended <- s.Send(ping{8})
+		sendErr <- s.Send(ping{8})
 	})
 	r := newUDPRelay(t, l.Addr())
 	d := newTestDialer(t, sourceOf(t, a, "entry-1"), shortTimeouts)
@@ -240,7 +240,7 @@
 	if err := s.Recv(&ping{}); err == nil || errors.Is(err, io.EOF) {
 		t.Fatalf("Recv from an unresponsive peer: got %v", err)
 	}
-	if err := <-ended; err == nil {
+	if err := <-sendErr; err == nil {
 		t.Fatal("the server could send to an unresponsive client")
 	}
 	if _, err := d.Open(ctx, front); err == nil {
@@ -253,9 +253,9 @@
 // However a stream is closed, it must no longer count against MaxStreams: a
 // connection serves more streams in total than may be open at once.
 func TestClosedStreamsFreeTheirSlot(t *testing.T) {
-	ends := map[string]func(transport.Stream) error{
+	closers := map[string]func(transport.Stream) error{
 		"closed by the client": transport.Stream.Close,
-		"ended by both": func(s transport.Stream) error {
+		"closed by both": func(s transport.Stream) error {
 			if err := s.CloseSend(); err != nil {
 				return err
 			}
@@ -267,7 +267,7 @@
 	}
 	handlers := map[string]transport.Handler{
 		"handler returns": echoHandler,
-		"handler ends sending": func(ctx context.Context, s transport.Stream) {
+		"handler closes sending": func(ctx context.Context, s transport.Stream) {
 			echoHandler(ctx, s)
 			_ = s.CloseSend()
 		},
@@ -276,14 +276,14 @@
 			_ = s.Recv(&ping{})
 		},
 	}
-	for name, end := range ends {
+	for name, closeStream := range closers {
 		for handlerName, handler := range handlers {
-			testStreamSlots(t, name+", "+handlerName, end, handler)
+			testStreamSlots(t, name+", "+handlerName, closeStream, handler)
 		}
 	}
 }
 
-func testStreamSlots(t *testing.T, name string, end func(transport.Stream) error, handler transport.Handler) {
+func testStreamSlots(t *testing.T, name string, closeStream func(transport.Stream) error, handler transport.Handler) {
 	t.Run(name, func(t *testing.T) {
 		ctx := testContext(t)
 		a := newAuthority(t)
@@ -297,7 +297,7 @@
 			if err != nil {
 				t.Fatalf("stream %d: %v", i, err)
 			}
-			check(t, errors.Join(s.Send(ping{i}), s.Recv(&ping{}), end(s)))
+			check(t, errors.Join(s.Send(ping{i}), s.Recv(&ping{}), closeStream(s)))
 		}
 	})
 }
