--- a/internal/experiment/overhead.go
+++ b/internal/experiment/overhead.go
@@ -146,7 +146,7 @@
 				if err != nil && res.err == nil {
 					res.err = err
 				}
-				_ = hist.RecordValue(took.Microseconds()) // calls take less than the histogram's maximum of a minute
+				_ = hist.RecordValue(took.Microseconds()) // the histogram covers up to a minute
 				mu.Unlock()
 			}
 		})
