--- a/service/node/watch.go
+++ b/service/node/watch.go
@@ -261,6 +261,6 @@
 		}).Info("instance updated")
 	}
 	for _, id := range expired {
-		w.log.WithField("instance", id).Info("instance removed")
+		w.log.WithField("instance", id).Info("instance gone")
 	}
 }
