--- a/duty/term.go
+++ b/duty/term.go
@@ -20,8 +20,8 @@
 
 // Times of a term.
 const (
-	// TermDuration is how long after the begin of its term a holder may send. It is meant for
-	// three sends.
+	// TermDuration is how long after the begin of its term a holder may send. It was chosen for
+	// three sends. If they time out, each after 700 ms (package platform/duties), only two fit.
 	TermDuration = 1500 * time.Millisecond
 	// clockMargin is added to the time between two holders. The store's clock and ours may
 	// diverge by some milliseconds during a call.
--- a/scaling/orders.go
+++ b/scaling/orders.go
@@ -23,9 +23,9 @@
 
 // Scaler accepts orders.
 type Scaler interface {
-	// Scale sends an order once, without retries, and only if acting still returns true
+	// Scale sends an order once, without retries, and only if maySend still returns true
 	// immediately before that. It returns nil if the order was accepted.
-	Scale(ctx context.Context, f duty.Fence, acting func() bool, o *Order) error
+	Scale(ctx context.Context, f duty.Fence, maySend func() bool, o *Order) error
 }
 
 // SubjectPrefix is the prefix of the subjects of orders, one for each target.
@@ -149,12 +149,12 @@
 }
 
 // Send implements duty.Work.
-func (o *Orders) Send(ctx context.Context, f duty.Fence, acting func() bool, work []byte) error {
+func (o *Orders) Send(ctx context.Context, f duty.Fence, maySend func() bool, work []byte) error {
 	var order Order
 	if err := codec.Unmarshal(work, &order); err != nil {
 		return fmt.Errorf("order: %w", err)
 	}
-	return o.Scaler.Scale(ctx, f, acting, &order)
+	return o.Scaler.Scale(ctx, f, maySend, &order)
 }
 
 // OnDone implements duty.Work. It deletes the rows of stopped processes.
--- a/store/relay/path.go
+++ b/store/relay/path.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// hedgeDelay is how long the first path may not respond before the call is hedged
-	// on the other path. It is a hundred times the usual response time, and half of the
+	// hedgeDelay is how long a call waits for a response on the first path before it is
+	// hedged on the other path. It is a hundred times the usual response time, and half of the
 	// slowest response that was seen while the store was sixty times as slow as usual.
 	hedgeDelay = 400 * time.Millisecond
 	// relayTimeout bounds a call through a peer, in addition to the time for which a feed
@@ -15,8 +15,8 @@
 	// the store and from its peers: its calls then fail no later than on the direct path
 	// alone, so that it recovers as soon as the partition heals.
 	relayTimeout = 600 * time.Millisecond
-	// probeInterval is how long calls are relayed first before a call tries the direct
-	// path first again.
+	// probeInterval is how long calls go to peers first. After it, a call tries the
+	// direct path first again.
 	probeInterval = time.Second
 	// minRelayBackoff is how long calls are not relayed after several peers could not
 	// reach the store either: the store itself is down then, and as many calls again
--- a/tablestore/apply.go
+++ b/tablestore/apply.go
@@ -13,7 +13,8 @@
 	"mulberryscale.example/table"
 )
 
-// Bounds of the retries of an apply.
+// Bounds of the attempts of an apply, which is retried to resolve its outcome after a
+// lost reply.
 const (
 	maxAttempts = 8
 	firstDelay  = 100 * time.Millisecond
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -47,9 +47,9 @@
 	e.done.Wait()
 }
 
-func newReporter(rows store.Rows, sink ReportSender) *Reporter {
+func newReporter(rows store.Rows, sender ReportSender) *Reporter {
 	return &Reporter{
-		Rows: rows, Windows: testWindows, Zones: []string{"y", "z"}, Delay: ReportDelay(testDue), Sender: sink, Log: observe.Discard(),
+		Rows: rows, Windows: testWindows, Zones: []string{"y", "z"}, Delay: ReportDelay(testDue), Sender: sender, Log: observe.Discard(),
 	}
 }
 
@@ -193,8 +193,8 @@
 // TestReportIsSentAsDecided checks that rows that change after the decision don't change the
 // report.
 func TestReportIsSentAsDecided(t *testing.T) {
-	s, sink := rowstore.New(), &fakeSender{}
-	r := newReporter(s, sink)
+	s, sender := rowstore.New(), &fakeSender{}
+	r := newReporter(s, sender)
 	put := func(zone string, window uint64, entry string, counts Counts) {
 		value, err := codec.Marshal(counts)
 		if err != nil {
@@ -218,8 +218,8 @@
 		}
 	}
 	want := Counts{"guthi": 3, "trust": 4}
-	if len(sink.reports) != 2 || sink.reports[0].Window != 7 || !maps.Equal(sink.reports[0].Counts, want) || !maps.Equal(sink.reports[1].Counts, want) {
-		t.Errorf("got %+v", sink.reports)
+	if len(sender.reports) != 2 || sender.reports[0].Window != 7 || !maps.Equal(sender.reports[0].Counts, want) || !maps.Equal(sender.reports[1].Counts, want) {
+		t.Errorf("got %+v", sender.reports)
 	}
 	r.OnDone(t.Context(), 7)
 	var left []string
--- a/weights/tree_test.go
+++ b/weights/tree_test.go
@@ -25,7 +25,8 @@
 }
 
 // TestTree checks that there is one root, that every other agent is a child of its
-// first source, that parts cross into a zone once, and that sources rank lower.
+// first source, that parts cross into a zone once, and that sources come earlier in
+// the order.
 func TestTree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		agents := drawAgents(t)
