--- a/cmd/mulberry-agent/settings.go
+++ b/cmd/mulberry-agent/settings.go
@@ -38,7 +38,7 @@
 	s.services = set.List("services", "", "rows of the table that the plain service serves")
 	s.models = set.List("models", "", "models to load besides those that the engine has")
 	s.table = set.URL("table-service", "", "address of the table service, for fencing tokens")
-	s.weights = set.URL("weight-store", "", "address of the weight store; if empty, the agent gets no load orders")
+	s.weights = set.URL("weight-store", "", "address of the weight store; if empty, the agent sends its engine no load orders")
 	s.instances = set.URL("instance-list", "", "address of the instance list, to spread weights among agents; if empty, each agent polls the weight store")
 	s.declareLimits()
 	set.Rule(s.check)
--- a/cmd/mulberryctl/platform.go
+++ b/cmd/mulberryctl/platform.go
@@ -32,7 +32,7 @@
 // contents of the platform's store. They only read.
 func jobsCommand() *cli.Command {
 	return &cli.Command{
-		Name: "jobs", Usage: "show the open batch jobs in the platform's store",
+		Name: "jobs", Usage: "show the batch jobs in the platform's store that have not been ended",
 		Flags: []cli.Flag{storeFlag(), &cli.BoolFlag{
 			Name: flagAll, Usage: "include ended jobs; reads all their results",
 		}},
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -34,7 +34,7 @@
 
 // Program is a long-running program.
 type Program struct {
-	// Name is the process id in log lines.
+	// Name identifies this process in log lines, as the field "process".
 	Name string
 	Log  *logrus.Logger
 	// Counters are served to operators.
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -92,8 +92,8 @@
 }
 
 // TestTableChanges checks that doubling the table's changes doubles the CPU time
-// in their line and in no other. Polls don't depend on the changes, but cost only
-// reads and bytes.
+// in their line and in no other. The line has no CPU time of polls, which don't
+// depend on the changes.
 func TestTableChanges(t *testing.T) {
 	slopes, err := LoadSlopes()
 	if err != nil {
--- a/internal/loadmodel/patterns.go
+++ b/internal/loadmodel/patterns.go
@@ -78,7 +78,7 @@
 		"one":  func(Pattern) Limiter { return fixedLimit(1) },
 		"two":  func(Pattern) Limiter { return fixedLimit(2) },
 		"window": func(p Pattern) Limiter {
-			return &windowLimit{share: background.ServiceCapacity{Slots: p.Endpoints * p.Slots, Senders: p.Background.Senders}}
+			return &windowLimit{capacity: background.ServiceCapacity{Slots: p.Endpoints * p.Slots, Senders: p.Background.Senders}}
 		},
 	}
 }
@@ -96,7 +96,7 @@
 // windowLimit is the adaptive limit that the programs use.
 type windowLimit struct {
 	background.Window
-	share background.ServiceCapacity
+	capacity background.ServiceCapacity
 }
 
-func (w *windowLimit) Size(open int, now time.Time) int { return w.Window.Size(w.share, open, now) }
+func (w *windowLimit) Size(open int, now time.Time) int { return w.Window.Size(w.capacity, open, now) }
--- a/observe/names.go
+++ b/observe/names.go
@@ -108,7 +108,7 @@
 )
 
 const (
-	// NameQuarantine counts quarantine events of request contents during which
+	// NameQuarantine counts events of the quarantine of request contents under which
 	// endpoints crashed, by event.
 	NameQuarantine Name = "quarantine_events"
 )
--- a/settings/bytes.go
+++ b/settings/bytes.go
@@ -20,7 +20,7 @@
 	bytes  int64
 }
 
-// units lists the suffixes; a suffix comes before any shorter one that it ends in.
+// units lists the suffixes; a suffix comes before any shorter one that it ends with.
 var units = []unit{
 	{"KiB", KiB}, {"MiB", MiB}, {"GiB", GiB},
 	{"kB", 1000}, {"MB", 1000 * 1000}, {"GB", 1000 * 1000 * 1000},
--- a/transport/memtransport/stream_pair.go
+++ b/transport/memtransport/stream_pair.go
@@ -42,9 +42,9 @@
 	changed        chan struct{} // closed and replaced at each change
 }
 
-func (h *direction) notify() {
-	close(h.changed)
-	h.changed = make(chan struct{})
+func (d *direction) notify() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 func newStreamPair(n *Network, from *dialer, to *listener) *streamPair {
