--- a/batch/enginerestart_test.go
+++ b/batch/enginerestart_test.go
@@ -8,8 +8,8 @@
 )
 
 // restartEngine restarts an engine under the same id, with a new start time.
-func (r *workerRig) restartEngine(i int, born int64) {
-	r.engine(i, func(e *fakeEngine) { e.startedAt, e.sequence = born, 0 })
+func (r *workerRig) restartEngine(i int, startedAt int64) {
+	r.engine(i, func(e *fakeEngine) { e.startedAt, e.sequence = startedAt, 0 })
 }
 
 // Runs on an engine that restarted are resumed at once, not only after the stall
--- a/batch/enginestate.go
+++ b/batch/enginestate.go
@@ -39,7 +39,7 @@
 type engineState struct {
 	// startedAt is when the engine started, in Unix milliseconds, 0 while unknown.
 	startedAt  int64
-	up         bool // accepts runs and reports, as far as is known
+	up         bool // answers runs and requests for reports, as far as is known
 	unanswered int  // consecutive reports and runs without an answer
 	// versions are the weight versions by model; sequence is the number of orders
 	// accepted.
@@ -278,7 +278,7 @@
 
 // weightChangeDue reports whether the weights of a model should change now: at once if
 // items wait for them or if the engine is in the half that loads this version; otherwise
-// once the step of that version has started and none of its items are left here, or if it
+// once no items of the model are left here and the step of that version has started, or
 // has not started for stepGracePeriod. It is called with w.mu held.
 func (w *Worker) weightChangeDue(model string, version uint64, assignment Assignment, age time.Duration) bool {
 	hasItems, stepStarted := false, false
--- a/batch/intake.go
+++ b/batch/intake.go
@@ -188,7 +188,7 @@
 	return size
 }
 
-// priority is the rank of the organisation, which takes precedence over that of the route.
+// priority is that of the organisation, which takes precedence over that of the route.
 func (s *Submission) priority(config *fleet.Config) int {
 	if config != nil {
 		if o := config.OrganisationByName(s.Organisation); o != nil {
@@ -218,8 +218,8 @@
 	return append(list, late...), len(list)
 }
 
-// End ends a job, again without effect. Its error is ErrNoJob if there is no such job, or
-// one of the ledger.
+// End ends a job; for a job that has ended already it does nothing. Its error is ErrNoJob
+// if there is no such job, or one of the ledger.
 func (in *Intake) End(ctx context.Context, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
--- a/batch/job.go
+++ b/batch/job.go
@@ -1,10 +1,10 @@
 // Package batch runs batch jobs: many requests that are accepted together, run
 // later on a service's engines, and listed in the order in which they finish.
 //
-// There is no leader. An accepted job is stored completely in one transaction;
-// the agent beside each engine computes the same assignment of its items, runs
-// its own part and appends the results. The order in which the store committed
-// those appends is the order of the results for every reader.
+// There is no leader. An accepted job is completely in the store; the agent beside
+// each engine computes the same assignment of its items, runs its own part and
+// appends the results. The order in which the store committed those appends is the
+// order of the results for every reader.
 package batch
 
 import (
@@ -81,10 +81,10 @@
 
 // priorityStep is the head start of a job over one of the next lower priority: an
 // eighth of the 7.5 s within which a training step is due. A job of priority 2 is
-// queued as if it were accepted two steps later. So priorities decide between jobs
-// of about the same age and none starves: at three times the capacity, three
-// priorities get equal shares of an engine, and the highest waits two steps less
-// than the lowest (TestRanksUnderOverload).
+// queued as if it were accepted two times priorityStep later. So priorities decide
+// between jobs of about the same age and none starves: at three times the capacity,
+// three priorities get equal shares of an engine, and the highest waits two times
+// priorityStep less than the lowest (TestRanksUnderOverload).
 const priorityStep = time.Second
 
 // queueTime is the time by which waiting jobs are ordered, the earliest first: the
--- a/batch/ledger.go
+++ b/batch/ledger.go
@@ -32,7 +32,8 @@
 	// larger ones are stored in objects. The store limits a transaction to 1 MB, in an
 	// encoding that needs four bytes for three.
 	maxInlineBytes = 640 << 10
-	// rowFillShare is the share of RowBytes that a row's value may use.
+	// rowFillShare is the share of RowBytes that a row's value may use, which keeps it
+	// below the store's limit.
 	rowFillShare = 0.9
 	// writeRetryPause is the pause before a write whose outcome is unknown is retried.
 	writeRetryPause = 100 * time.Millisecond
--- a/batch/messages.go
+++ b/batch/messages.go
@@ -46,7 +46,8 @@
 type JobStatus struct {
 	Waiting []int `cbor:"1,keyasint,omitempty"`
 	Running []int `cbor:"2,keyasint,omitempty"`
-	// AwaitingScore are the items whose text is complete and that wait for their score.
+	// AwaitingScore are the items whose text is complete and that wait for their score
+	// or for their result to be appended.
 	AwaitingScore []int `cbor:"4,keyasint,omitempty"`
 	// Done are the items whose results are in the store.
 	Done []int `cbor:"3,keyasint,omitempty"`
--- a/batch/openjobs.go
+++ b/batch/openjobs.go
@@ -153,8 +153,9 @@
 	return true
 }
 
-// endJob handles the end of a job by its client: waiting items are dropped, running
-// ones are cancelled, and their text is saved for a later job.
+// endJob handles the end of a job by its client or, if removed is true, the removal of
+// its row: waiting items are dropped, running ones are cancelled, and texts that are
+// complete or have at least minSavedEvents events are saved for a later job.
 func (w *Worker) endJob(id string, removed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/batch/orphans.go
+++ b/batch/orphans.go
@@ -24,7 +24,7 @@
 // orphaned items. There are two causes of orphans. The crash of an agent is noticed
 // by the agent before it in the ring of their addresses, which polls it twice a
 // second. A lost handover leaves all agents alive, so all of them together make one
-// scan each orphanScanInterval, at random times. So the number of an agent's calls
+// scan per orphanScanInterval, at random times. So the number of an agent's calls
 // does not grow with the number of agents: four a second for its neighbour and its
 // share of the scans.
 type orphanScans struct {
--- a/batch/quarantine.go
+++ b/batch/quarantine.go
@@ -9,8 +9,8 @@
 	"mulberryscale.example/quarantine"
 )
 
-// fingerprintOf returns the name of the content of an item for the quarantine; an item that
-// comes again under its id in a later job has the same. It is called with w.mu held.
+// fingerprintOf returns the fingerprint of an item's content; an item that comes again
+// under its id in a later job has the same. It is called with w.mu held.
 func (w *Worker) fingerprintOf(t *task) quarantine.Fingerprint {
 	if t.fingerprint == "" {
 		t.fingerprint = quarantine.FingerprintOf(t.j.job.Organisation, t.j.job.Host, t.item.Path, t.item.ID, string(t.item.Body))
--- a/batch/racelimit_test.go
+++ b/batch/racelimit_test.go
@@ -1,4 +1,5 @@
 package batch
 
-// On several processors the race detector crashes at times in tests with testing/synctest.
+// Tests with testing/synctest run on one processor under the race detector: on several, the
+// detector itself crashes at times.
 import _ "mulberryscale.example/internal/racelimit"
--- a/batch/reader.go
+++ b/batch/reader.go
@@ -177,8 +177,9 @@
 // become complete after a call has waited for more than half a second, the trainer
 // acts on them at once, else at its next poll. If calls wait for as long as the caller
 // allows, it acts 0.14 s after the last wanted result on average, with a response each
-// 0.45 s after 0.26 s (200 steps of TestTrainersActSooner). Calls do not wait past
-// the time at which the results are due: only groups read by then count.
+// 0.45 s after 0.26 s (200 steps of TestTrainersActSooner). Beyond
+// tailGatherTime, calls do not wait past the time at which the results are due: only
+// groups read by then count.
 func (r *Reader) tailWait(j *cachedJob, q query) (d time.Duration, wantedComplete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/batch/rebalance_test.go
+++ b/batch/rebalance_test.go
@@ -33,11 +33,11 @@
 		running  bool
 		n        int
 	}{
-		"slow and waiting":     {map[string]*Status{"slow": statusOf(200*time.Millisecond, 0, 4), "full": statusOf(interval, 9, 12)}, "slow", true, 8},
-		"slow with waiting":    {map[string]*Status{"slow": statusOf(200*time.Millisecond, 3, 4)}, "slow", true, 14},
-		"a little slower":      {map[string]*Status{"slow": statusOf(70*time.Millisecond, 0, 4), "full": statusOf(interval, 9, 12)}, "full", false, 9},
-		"pace not known there": {map[string]*Status{"new": statusOf(0, 0, 4)}, "", false, 0},
-		"nothing":              {map[string]*Status{"idle": statusOf(interval, 0, 0)}, "", false, 0},
+		"slow and waiting":   {map[string]*Status{"slow": statusOf(200*time.Millisecond, 0, 4), "full": statusOf(interval, 9, 12)}, "slow", true, 8},
+		"slow with waiting":  {map[string]*Status{"slow": statusOf(200*time.Millisecond, 3, 4)}, "slow", true, 14},
+		"a little slower":    {map[string]*Status{"slow": statusOf(70*time.Millisecond, 0, 4), "full": statusOf(interval, 9, 12)}, "full", false, 9},
+		"interval not known": {map[string]*Status{"new": statusOf(0, 0, 4)}, "", false, 0},
+		"nothing":            {map[string]*Status{"idle": statusOf(interval, 0, 0)}, "", false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			engine, running, n := busiestPeer("j", c.statuses, interval)
@@ -179,7 +179,7 @@
 }
 
 // TestDeadNeighbourIsNoticedBetweenRounds kills the agent after another one in the ring,
-// while rounds that ask all agents are a minute away.
+// while that one's next scan of all agents is 36 s away.
 func TestDeadNeighbourIsNoticedBetweenRounds(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		const agents = 30
--- a/batch/scope.go
+++ b/batch/scope.go
@@ -14,8 +14,8 @@
 
 // ScopedID returns the id under which a client's job is stored: its id, scoped to its
 // organisation; the empty name means none. Scoped ids of two organisations never
-// collide, so that a client neither finds another organisation's jobs nor takes up
-// an id of theirs.
+// collide, so that a client does not find another organisation's jobs, and its ids
+// remain free for the other organisation.
 func ScopedID(organisation, id string) string {
 	if organisation == "" && !strings.Contains(id, scopeSeparator) {
 		return id
