--- a/admission/load.go
+++ b/admission/load.go
@@ -61,8 +61,8 @@
 	return q.timeFor(ahead)
 }
 
-// timeFor returns how long all slots together take for some tokens; false while the speed
-// is unknown.
+// timeFor returns how long all slots together take to generate a number of tokens; the
+// second result is false while the speed is unknown.
 func (q *Queue) timeFor(tokens int) (time.Duration, bool) {
 	rate := q.speed.perSecond() * float64(q.slots)
 	if rate <= 0 {
@@ -71,8 +71,8 @@
 	return time.Duration(float64(tokens) / rate * float64(time.Second)), true
 }
 
-// retryAfter returns the time for half of the waiting tokens, or unknownRetryAfter
-// while the speed is unknown.
+// retryAfter returns how long the slots take to generate half of the waiting tokens, or
+// unknownRetryAfter while the speed is unknown.
 func (q *Queue) retryAfter(tokens int) time.Duration {
 	wait, known := q.timeFor(tokens / 2)
 	if !known {
--- a/batch/enginestate.go
+++ b/batch/enginestate.go
@@ -12,19 +12,20 @@
 
 const (
 	// changingReportInterval is how often the engine's report is fetched while it carries
-	// out an order or is not known to be healthy. The report is free on its own machine,
-	// but each costs both processes a wake-up.
+	// out an order or is not known to be healthy. A report needs no network, since the
+	// engine is on the same machine, but each one wakes up both processes.
 	changingReportInterval = 100 * time.Millisecond
-	// activeReportInterval is the same while the engine may have work, whose events also
-	// show that it is healthy; idleReportInterval is the same while it has none.
+	// activeReportInterval is the interval of reports while the engine may have work,
+	// whose events also show that it is healthy; idleReportInterval is the interval while
+	// it has none.
 	activeReportInterval = 200 * time.Millisecond
 	idleReportInterval   = 500 * time.Millisecond
 	// maxUnanswered is the number of consecutive reports and runs without an answer after
 	// which an engine counts as down.
 	maxUnanswered = 2
 	// stepGracePeriod is how long after a version was announced an engine waits for the
-	// step that belongs to it. That step may use the version before, so it runs at once
-	// instead of waiting for the load, and the load follows it.
+	// step that belongs to it. That step may use the previous version, so it runs at once
+	// and the new version is loaded after it.
 	stepGracePeriod = 2500 * time.Millisecond
 	// orderTimeout is the time after which an order that was not carried out is sent
 	// again.
--- a/batch/intake.go
+++ b/batch/intake.go
@@ -19,8 +19,8 @@
 
 const (
 	// acceptTimeout bounds how long one entry tries to accept or end a job: twice what the
-	// store takes while it is slowed down sixty times. A client that is answered can then
-	// retry at another entry, which may have a path to the store.
+	// store takes while it is slowed down sixty times. The client then gets an answer and
+	// can retry at another entry, which may be able to reach the store.
 	acceptTimeout = 1500 * time.Millisecond
 	// weightLoadTime is how long an engine may take to load a version: 0.9 s alone, twice
 	// that while several load.
--- a/batch/progress.go
+++ b/batch/progress.go
@@ -252,8 +252,8 @@
 	}
 }
 
-// saveLeftovers stores the texts, by item id, that were unfinished when their job
-// ended.
+// saveLeftovers stores the texts, by item id, of the items that were unfinished when
+// their job ended.
 func (w *Worker) saveLeftovers(j *workJob, texts map[string]savedText) {
 	now, ok := w.Now()
 	if !ok {
--- a/batch/rebalance_test.go
+++ b/batch/rebalance_test.go
@@ -95,7 +95,8 @@
 	}
 }
 
-// TestAgentsLookAfterTheirOwnModelsJobs has engines of two models, one of which has an
+// TestAgentsLookAfterTheirOwnModelsJobs checks that agents make no calls for a job of
+// another model than their engine's: engines run two models, and only one model has an
 // open job.
 func TestAgentsLookAfterTheirOwnModelsJobs(t *testing.T) {
 	bubble(t, func(t *testing.T) {
--- a/batch/rig_test.go
+++ b/batch/rig_test.go
@@ -51,8 +51,8 @@
 	unresponsive bool
 	// startErrors are the errors of the next runs of an item, by its id.
 	startErrors map[string][]error
-	// breakAfter is the number of events after which the next run of an item breaks off,
-	// by its id.
+	// breakAfter is, by item id, the number of events after which the item's next run
+	// breaks off.
 	breakAfter    map[string]int
 	orders        []Order
 	loseNextOrder bool
--- a/batch/update.go
+++ b/batch/update.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// maxListAge is how old a list may be while an update is in flight: an update
-// without changes is done within it and followed by the next.
+// maxListAge is how old a list may be while an update is in flight: an update that
+// finds no changes takes less than this, and the next one follows it.
 const maxListAge = feedWait + 100*time.Millisecond
 
 // inFlight returns the update in flight, if any; current says that the list was up to
--- a/forward/abandoned.go
+++ b/forward/abandoned.go
@@ -10,8 +10,8 @@
 	"mulberryscale.example/quarantine"
 )
 
-// unlistTime is how long after an endpoint's crash the list of instances has dropped it: three
-// heartbeats and the propagation of the change.
+// unlistTime is the time after an endpoint's crash within which it is removed from the list of
+// instances: three heartbeats and the propagation of the change.
 const unlistTime = 5 * time.Second
 
 // maxAbandoned limits the sends that are kept; the oldest are dropped.
@@ -21,7 +21,7 @@
 type abandonedSend struct {
 	to   fleet.Instance
 	sent time.Time
-	// fingerprint is that of the request's content, abandonedAt when the request was given up.
+	// fingerprint identifies the request's content; abandonedAt is when the request was given up.
 	fingerprint quarantine.Fingerprint
 	abandonedAt time.Time
 }
--- a/forward/call.go
+++ b/forward/call.go
@@ -181,10 +181,10 @@
 	return cancel
 }
 
-// countRun counts a run as started when it is sent, since the answer may come long after the
-// counts of that moment are due. The function that it returns withdraws the count if the endpoint
-// did not start the run. A stream is counted only when its answer comes, since it starts with its
-// first event.
+// countRun counts a run as started when it is sent, since its answer may come long after the
+// counts for the time of sending have to be reported. The returned function, which is called with
+// the answer, withdraws the count if the endpoint did not start the run. A stream is counted only
+// when its answer comes, since it starts with its first event.
 func (c *call) countRun(sent time.Time) (settle func(*Answer, error)) {
 	if c.OnRunStarted == nil {
 		return func(*Answer, error) {}
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -57,7 +57,7 @@
 	// Failures is the number of endpoints that answered the request with a failure of their own,
 	// including this answer.
 	Failures int
-	// Load is the load that the endpoint reports; nil if it does not.
+	// Load is the load that the endpoint reports; nil if it reports none.
 	Load *fleet.Load
 	// Signature is the endpoint's signature of the answer; empty if it has none.
 	Signature string
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -50,9 +50,9 @@
 	return state != quarantine.Clear
 }
 
-// maySendToAnother reports whether the request may be sent to one more endpoint. A suspect one
-// goes to one endpoint at a time, so that a second crash is known before a third endpoint has the
-// request.
+// maySendToAnother reports whether the request may be sent to one more endpoint. A request whose
+// content is suspect is sent to one endpoint at a time, so that a second crash is known before a
+// third endpoint has the request.
 func (c *call) maySendToAnother() bool {
 	state, _ := c.Quarantine.State(c.fingerprint, quarantine.RequestLimit)
 	switch state {
--- a/limits/average.go
+++ b/limits/average.go
@@ -72,7 +72,7 @@
 }
 
 // Tick completes the epoch when its rounds are over, and starts the next. demand is
-// this entry's own demand now, a second and by row; interval is the time of a round.
+// this entry's own current demand per second, by row; interval is the length of a round.
 func (a *Averager) Tick(now time.Time, interval time.Duration, entries int, demand map[string]float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/limits/fleet_test.go
+++ b/limits/fleet_test.go
@@ -12,7 +12,7 @@
 	testRow      = "guide"
 )
 
-// node is an entry with nothing but its limits.
+// node simulates an entry: it has only the limits and the averaging of demand.
 type node struct {
 	set       *Set
 	average   *Averager
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -51,9 +51,9 @@
 	// tries alone made 9 in 100 interactive requests late (pattern slow-endpoint), with 10 s 5 in
 	// 100.
 	slowdownMemory = 10 * time.Second
-	// slowThreshold is the slowdown from which an instance counts as slow: work with a lognormal
-	// spread of 0.5 alone gives the mean of the newest answers a standard deviation of 0.2
-	// (computed from ownWeight).
+	// slowThreshold is the slowdown from which an instance counts as slow. It is well above the
+	// noise: if the work of requests has a lognormal spread of 0.5, the moving average over an
+	// instance's newest answers has a standard deviation of 0.2 (computed from ownWeight).
 	slowThreshold = 1.7
 	// typicalWeight and ownWeight are the weights of the newest answer in the moving averages
 	// over all instances and over one.
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -13,8 +13,8 @@
 type GossipEvent struct {
 	Fingerprint Fingerprint
 	Kind        GossipKind
-	// Endpoint and Took describe the run that the endpoint's crash broke off: its endpoint and
-	// how long it lasted.
+	// Endpoint is the endpoint that crashed; Took is how long the run had lasted that its crash
+	// broke off.
 	Endpoint fleet.Incarnation
 	Took     time.Duration
 	// Trial is the number of the trial.
--- a/quarantine/history.go
+++ b/quarantine/history.go
@@ -41,8 +41,8 @@
 
 // trialDelays are the times for which a quarantined content is not sent before each of its
 // trials. There are no further trials: a content that keeps crashing endpoints costs three more
-// of them, and one whose service was fixed is served again. The first delay is short for contents
-// that twice merely ran beside another one at its crash.
+// of them, and one whose service was fixed is served again. The first delay is short
+// because a content may merely have run beside the one that caused two crashes.
 var trialDelays = [...]time.Duration{30 * time.Second, 5 * time.Minute, 30 * time.Minute}
 
 const (
--- a/quarantine/outbox.go
+++ b/quarantine/outbox.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// batchDelay is how long events are collected before they are written: contents that were
-	// running at the same crash are written together, and a caller's next attempt comes later
-	// than that.
+	// batchDelay is how long events are collected before they are written, so that all contents
+	// that were running when an endpoint crashed are written in one transaction. It is shorter
+	// than the time until a caller's next attempt.
 	batchDelay = 10 * time.Millisecond
 	// writeRetryDelay is the pause after a failed write.
 	writeRetryDelay = 300 * time.Millisecond
--- a/rollout/park.go
+++ b/rollout/park.go
@@ -32,11 +32,11 @@
 // level wait for an agent. A parked sample keeps its text and resumes once no sample
 // waits that was parked less often.
 //
-// Lengths are not known in advance. When the trainer waits for a share of the step,
-// long samples are those that the step will most likely end without. When it waits
-// for all, they are the stragglers: discovered only at the end, each would hold up the
-// step alone; parked, they are all known by the time the last of the other samples has
-// started, and run in parallel.
+// Lengths are not known in advance. When the trainer waits for a share of the samples,
+// the step will most likely complete without the long ones. When it waits for all, the
+// long ones are the stragglers. Without parking, each would be discovered only at the end
+// and would delay the step by itself. With parking, all long samples are known by the
+// time the last of the other samples has started, and they run in parallel.
 func (s *step) parkLong(tasks []*task) {
 	limit, known := s.parkLimit()
 	if !known {
--- a/rollout/runner.go
+++ b/rollout/runner.go
@@ -41,7 +41,7 @@
 	// Router picks the agent for a sample.
 	Router routing.Picker
 	Budget *retry.Budget
-	// Scorer may be nil when no row has one.
+	// Scorer scores samples; it may be nil if no row has a scorer.
 	Scorer    Scorer
 	Retention time.Duration
 	Counters  *observe.Counters
--- a/rollout/task.go
+++ b/rollout/task.go
@@ -25,11 +25,11 @@
 	// task attaches to.
 	attachTimeout = 500 * time.Millisecond
 	// chunkInterval is the time between two chunks of a sample. It may be long: a
-	// trainer waits for whole samples, and text lost with an agent is generated again.
+	// trainer waits for whole samples, and text lost in an agent's crash is generated again.
 	chunkInterval = 50 * time.Millisecond
 )
 
-// StepSample is the processing step that refusals of samples name.
+// StepSample is the processing step named in refusals of samples.
 const StepSample = "entry.sample"
 
 // task runs one sample until it is delivered or refused.
--- a/routing/baseline.go
+++ b/routing/baseline.go
@@ -7,8 +7,8 @@
 	"mulberryscale.example/membership"
 )
 
-// RoundRobin picks the agents in turn, by nothing but what they serve and their
-// state. It is the baseline that experiments compare with.
+// RoundRobin picks in turn among the agents that pass the filters; it does not compare
+// their load, zone or prefix. It is the baseline that experiments compare with.
 type RoundRobin struct{ next atomic.Uint64 }
 
 // Pick implements Picker.
--- a/routing/profiles.go
+++ b/routing/profiles.go
@@ -19,7 +19,7 @@
 	interactiveChoices = 2
 )
 
-// hardFilters always apply; softFilters are dropped when they would leave no agent.
+// hardFilters always apply; softFilters are ignored when no agent would pass them.
 var (
 	hardFilters = []Filter{Serving{}, Healthy{}, Ready{}, Leaving{}, Version{}, Accepted{}, Free{}}
 	softFilters = []Filter{Suspect{}, Excluded{}}
@@ -38,8 +38,8 @@
 type Router struct {
 	// Strict also drops agents that are suspect or excluded.
 	Strict Profile
-	// Fallback keeps those, so that a zone that is partitioned off, or reports that have
-	// stopped, never leave a request without agents.
+	// Fallback keeps suspect and excluded agents, so that a request still finds an agent when
+	// a zone is partitioned off or reports have stopped.
 	Fallback Profile
 }
 
--- a/service/agent/fence_test.go
+++ b/service/agent/fence_test.go
@@ -39,7 +39,7 @@
 
 // twoAgents runs f with two agents of one engine, which ignores or checks fencing
 // numbers. The older agent runs, and its orders go through a blockingEngine; f starts
-// the newer one if it needs it.
+// the newer agent if its case needs one.
 func twoAgents(t *testing.T, ignoreFence bool, f func(t *testing.T, fl *fleet, blocking *blockingEngine, older, newer *node)) {
 	t.Helper()
 	blocking := &blockingEngine{released: make(chan struct{})}
--- a/service/agent/poll.go
+++ b/service/agent/poll.go
@@ -142,7 +142,8 @@
 }
 
 // handleReadyVersion records the version that a status shows as ready. If the model is
-// in service, it also records whether the last order resulted in its version.
+// in service after an order, it also checks that this is the ordered version: an older
+// one counts as a failed order.
 func (a *Agent) handleReadyVersion(now time.Time, m *modelState, version uint64) {
 	if version != m.version {
 		m.version = version
--- a/service/entry/run.go
+++ b/service/entry/run.go
@@ -29,7 +29,7 @@
 	// maxSwapWait is how long a call waits while all endpoints change their weights: as
 	// long as a rolling swap takes, which no successful load exceeds.
 	maxSwapWait = weights.DefaultSwapWindow
-	// maxSwapDelay is the longest delay between two checks whether one is ready: a fifth
+	// maxSwapDelay is the longest delay between two checks for a ready endpoint: a fifth
 	// of a second is within the latency objective of an interactive answer.
 	maxSwapDelay = 200 * time.Millisecond
 )
@@ -41,13 +41,13 @@
 // call is one interactive request on its way to an endpoint.
 type call struct {
 	row *table.Row
-	// fingerprint identifies its content in the quarantine.
+	// fingerprint identifies the call's content in the quarantine.
 	fingerprint quarantine.Fingerprint
-	// route describes the endpoints that can take it.
+	// route describes the endpoints that can take the call.
 	route routing.Request
 	// template is the run without id, identity and budget, which each attempt fills in.
 	template wire.Run
-	// idempotent reports whether it may be sent again after it may have run.
+	// idempotent reports whether the call may be sent again after it may have run.
 	idempotent bool
 	// history records whether one of the attempts so far ran or may have run.
 	history  runHistory
--- a/service/entry/tablesync.go
+++ b/service/entry/tablesync.go
@@ -47,7 +47,7 @@
 }
 
 // neighbours returns this entry's neighbours among the other entries, to which it keeps
-// connections. An entry that is nobody's neighbour gets the table version from the
+// connections. An entry that no other entry has as a neighbour gets the table version from the
 // headers of its own exchanges.
 func (t *tableSync) neighbours() []tablesync.Peer {
 	var peers []tablesync.Peer
--- a/service/node/entry.go
+++ b/service/node/entry.go
@@ -26,8 +26,8 @@
 	// it is higher than the few seconds that operators configure.
 	headerTimeout = 15 * time.Second
 	// maxHeader is the size limit of the headers in bytes. It is higher than what
-	// operators configure, for the same reason; the operator's own limit is checked
-	// for each request.
+	// operators configure, since it cannot change while the server runs either; the
+	// operator's own limit is checked for each request.
 	maxHeader = 1 << 20
 	// unreadyTime is how long a stopping entry continues to serve: the balancer probes
 	// once a second and removes the entry after two failures, and each client learns
--- a/service/node/watch_test.go
+++ b/service/node/watch_test.go
@@ -132,8 +132,9 @@
 	}
 }
 
-// TestAuthorityWhoseWriteIsOpenIsNotUsed checks that a process whose write got no answer
-// does not use its authority, since the store may hold another one.
+// TestAuthorityWhoseWriteIsOpenIsNotUsed checks that a process does not use the authority
+// that it created if the store did not answer its write, since the store may hold another
+// one.
 func TestAuthorityWhoseWriteIsOpenIsNotUsed(t *testing.T) {
 	rows := rowstore.New()
 	rows.QueueOutcomes(rowstore.RequestLost)
@@ -264,8 +265,8 @@
 }
 
 // TestHeartbeatsAreNoNews checks that a heartbeat, which changes only the sequence
-// number, makes no new snapshot, while any other change and a second claim of the
-// address do at once.
+// number, makes no new snapshot, while any other change, or a second instance that
+// claims the address, makes one at once.
 func TestHeartbeatsAreNoNews(t *testing.T) {
 	view := fleet.NewView()
 	w := newInstanceWatcher(view, observe.Discard())
