--- a/duty/order.go
+++ b/duty/order.go
@@ -11,8 +11,9 @@
 // is due once per interval. Choosing the candidates anew for each piece is better if possible,
 // since the last holder may have failed after its piece. With every third holder failing, pieces
 // were at most 12 ms late instead of 262 ms, with 15 calls to the store per piece instead of 17
-// (TestFailingHolders). But another holder may begin only when the last holder's sends are a
-// lease ago, so the interval must be long enough for that.
+// (TestFailingHolders). But another holder must wait until a lease has passed since the last
+// holder's last send, so the interval must be long enough for a term, that wait and the delay of a second
+// candidate.
 func ShouldPreferHolder(interval, lease time.Duration) bool {
 	return interval < TermDuration+lease+clockMargin+candidateStep
 }
@@ -21,8 +22,7 @@
 // optimisation: if two try at once, each costs a call, and the store lets one of them claim. It
 // keeps all other processes from reading the store for each piece.
 type CandidateOrder struct {
-	// Self is this process. Others returns all processes that may hold the duty, as far as this
-	// one knows.
+	// Self is this process. Others returns all processes known here that may hold the duty.
 	Self   string
 	Others func() []string
 	// PreferHolder makes the last holder the first candidate. Otherwise the candidates are
@@ -37,8 +37,8 @@
 	// in normal operation, so that the second one finds the claim of the first one.
 	candidateStep = 250 * time.Millisecond
 	// ManyCandidates is for work that must be done in time. If a third of the machines cannot
-	// reach the store, one in twenty thousand pieces has no candidate that can; the candidates of
-	// the next piece do it then.
+	// reach the store, one in twenty thousand pieces has no candidate that can reach it. The
+	// candidates of the next piece then do both.
 	ManyCandidates = 10
 	// FewCandidates is for work that may wait for the next piece.
 	FewCandidates = 3
--- a/duty/performer.go
+++ b/duty/performer.go
@@ -96,8 +96,8 @@
 	retryAt time.Time
 }
 
-// Run does the work until ctx is cancelled. It returns the cause of that, or an error of the state
-// chart.
+// Run does the work until ctx is cancelled. It returns the cause of the cancellation, or an error
+// of the state chart.
 func (p *Performer) Run(ctx context.Context) error {
 	machine, err := termChart.NewMachine(nil)
 	if err != nil {
@@ -190,8 +190,8 @@
 	return triggerOpen
 }
 
-// claim begins a term, with the work of a former holder if that is not done, else with work that
-// it decides.
+// claim begins a term. Its work is that of the former holder if it is not done yet; otherwise claim
+// decides new work.
 func (p *Performer) claim(ctx context.Context) Trigger {
 	work := p.stored.Work
 	if !p.stored.Found || p.stored.Done {
--- a/duty/term.go
+++ b/duty/term.go
@@ -168,8 +168,8 @@
 	return err
 }
 
-// MaySend reports whether the work may be sent now, because the term cannot be over yet by the
-// store's clock.
+// MaySend reports whether the work may be sent now: by the latest possible time of the store's
+// clock, the term has not expired yet.
 func (h *HeldTerm) MaySend() bool {
 	_, latest, ok := h.terms.Clock.Bounds()
 	return ok && latest < h.Began+TermDuration
--- a/fleet/organisation.go
+++ b/fleet/organisation.go
@@ -27,13 +27,13 @@
 type Organisation struct {
 	Name string
 	Keys []APIKey
-	// Priority is its rank among organisations; 0 is the highest. It takes precedence over the
+	// Priority is the organisation's rank among all organisations; 0 is the highest. It takes precedence over the
 	// priority of a route.
 	Priority int
 }
 
-// HasOrganisations reports whether the configuration has organisations, so that requests need
-// the key of one.
+// HasOrganisations reports whether the configuration has organisations. If it has, each request
+// needs the API key of one of them.
 func (c *Config) HasOrganisations() bool { return len(c.Organisations) > 0 }
 
 // Organisation returns the organisation that holds a key, or nil.
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestOneInstanceAtAnAddress checks that an address has one instance only if an engine was
-// restarted before the row of its former incarnation expired.
+// TestOneInstanceAtAnAddress restarts an engine before the row of its former incarnation has
+// expired: only the instance with the newer row must remain at the address.
 func TestOneInstanceAtAnAddress(t *testing.T) {
 	v := NewView()
 	v.UpdateInstances([]Instance{
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -9,8 +9,8 @@
 
 // Bounds of the gossip about new instances.
 const (
-	// gossipTransmissions is how often an entry sends each member. If every entry sends it
-	// that often to a random other entry, one in e^12 entries misses it.
+	// gossipTransmissions is the number of times that an entry sends each member. If every entry
+	// sends a member 12 times, each time to a random other entry, one in e^12 entries misses it.
 	gossipTransmissions = 12
 	// membersPerMessage is the maximum number of members in one message.
 	membersPerMessage = 8
@@ -59,8 +59,8 @@
 	}
 }
 
-// Merge queues the members that another entry sent, as far as they are new, and returns
-// those.
+// Merge queues the members that another entry sent and that are new here, and returns the new
+// ones.
 func (g *Gossip) Merge(members []wire.Member) []platform.Instance {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/membership/intervals.go
+++ b/membership/intervals.go
@@ -50,8 +50,8 @@
 	return max(shortest, time.Duration(lines*listLineBytes)*time.Second/listBudget)
 }
 
-// listDue returns whether the list is to be read again when the last read is waited ago. It
-// is read early if many agents are suspect, since they may have been replaced.
+// listDue returns whether the list must be read again. waited is the time since the last read.
+// The list is read early if many agents are suspect, since they may have been replaced.
 func listDue(waited, interval time.Duration, snap *Snapshot) bool {
 	if waited >= interval {
 		return true
--- a/results/store.go
+++ b/results/store.go
@@ -148,7 +148,8 @@
 	return &Reader{run: run, bytesRead: run.prefixBytes}
 }
 
-// notRun returns what is known about a key that has no run here.
+// notRun returns whether a key without a run in the store is known never to have run: true,
+// false or unknown.
 func (s *Store) notRun(key string, nonIdempotent bool) api.NotRun {
 	if key == "" {
 		return api.NotRunTrue
@@ -173,8 +174,9 @@
 }
 
 // NextIncarnation starts a new incarnation. The keys of the incarnation that ends
-// are kept until the next call, and those of the one before it are dropped. From
-// before the call on, the agent must refuse requests that name the dropped one.
+// are kept until the next call, and those of the one before it are dropped. The
+// agent must start to refuse requests that name the dropped incarnation before it
+// calls NextIncarnation.
 func (s *Store) NextIncarnation() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/scaling/policy.go
+++ b/scaling/policy.go
@@ -45,13 +45,14 @@
 // LastOrder is the last order for a target; the zero value means none.
 type LastOrder struct {
 	Endpoints int
-	// At is when it was decided.
+	// At is the time at which the order was decided.
 	At time.Duration
 }
 
 // Policy is the scaling policy of one target. It is not safe for concurrent use.
 type Policy struct {
-	// lowSince is since when fewer endpoints would suffice. It is valid if isLow is set.
+	// lowSince is the time since which fewer endpoints would suffice. It is valid if isLow is
+	// set.
 	lowSince time.Duration
 	isLow    bool
 }
--- a/store/relay/path.go
+++ b/store/relay/path.go
@@ -52,8 +52,8 @@
 	return !now.Before(p.backoffUntil)
 }
 
-// directSucceeded records a response on the direct path. It reports whether that is a
-// switch from relayed calls.
+// directSucceeded records a response on the direct path. It reports whether calls were
+// relayed until now.
 func (p *path) directSucceeded() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,7 +63,7 @@
 }
 
 // relaySucceeded records a response through a peer after the direct path had failed. It
-// reports whether that is a switch to relayed calls.
+// reports whether this is the first such response since the direct path last responded.
 func (p *path) relaySucceeded(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/transport/memtransport/stream.go
+++ b/transport/memtransport/stream.go
@@ -192,7 +192,8 @@
 	return first.data, 0, nil
 }
 
-// nextEOF is next for an empty queue.
+// nextEOF is the part of next for an empty queue: it returns io.EOF once the peer's end of
+// the stream has arrived. Its other results are those of next.
 func (s *stream) nextEOF() (data []byte, wait time.Duration, err error) {
 	if !s.in.finished {
 		return nil, 0, nil
--- a/usage/recorder.go
+++ b/usage/recorder.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// flushDelay is how long counts may be in the memory of an entry only. An entry that is
-	// killed loses the counts of that time: with five requests per second that is one request.
+	// flushDelay is how long an entry collects counts in memory before it writes them. An entry
+	// that is killed loses these counts: with five requests per second that is one request.
 	// The cost is at most five writes per second.
 	flushDelay = 200 * time.Millisecond
 	// busyFlushDelay is used while an entry has counted more than busyThreshold requests in a
--- a/usage/reporter.go
+++ b/usage/reporter.go
@@ -25,18 +25,18 @@
 	Report(ctx context.Context, f duty.Fence, maySend func() bool, r *Report) error
 }
 
-// delayShare is the share of the time until a report is due that entries have to write their
-// counts. The rest is enough for a second holder if the first one crashes: the first one's term,
-// the time between two holders, and the second one's sends take less than five of the ten seconds
-// that platforms allow.
+// delayShare is ReportDelay as a share of the time from the end of a window until its report is
+// due. Entries write their last counts during ReportDelay. The remaining time is enough for a second
+// holder if the first one crashes: the first one's term, the time between two holders, and the
+// second one's sends take less than five of the ten seconds that platforms allow.
 const delayShare = 0.45
 
-// ReportDelay returns the time between the end of a window and its report, if reports are due late
-// after the end of their window.
+// ReportDelay returns how long after the end of a window its report is sent. late is the time after
+// the end of a window at which the platform requires its report.
 func ReportDelay(late time.Duration) time.Duration { return time.Duration(delayShare * float64(late)) }
 
-// maxBacklog is the age up to which windows are still reported that were missed during an outage of
-// the whole system or the platform.
+// maxBacklog is the maximum age of windows that are reported after an outage of the whole system or
+// the platform. Older ones are not reported.
 const maxBacklog = 10 * time.Minute
 
 // Reporter is the duty.Work of usage reports. Each window is a piece.
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -67,7 +67,7 @@
 	return r.Counts
 }
 
-// TestManySmallCounts has the load of a site with many organisations and few requests: 14 per
+// TestManySmallCounts simulates the load of a site with many organisations and few requests: 14 per
 // second from 41 organisations at 6 entries. Most counts of a window are 0, 1 or 2, so that each
 // lost request shows. Writes fail in all possible ways meanwhile.
 func TestManySmallCounts(t *testing.T) {
--- a/weights/gossip.go
+++ b/weights/gossip.go
@@ -16,9 +16,9 @@
 
 // Defaults of VersionGossipConfig.
 const (
-	// DefaultPushPeers random peers besides the children in the tree reach all but
-	// e^-4 = 2% of many processes even if no child is reached; the others learn of
-	// the version by their own exchanges.
+	// DefaultPushPeers is the number of random peers that get a new version besides the
+	// children in the tree. It reaches all but e^-4 = 2% of many processes even if no
+	// child is reached; the others learn of the version by their own exchanges.
 	DefaultPushPeers        = 3
 	DefaultExchangeInterval = 3 * time.Second
 	gossipTimeout           = 2 * time.Second
--- a/weights/schedule.go
+++ b/weights/schedule.go
@@ -10,8 +10,8 @@
 // DefaultSwapWindow is the time over which a rolling swap spreads the engines' swaps.
 const DefaultSwapWindow = 10 * time.Second
 
-// SwapDelay returns how long after it learned of a version the agent of that rank
-// swaps under the rolling policy. The delays of n agents are spread evenly over the
+// SwapDelay returns the time from when the agent of the given rank learns of a version
+// until it swaps, under the rolling policy. The delays of n agents are spread evenly over the
 // window, so that with loads of a duration d at most ceil(n*d/window) engines
 // load at the same time, provided that the agents' lists agree.
 func SwapDelay(rank, n int, window time.Duration) time.Duration {
