--- a/batch/enginestate.go
+++ b/batch/enginestate.go
@@ -99,9 +99,9 @@
 }
 
 // recordStall counts a run that went without an event for too long; events of other runs
-// reset the count. An answer that is merely broken says nothing about the engine: some
-// engines break two in a hundred, and items that many engines break one after the other
-// would mark this one as down and take all items from it.
+// reset the count. An answer that breaks off is not counted: some engines break off two
+// answers in a hundred, and items whose answers break off on many engines one after the
+// other would mark this engine as down and take all items from it.
 func (e *engineState) recordStall() {
 	e.unanswered++
 	if e.unanswered >= maxUnanswered {
--- a/batch/rebalance_test.go
+++ b/batch/rebalance_test.go
@@ -179,8 +179,8 @@
 	})
 }
 
-// TestDeadNeighbourIsNoticedBetweenRounds kills the agent after another one in the ring,
-// while that one's next scan of all agents is 36 s away.
+// TestDeadNeighbourIsNoticedBetweenRounds kills an agent while the next scan of all agents
+// by its predecessor in the ring is 36 s away.
 func TestDeadNeighbourIsNoticedBetweenRounds(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		const agents = 30
--- a/batch/rig_test.go
+++ b/batch/rig_test.go
@@ -299,8 +299,8 @@
 	delete(r.peers.workers, host)
 }
 
-// submitLong submits a job with one item of four seconds, and returns when half of that is
-// done and all other items are.
+// submitLong submits a job with one item that runs for four seconds, and returns after two
+// seconds, when all other items are done.
 func (r *workerRig) submitLong(id string, n int, long string) {
 	r.engines.lengths[long] = 100
 	r.submit(id, n, nil)
--- a/batch/update.go
+++ b/batch/update.go
@@ -57,9 +57,9 @@
 // finds no changes takes less than this, and the next one follows it.
 const maxListAge = feedWait + 100*time.Millisecond
 
-// inFlight returns the update in flight, if any; current says that the list was up to
-// date less than maxListAge ago and the feed is watched since, so that nothing is
-// missing. An update in flight alone does not show that: it may be the first in seconds.
+// inFlight returns the update in flight, if any; current reports whether the list was up
+// to date less than maxListAge ago and the feed has been watched since, so that no result
+// is missing. An update in flight alone does not prove this: it may be the first in seconds.
 func (r *Reader) inFlight(j *cachedJob) (u *update, current bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -126,8 +126,8 @@
 
 // Delays of retries, hedged requests and answers.
 const (
-	// retryAfter is the delay that refused clients are told: long enough for the list of
-	// instances to change, and short against their deadlines.
+	// retryAfter is the delay after which refused clients are asked to retry: long enough for
+	// the list of instances to change, and short against the clients' deadlines.
 	retryAfter = 200 * time.Millisecond
 	// hedgeShare is the share of the route's objective after which a request that may run twice
 	// is hedged: sent to a second endpoint as well.
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -47,9 +47,9 @@
 
 const (
 	// slowdownMemory is the time constant with which an instance's slowdown decays while nothing
-	// is sent to it: one that took five times as long is tried again after 17 s. With 3 s those
-	// tries alone made 9 in 100 interactive requests late (pattern slow-endpoint), with 10 s 5 in
-	// 100.
+	// is sent to it: one that took five times as long is tried again after 17 s. With 3 s these
+	// repeated sends alone made 9 in 100 interactive requests late (pattern slow-endpoint), with
+	// 10 s 5 in 100.
 	slowdownMemory = 10 * time.Second
 	// slowThreshold is the slowdown from which an instance counts as slow. It is well above the
 	// noise: if the work of requests has a lognormal spread of 0.5, the moving average over an
@@ -67,7 +67,7 @@
 	// risky counts those outstanding requests that may crash the instance.
 	risky   int
 	suspect time.Time
-	// slowdown is the ratio of its answer times to the typical ones.
+	// slowdown is the ratio of the instance's answer times to the typical ones.
 	slowdown   float64
 	slowdownAt time.Time
 }
--- a/quarantine/history.go
+++ b/quarantine/history.go
@@ -16,7 +16,7 @@
 const (
 	// Clear contents are sent without restriction.
 	Clear State = iota
-	// Suspect contents have been running while an endpoint crashed, perhaps by a fault of its
+	// Suspect contents were running when an endpoint crashed, perhaps by a fault of the endpoint's
 	// own: they are sent to one endpoint at a time.
 	Suspect
 	// Quarantined contents are not sent.
@@ -31,11 +31,11 @@
 // Limits of the two kinds of work.
 const (
 	// RequestLimit quarantines a request at the second crash. One crash may be the endpoint's own
-	// fault, and the requests that ran beside the culprit are served by a second send; a service
-	// may have no more than three endpoints.
+	// fault, and requests that merely ran beside the one that caused it are served by a second
+	// send. The limit is not higher, since a service may have no more than three endpoints.
 	RequestLimit Limit = 2
 	// ItemLimit quarantines an item of a batch job at the third crash: up to a dozen other items
-	// run beside it, and some of them run beside it at two crashes.
+	// run beside an item that crashes engines, and some of them run beside it at two crashes.
 	ItemLimit Limit = 3
 )
 
@@ -48,8 +48,8 @@
 const (
 	// suspectTTL is how long a suspect is remembered after its last crash.
 	suspectTTL = 10 * time.Minute
-	// simultaneousWindow is the greatest difference between the times at which entries see the
-	// same moment's events.
+	// simultaneousWindow is the greatest difference between the times at which entries record
+	// events of the same moment.
 	simultaneousWindow = 25 * time.Millisecond
 	// quarantineTTL is how long a quarantined content is remembered after its last event.
 	quarantineTTL = 24 * time.Hour
@@ -99,7 +99,8 @@
 	return n
 }
 
-// state returns the content's state and, for a quarantined one, how long it stays so.
+// state returns the content's state and, for a quarantined one, the time until its next trial is
+// due.
 func (h *history) state(limit Limit, now time.Duration) (state State, wait time.Duration) {
 	switch n := h.crashCount(); {
 	case n == 0:
@@ -120,7 +121,8 @@
 // nextTrial returns the number of the next trial.
 func (h *history) nextTrial() int { return len(h.trials) }
 
-// expired reports whether the history is too old to matter.
+// expired reports whether the last event is longer ago than suspectTTL or, at RequestLimit crashes
+// or more, quarantineTTL.
 func (h *history) expired(now time.Duration) bool {
 	memory := suspectTTL
 	if h.crashCount() >= int(RequestLimit) {
--- a/rollout/move.go
+++ b/rollout/move.go
@@ -249,7 +249,7 @@
 			t.lastPeer = peerOf(current.agent)
 			return nil
 		}
-		// The current run failed: only the new one is left.
+		// The current run failed, so the sample depends on the new run alone.
 		select {
 		case <-next.producing:
 		case <-next.finished:
--- a/service/agent/fence_test.go
+++ b/service/agent/fence_test.go
@@ -235,8 +235,8 @@
 			}
 			most = max(most, loading)
 		}
-		// Turns are 2 s apart and a load takes 2 s, so one engine would load at a time; the
-		// interval of the status polls adds one.
+		// The engines' loads begin 2 s apart and take 2 s each, so one engine would load at a
+		// time; the interval of the status polls adds one.
 		if most == 0 || most > 3 {
 			t.Fatalf("%d of %d engines were loading at the same time", most, agents)
 		}
