--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -16,7 +16,7 @@
 // stepClaims is the number of scoring calls of a large step, claimed concurrently.
 const stepClaims = 4096
 
-// fewCommits is the maximum number of commits for them.
+// fewCommits is the maximum number of commits for stepClaims concurrent claims.
 const fewCommits = 64
 
 // countedTable counts commits.
--- a/duty/order.go
+++ b/duty/order.go
@@ -12,8 +12,8 @@
 // since the last holder may have failed after its piece. With every third holder failing, pieces
 // were at most 12 ms late instead of 262 ms, with 15 calls to the store per piece instead of 17
 // (TestFailingHolders). But another holder must wait until a lease has passed since the last
-// holder's last send, so the interval must be long enough for a term, that wait and the delay of a second
-// candidate.
+// holder's last send, so the interval must be long enough for a term, that wait and the
+// delay of a second candidate.
 func ShouldPreferHolder(interval, lease time.Duration) bool {
 	return interval < TermDuration+lease+clockMargin+candidateStep
 }
--- a/duty/performer.go
+++ b/duty/performer.go
@@ -89,7 +89,7 @@
 	stored  StoredTerm
 	held    *HeldTerm
 	piece   uint64
-	// wasHolder is true if this process did the last piece that it knows of.
+	// wasHolder is true if this process did the last piece known to it.
 	wasHolder bool
 	// retryAt is when to read the term again even if this process is no candidate; zero if not
 	// set.
--- a/fleet/organisation.go
+++ b/fleet/organisation.go
@@ -27,8 +27,8 @@
 type Organisation struct {
 	Name string
 	Keys []APIKey
-	// Priority is the organisation's rank among all organisations; 0 is the highest. It takes precedence over the
-	// priority of a route.
+	// Priority is the organisation's rank among all organisations; 0 is the highest. It
+	// takes precedence over the priority of a route.
 	Priority int
 }
 
--- a/internal/loadmodel/model.go
+++ b/internal/loadmodel/model.go
@@ -62,7 +62,7 @@
 
 // Limiter limits a sender's open background calls.
 type Limiter interface {
-	// Size returns how many calls may be open, given how many are.
+	// Size returns the maximum number of open calls; open is their present number.
 	Size(open int, now time.Time) int
 	// ObserveLoad records the load reported with an answer.
 	ObserveLoad(load fleet.Load, now time.Time)
@@ -226,7 +226,7 @@
 	sim.send(r.sender)
 }
 
-// send sends queued requests as far as the sender's limiter allows.
+// send sends queued requests until the limit of the sender's limiter is reached.
 func (sim *simulation) send(s *sender) {
 	for len(s.queue) > 0 && (s.limiter == nil || s.open < s.limiter.Size(s.open, sim.clock())) {
 		r := s.queue[0]
--- a/internal/loadmodel/model_test.go
+++ b/internal/loadmodel/model_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// seeds is a number of seeds with which the policies of these tests differ by far
-// more than the seeds do.
+// seeds is the number of seeds per simulation. It is large enough that the policies of
+// these tests differ by far more than the seeds do.
 const seeds = 5
 
 func measure(t *testing.T, pattern, policy string) Row {
--- a/keys/files.go
+++ b/keys/files.go
@@ -11,8 +11,8 @@
 	"github.com/gravitational/trace"
 )
 
-// ReloadInterval is the least time between two checks for changed files, which
-// handshakes make.
+// ReloadInterval is the minimum time between two checks for changed files. The checks
+// are made during handshakes.
 const ReloadInterval = time.Second
 
 const (
--- a/membership/subset.go
+++ b/membership/subset.go
@@ -79,7 +79,7 @@
 }
 
 // sameLocality returns the hashes of the entries in the zone if self is in the zone, else
-// those of the entries outside it, in both cases with self.
+// those of the entries outside it. self is always included.
 func sameLocality(self candidate, zone string, entries []candidate) []uint64 {
 	var hashes []uint64
 	for _, e := range entries {
--- a/store/follow.go
+++ b/store/follow.go
@@ -14,7 +14,7 @@
 // Timing of Follow.
 const (
 	// FeedWait is how long the store may hold a feed call while there is no change. It
-	// bounds the staleness of a watcher: a call without a response is repeated after it.
+	// bounds the staleness of a watcher: a call without a response is repeated after FeedWait.
 	FeedWait = time.Second
 	// retryPause is the delay before a retry. A refusal costs the store nothing, and a
 	// change must be in force two seconds after it was made.
--- a/store/pace.go
+++ b/store/pace.go
@@ -9,8 +9,8 @@
 // that changes of a quiet table arrive at once and those of a busy one within MaxPause.
 //
 // With 120 rows that change each 1.2 s and 248 readers, each reader called the feed of
-// one table 18 times a second. With 6,000 bytes a second and a MaxPause of 1.3 s it
-// calls 0.75 times a second.
+// one table 18 times a second without pauses. With 6,000 bytes a second and a MaxPause
+// of 1.3 s it calls 0.75 times a second.
 type Pace struct {
 	// BytesPerSecond is the budget for responses. MaxPause takes precedence over it. 0 is
 	// no limit: only MinPause applies.
--- a/store/relay/relay.go
+++ b/store/relay/relay.go
@@ -1,5 +1,5 @@
 // Package relay provides a store client that fails over to other processes: while a
-// process cannot reach the store itself, peers that can make its calls.
+// process cannot reach the store itself, peers that can reach it make the calls for it.
 //
 // It is for partial outages in which the store refuses a third of the processes for
 // seconds, or does not respond to them, and serves all others. An affected entry could
--- a/table/row.go
+++ b/table/row.go
@@ -63,7 +63,7 @@
 	Deadline time.Duration `json:"deadline" yaml:"deadline"`
 	// WaitShare is the share of a step that its trainer waits for, 0 < s <= 1.
 	WaitShare float64 `json:"wait_share,omitempty" yaml:"wait_share,omitempty"`
-	// Leftover says what happens to the unfinished rest.
+	// Leftover says what happens to the samples that are unfinished when a step completes.
 	Leftover Leftover `json:"leftover,omitempty" yaml:"leftover,omitempty"`
 	// Scorer names the plain row that scores this trainer's samples.
 	Scorer string `json:"scorer,omitempty" yaml:"scorer,omitempty"`
