--- a/e2e/crashing_request_test.go
+++ b/e2e/crashing_request_test.go
@@ -13,11 +13,11 @@
 	"mulberryscale.example/platform/ingress"
 )
 
-// Guards against requests whose content crashes endpoints. In production, lookups of the
-// listings service were refused for three seconds at a time, repeatedly: all three of its
-// endpoints had crashed within a quarter of a second on requests with the same content,
-// which came back seconds later with new ids at other entries. Nine to fourteen endpoints
-// crashed per content.
+// Guards against requests whose content crashes endpoints. On one day, lookups of the
+// listings service were refused for three seconds at a time, repeatedly: each time all
+// three of its endpoints had crashed within a quarter of a second on requests with the same
+// content, which came back seconds later with new ids at other entries. Nine to fourteen
+// endpoints crashed per content.
 //
 // The cause: an entry kept a request's endpoint failures only as long as the request. A
 // retry, the caller's next attempt, another entry and the next repeat each started without
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -124,7 +124,8 @@
 	return nil
 }
 
-// kill terminates the process with SIGKILL and waits for its exit.
+// kill terminates the process with SIGKILL and waits for its exit. It does nothing if the
+// process has exited.
 func (p *process) kill() {
 	p.cmd.Process.Kill() // fails only if it has exited
 	<-p.exited
--- a/e2e/soak_store_test.go
+++ b/e2e/soak_store_test.go
@@ -26,7 +26,7 @@
 	storeLimited           // answers every other call with 429
 	storeRefuses           // answers every call with 503
 	storeHangs             // never answers
-	storeResets            // resets connections
+	storeResets            // aborts connections
 )
 
 // soakStore is the platform's store as the processes reach it, with fault injection.
