--- a/batch/crash_test.go
+++ b/batch/crash_test.go
@@ -71,7 +71,7 @@
 	return r.engines.crashes
 }
 
-func TestItemThatCrashesEnginesIsKeptAway(t *testing.T) {
+func TestItemThatCrashesEnginesIsQuarantined(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		const items, fatal = 24, "item-005"
 		rig := newWorkerRig(t, 6)
--- a/batch/enginerestart_test.go
+++ b/batch/enginerestart_test.go
@@ -14,7 +14,7 @@
 
 // Runs on an engine that restarted are resumed at once, not only after the stall
 // timeout, and do not count as failures of the engine.
-func TestRunsGoOnWhenTheirEngineStartsAgain(t *testing.T) {
+func TestRunsResumeAfterEngineRestart(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
 		rig.restartEngine(0, 1000)
@@ -33,7 +33,7 @@
 
 // After a restart the sequence of orders starts at 0 again: an order to the previous
 // incarnation does not block those to the new one.
-func TestOrdersToAnEngineThatStartedAgain(t *testing.T) {
+func TestOrdersToARestartedEngine(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
 		rig.restartEngine(0, 1000)
@@ -53,7 +53,7 @@
 }
 
 // A report and a registration of the previous incarnation that arrive late are ignored.
-func TestOlderBirthChangesNothing(t *testing.T) {
+func TestOlderIncarnationIsIgnored(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
 		rig.restartEngine(0, 2000)
--- a/batch/ledger_test.go
+++ b/batch/ledger_test.go
@@ -35,7 +35,7 @@
 
 // Each write of a job (submit, end, append) takes effect exactly once for each outcome
 // of the store's commit.
-func TestWritesSurviveEachOutcome(t *testing.T) {
+func TestWritesTakeEffectOnceForEachCommitOutcome(t *testing.T) {
 	type write struct {
 		name string
 		do   func(ctx context.Context, l *Ledger) error
@@ -79,7 +79,7 @@
 
 // ErrRefused promises that the job never runs, so Submit may return it only if no
 // attempt can still be committed.
-func TestSubmitSaysRefusedOnlyWhenNothingCanFollow(t *testing.T) {
+func TestSubmitReturnsErrRefusedOnlyIfNoCommitIsPossible(t *testing.T) {
 	const many = 50 // more attempts than fit into the deadline
 	for name, outcome := range map[string]rowstore.Outcome{
 		"refused": rowstore.Refused, "dropped": rowstore.RequestLost, "late": rowstore.Late, "late, then refused": rowstore.Late,
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestItemsComeBackWhole(t *testing.T) {
+func TestItemsAreReadBackCompletely(t *testing.T) {
 	for _, n := range []int{1, 20, 3000} { // one row, several rows, objects
 		l := newLedger(rowstore.New())
 		l.ObjectBytes = 200 << 10
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestRemoveLeavesNothing(t *testing.T) {
+func TestRemoveDeletesAllRows(t *testing.T) {
 	s := rowstore.New()
 	l := newLedger(s)
 	job := someJob("j", 4)
--- a/batch/priority_test.go
+++ b/batch/priority_test.go
@@ -9,7 +9,7 @@
 	"mulberryscale.example/fleet"
 )
 
-func TestOrganisationsRankGoesBeforeTheRoutes(t *testing.T) {
+func TestOrganisationPriorityOverridesRoutePriority(t *testing.T) {
 	config := &fleet.Config{Organisations: []fleet.Organisation{{Name: "guthi", Priority: 2}, {Name: "first", Priority: 0}}}
 	config.Index()
 	for organisation, want := range map[string]int{"guthi": 2, "first": 0, "": 5, "unknown": 5} {
--- a/batch/quarantine_test.go
+++ b/batch/quarantine_test.go
@@ -10,10 +10,10 @@
 	"mulberryscale.example/quarantine"
 )
 
-// TestItemsUnderWhichTwoEnginesEndedRunApart guards against suspect items that move from
+// TestItemsWithTwoEngineCrashesRunSeparately guards against suspect items that move from
 // engine to engine together, so that those that merely ran beside the one that crashes
 // engines are quarantined with it at the third crash.
-func TestItemsUnderWhichTwoEnginesEndedRunApart(t *testing.T) {
+func TestItemsWithTwoEngineCrashesRunSeparately(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w, _, all := newWaitingWorker(&acceptingPeers{}, 4)
 		w.Quarantine = quarantine.Local(nil, observe.Discard(), observe.NewCounters())
--- a/batch/reader_test.go
+++ b/batch/reader_test.go
@@ -131,7 +131,7 @@
 
 // A list that was read while the feed was unavailable must not miss results that are
 // appended before the feed is available again.
-func TestListReadWhileTheFeedIsAwayHasNoGap(t *testing.T) {
+func TestListReadDuringFeedOutageHasNoGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 8)
 		rig.append("a")
@@ -149,7 +149,7 @@
 	})
 }
 
-func TestShownResultsStayWhileTheStoreIsAway(t *testing.T) {
+func TestListedResultsStayDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 4)
 		rig.append("a", "b")
@@ -161,9 +161,9 @@
 	})
 }
 
-// TestSilentFeedHidesNoPosition appends a result while the feed does not respond: a
+// TestUnresponsiveFeedHidesNoPosition appends a result while the feed does not respond: a
 // result that other entries may have shown for a second must be read here as well.
-func TestSilentFeedHidesNoPosition(t *testing.T) {
+func TestUnresponsiveFeedHidesNoPosition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 8)
 		rig.append("a")
@@ -176,7 +176,7 @@
 	})
 }
 
-func TestHistoryForgottenLosesNoPosition(t *testing.T) {
+func TestDroppedFeedHistoryLosesNoPosition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 8)
 		rig.append("a")
@@ -194,7 +194,7 @@
 }
 
 // Read returns ErrNoJob only if the store has confirmed that the job does not exist.
-func TestNoJobIsCertain(t *testing.T) {
+func TestErrNoJobOnlyWhenConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 4)
 		if _, err := rig.reader.Read(t.Context(), "other", 0, 1, 0); !errors.Is(err, ErrNoJob) {
@@ -234,10 +234,10 @@
 	})
 }
 
-// TestNobodyReadsWhatNobodyAskedFor runs twenty idle readers while a caller reads one of
+// TestIdleReadersMakeNoStoreCalls runs twenty idle readers while a caller reads one of
 // many jobs at another one: the idle readers make no calls to the store, and the busy one
 // gets no rows from the tables of other jobs.
-func TestNobodyReadsWhatNobodyAskedFor(t *testing.T) {
+func TestIdleReadersMakeNoStoreCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 200)
 		var idle []*countingStore
@@ -299,9 +299,9 @@
 	return s, err
 }
 
-// TestSlowStoreDelaysNoResultThatIsHere checks that cached results are served at once
+// TestSlowStoreDelaysNoCachedResult checks that cached results are served at once
 // while the store takes a second for each call.
-func TestSlowStoreDelaysNoResultThatIsHere(t *testing.T) {
+func TestSlowStoreDelaysNoCachedResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 8)
 		rig.append("a", "b")
@@ -336,9 +336,9 @@
 	})
 }
 
-// TestLongUnreadJobIsReadToItsEnd reads a job again after more was appended than fits
+// TestJobWithManyUnreadRowsIsReadCompletely reads a job again after more was appended than fits
 // into one response of the feed: no position that others may have shown is missing.
-func TestLongUnreadJobIsReadToItsEnd(t *testing.T) {
+func TestJobWithManyUnreadRowsIsReadCompletely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 80)
 		rig.append("a")
@@ -356,10 +356,10 @@
 	})
 }
 
-// TestCallerThatJoinsAReadingWaitsForIt lets a second caller join an update that the
+// TestCallerThatJoinsAReadWaitsForIt lets a second caller join an update that the
 // first one started a moment ago, while the cached list is seconds old: it must not
 // get the outdated list.
-func TestCallerThatJoinsAReadingWaitsForIt(t *testing.T) {
+func TestCallerThatJoinsAReadWaitsForIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newReaderRig(t, 8)
 		rig.append("a")
--- a/batch/rebalance_test.go
+++ b/batch/rebalance_test.go
@@ -95,10 +95,10 @@
 	}
 }
 
-// TestAgentsLookAfterTheirOwnModelsJobs checks that agents make no calls for a job of
+// TestAgentsWatchOnlyJobsOfTheirModels checks that agents make no calls for a job of
 // another model than their engine's: engines run two models, and only one model has an
 // open job.
-func TestAgentsLookAfterTheirOwnModelsJobs(t *testing.T) {
+func TestAgentsWatchOnlyJobsOfTheirModels(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 8)
 		rig.view.SetConfig(&fleet.Config{Version: 2, Services: []fleet.Service{{Name: "svc", Models: []string{"m", "n"}}}})
@@ -117,9 +117,9 @@
 	})
 }
 
-// TestItemsOfADeadAgentGoOnSoon kills one of 3, 30 and 100 agents in the middle of its item,
+// TestItemsOfACrashedAgentResumeSoon kills one of 3, 30 and 100 agents in the middle of its item,
 // while all others have free slots.
-func TestItemsOfADeadAgentGoOnSoon(t *testing.T) {
+func TestItemsOfACrashedAgentResumeSoon(t *testing.T) {
 	for _, agents := range []int{3, 30, 100} {
 		bubble(t, func(t *testing.T) {
 			rig := newWorkerRig(t, agents)
@@ -179,9 +179,9 @@
 	})
 }
 
-// TestDeadNeighbourIsNoticedBetweenRounds kills an agent while the next scan of all agents
+// TestCrashedNeighbourIsDetectedBetweenRounds kills an agent while the next scan of all agents
 // by its predecessor in the ring is 36 s away.
-func TestDeadNeighbourIsNoticedBetweenRounds(t *testing.T) {
+func TestCrashedNeighbourIsDetectedBetweenRounds(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		const agents = 30
 		rig := newWorkerRig(t, agents)
--- a/batch/reward_test.go
+++ b/batch/reward_test.go
@@ -26,7 +26,7 @@
 	return last.at.Add(time.Duration(length-last.lastEventID) * eventGap)
 }
 
-func TestResultBearsTheScoreOfItsOwnCall(t *testing.T) {
+func TestResultHasTheScoreOfItsOwnCall(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := scoredRig(t, 2)
 		rig.submit("j", 8, nil)
@@ -96,7 +96,7 @@
 
 // A complete text that waits for its score is not generated again after its agent has
 // crashed.
-func TestWholeTextOutlivesItsAgent(t *testing.T) {
+func TestCompleteTextIsKeptAfterAgentCrash(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := scoredRig(t, 3)
 		rig.rewards.latency = time.Hour
@@ -116,7 +116,7 @@
 	})
 }
 
-func TestEveryAgentDiesWhileTextsAreScored(t *testing.T) {
+func TestAllAgentsCrashDuringScoring(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := scoredRig(t, 2)
 		rig.rewards.latency = time.Hour
@@ -135,7 +135,7 @@
 }
 
 // Failures of a reward call are counted over all agents that hold the item in turn.
-func TestFailuresOfARewardCallOutliveItsAgent(t *testing.T) {
+func TestRewardCallFailuresAreKeptAfterAgentCrash(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := scoredRig(t, 2)
 		id := rewardOf("item-000")
@@ -160,7 +160,7 @@
 
 // An agent that drains hands over complete texts that wait for their score, with the
 // number of failures of their reward calls.
-func TestStoppingAgentHandsOverWholeTexts(t *testing.T) {
+func TestStoppingAgentHandsOverCompleteTexts(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := scoredRig(t, 2)
 		rig.rewards.latency = time.Hour
@@ -184,7 +184,7 @@
 	})
 }
 
-func TestEndOfAJobEndsItsRewardCalls(t *testing.T) {
+func TestEndingAJobCancelsItsRewardCalls(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := scoredRig(t, 2)
 		rig.rewards.latency = time.Hour
@@ -220,7 +220,7 @@
 
 // Items that expire are listed as failed, whether they run, wait, have no score yet or
 // are orphaned.
-func TestItemsOutOfTimeAreListedAsFailed(t *testing.T) {
+func TestExpiredItemsAreListedAsFailed(t *testing.T) {
 	for name, stall := range map[string]func(r *workerRig){
 		"waiting for the engine": func(r *workerRig) {
 			r.engine(0, func(e *fakeEngine) { e.down = true })
@@ -259,7 +259,7 @@
 	}
 }
 
-func TestJoinedSegmentsOfWholeTexts(t *testing.T) {
+func TestJoinedSegmentsOfCompleteTexts(t *testing.T) {
 	e := func(n int) []string { return make([]string, n) }
 	for name, c := range map[string]struct {
 		segments []segment
--- a/batch/tailwait_test.go
+++ b/batch/tailwait_test.go
@@ -34,7 +34,7 @@
 	must(t, l.Append(t.Context(), "j", "w-"+ids[0], results))
 }
 
-func TestAnswersWaitForTheWantedGroups(t *testing.T) {
+func TestReadWaitsForTheRequestedGroups(t *testing.T) {
 	const callerWait = time.Second
 	for name, c := range map[string]struct {
 		listed  []string      // at the time of the call
--- a/batch/worker_test.go
+++ b/batch/worker_test.go
@@ -30,7 +30,7 @@
 	})
 }
 
-func TestBrokenRunGoesOnAfterItsLastEvent(t *testing.T) {
+func TestBrokenRunResumesAfterItsLastEvent(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
 		rig.engine(0, func(e *fakeEngine) { e.breakAfter["item-000"] = 4 })
@@ -72,7 +72,7 @@
 
 // The crash of an agent loses at most the text that was not saved; another agent
 // resumes its items after the saved text.
-func TestItemsOfADeadAgentGoOnFromTheirSavedText(t *testing.T) {
+func TestItemsOfACrashedAgentResumeFromSavedText(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 3)
 		rig.submitLong("j", 6, "item-005")
@@ -91,7 +91,7 @@
 	})
 }
 
-func TestAllAgentsDieAndGoOn(t *testing.T) {
+func TestAllAgentsCrashAndRestart(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 2)
 		rig.submitLong("j", 2, "item-001")
@@ -108,7 +108,7 @@
 	})
 }
 
-func TestAgentThatIsCutOffFromTheOthersHarmsNothing(t *testing.T) {
+func TestAgentPartitionedFromItsPeersLosesNoItems(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 3)
 		rig.peers.mu.Lock()
@@ -189,7 +189,7 @@
 }
 
 // A later job with an item that was unfinished when its job ended resumes its text.
-func TestUnfinishedTextServesALaterJob(t *testing.T) {
+func TestLaterJobResumesUnfinishedText(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
 		rig.submitLong("first", 1, "item-000")
@@ -204,7 +204,7 @@
 }
 
 // An item moves away from an engine that reports a good state but hangs on the item.
-func TestItemLeavesAnEngineThatHangsOnIt(t *testing.T) {
+func TestItemLeavesAnEngineThatStalls(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 2)
 		rig.submit("j", 4, func(j *Job) { j.Owners, j.Ready = []string{engineAddr(0), engineAddr(1)}, 2 })
@@ -224,7 +224,7 @@
 
 // Broken answers to some items, also several at once, do not move other items away from
 // their engine.
-func TestBrokenAnswersLeaveOtherItemsAlone(t *testing.T) {
+func TestBrokenAnswersDoNotAffectOtherItems(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 2)
 		for i := range 3 {
@@ -255,7 +255,7 @@
 }
 
 // Text of a weight version below the job's minimum is generated again.
-func TestTextThatIsTooOldIsGeneratedAnew(t *testing.T) {
+func TestTooOldTextIsRegenerated(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
 		rig.submitLong("first", 1, "item-000")
@@ -273,7 +273,7 @@
 
 // The first order of an agent that starts on an empty store has a fencing token, and the
 // token of a restarted agent is not lower.
-func TestOrdersBearGrowingTokens(t *testing.T) {
+func TestOrdersHaveIncreasingFencingTokens(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
 		rig.view.SetNamedVersion("m", 2)
@@ -295,7 +295,7 @@
 	})
 }
 
-func TestOrderWithoutAnswerIsGivenAgain(t *testing.T) {
+func TestUnansweredOrderIsRetried(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 1)
 		rig.engine(0, func(e *fakeEngine) { e.loseNextOrder = true })
@@ -309,7 +309,7 @@
 	})
 }
 
-func TestStoreAwayDelaysResultsAndLosesNone(t *testing.T) {
+func TestStoreOutageDelaysResultsAndLosesNone(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 2)
 		rig.submit("j", 10, nil)
@@ -328,7 +328,7 @@
 }
 
 // An agent that cannot reach the store appends its results through other agents.
-func TestResultsOfAnAgentThatIsCutOffFromTheStore(t *testing.T) {
+func TestResultsOfAnAgentPartitionedFromTheStore(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 3)
 		for i := range 9 {
@@ -341,7 +341,7 @@
 	})
 }
 
-func TestStoppingAgentHandsOverAndLeavesNothing(t *testing.T) {
+func TestStoppingAgentHandsOverAllItems(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		rig := newWorkerRig(t, 2)
 		for i := range 12 {
