--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -14,7 +14,7 @@
 	"mulberryscale.example/quarantine"
 )
 
-func TestSecondEndStopsARequest(t *testing.T) {
+func TestRequestIsQuarantinedAfterSecondCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newCrashRig(t, 3, 3, true)
 		var refusal *Refusal
@@ -104,7 +104,7 @@
 
 // A caller that leaves before its answer does not see the crash; the list of instances shows
 // seconds later that the endpoint crashed under its request.
-func TestCallersThatLeaveEndNoMoreEndpoints(t *testing.T) {
+func TestDisconnectedCallersCauseNoFurtherCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newCrashRig(t, 3, 3, true)
 		for i := range 12 {
@@ -122,7 +122,7 @@
 }
 
 // A planned shutdown of an endpoint does not count as a crash.
-func TestPlannedEndsDoNotCount(t *testing.T) {
+func TestPlannedShutdownsDoNotCountAsCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newCrashRig(t, 1, 3, true)
 		ctx, cancel := context.WithTimeout(t.Context(), crashWork/2)
@@ -163,7 +163,7 @@
 }
 
 // Streams crash their endpoints midway; sends that resume a stream count as well.
-func TestStreamThatEndsEndpointsIsHeld(t *testing.T) {
+func TestStreamThatCrashesEndpointsIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newCrashRig(t, 1, 4, true)
 		r.streamAfter = 2
@@ -211,7 +211,7 @@
 
 // A stream that breaks off several times while its endpoints stay alive reaches no more of them
 // than its route allows: the request keeps the count.
-func TestResumedStreamKeepsItsCountOfEndpoints(t *testing.T) {
+func TestResumedStreamKeepsItsEndpointCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		breaks := func(context.Context) (*Answer, error) {
 			return &Answer{Status: 200, Stream: &breakingStream{}}, nil
--- a/forward/crashload_test.go
+++ b/forward/crashload_test.go
@@ -11,10 +11,10 @@
 	"mulberryscale.example/quarantine"
 )
 
-// TestLoadWithAContentThatEndsEndpoints simulates a minute of the load of crashrig_test.go. At
+// TestLoadWithContentThatCrashesEndpoints simulates a minute of the load of crashrig_test.go. At
 // most two endpoints crash before the content is quarantined and one in its trial after half a
 // minute, and every other request is served at its first or second attempt.
-func TestLoadWithAContentThatEndsEndpoints(t *testing.T) {
+func TestLoadWithContentThatCrashesEndpoints(t *testing.T) {
 	for seed := range uint64(5) {
 		without := simulateCrashes(t, seed, false)
 		with := simulateCrashes(t, seed, true)
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -84,7 +84,7 @@
 	}}
 }
 
-func TestWhatFollowsFromAnAttempt(t *testing.T) {
+func TestOutcomesOfAttempts(t *testing.T) {
 	ok := answers(200, 20*time.Millisecond)
 	unsent, broken := fails(ErrUnsent), fails(ErrBroken)
 	for name, c := range map[string]struct {
@@ -135,9 +135,9 @@
 	}
 }
 
-// TestRunsThatEndpointsBegan counts the calls of OnRunStarted: a request that was sent twice
+// TestOnRunStartedCalls counts the calls of OnRunStarted: a request that was sent twice
 // started twice, one that was declined or never sent did not start there.
-func TestRunsThatEndpointsBegan(t *testing.T) {
+func TestOnRunStartedCalls(t *testing.T) {
 	ok := answers(200, 20*time.Millisecond)
 	for name, c := range map[string]struct {
 		kind fleet.Kind
@@ -269,7 +269,7 @@
 	})
 }
 
-func TestNoEndpointIsNotRun(t *testing.T) {
+func TestRefusalWithoutEndpointReportsNotRun(t *testing.T) {
 	f, _ := rig(declines, declines)
 	f.View.UpdateInstances(nil, []string{"a", "b"})
 	_, err := f.Do(t.Context(), request(fleet.KindUnsafe))
@@ -280,7 +280,7 @@
 }
 
 // A failure of an instance does not make its next incarnation a suspect.
-func TestInstanceThatStartedAgainIsNoSuspect(t *testing.T) {
+func TestRestartedInstanceIsNotSuspect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, sender := rig(fails(ErrBroken), answers(200, 0))
 		for range 2 {
