--- a/quarantine/gossip_test.go
+++ b/quarantine/gossip_test.go
@@ -39,7 +39,7 @@
 
 // A cleared content stays cleared although a process that does not know of it goes on gossiping
 // its older crash; a later crash counts.
-func TestOldNewsDoesNotUndoAnAnswer(t *testing.T) {
+func TestStaleGossipDoesNotUndoAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		trackers := localTrackers(2)
 		trackers[0].ReportCrashAtAgent(content, "agent-1", 0)
--- a/quarantine/history_test.go
+++ b/quarantine/history_test.go
@@ -42,7 +42,7 @@
 	return h
 }
 
-func TestVerdicts(t *testing.T) {
+func TestHistoryStates(t *testing.T) {
 	const at = time.Hour
 	withTrials := func(h *history, times ...time.Duration) *history {
 		for i, at := range times {
@@ -80,7 +80,7 @@
 
 // However its requests are spaced, a content gets no more than three trials once three endpoints
 // have crashed under it.
-func TestNoContentIsTriedOutMoreThanThreeTimes(t *testing.T) {
+func TestContentGetsAtMostThreeTrials(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := sequentialCrashes(rapid.IntRange(3, 9).Draw(t, "ends"), 0)
 		trials := 0
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -43,7 +43,7 @@
 // overlap, though the tests report them at the same time.
 func brokenRun(n int) BrokenRun { return BrokenRun{Fingerprint: content, Endpoint: incarnation(n)} }
 
-func TestEndsAreKnownToAllProcesses(t *testing.T) {
+func TestCrashesAreKnownToAllProcesses(t *testing.T) {
 	for name, outcomes := range map[string][]rowstore.Outcome{
 		"written":            nil,
 		"refused once":       {rowstore.Refused},
@@ -84,7 +84,7 @@
 }
 
 // Crashes that a process could not write yet are kept when it reads the table anew.
-func TestUnwrittenEndsOutliveANewReading(t *testing.T) {
+func TestUnwrittenCrashesAreKeptAfterReread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
 		tracker := startTracker(t.Context(), s)
@@ -149,7 +149,7 @@
 }
 
 // A claim with an unknown outcome does not count as won.
-func TestTrialWithoutAnAnswerIsNotMade(t *testing.T) {
+func TestTrialWithUnknownClaimOutcomeIsNotMade(t *testing.T) {
 	for _, outcome := range []rowstore.Outcome{rowstore.Refused, rowstore.ReplyLost, rowstore.RequestLost, rowstore.Late} {
 		synctest.Test(t, func(t *testing.T) {
 			s := rowstore.New()
@@ -166,7 +166,7 @@
 }
 
 // While the store does not answer, requests of a quarantined content are refused at once.
-func TestNoTrialWhileTheStoreIsSilent(t *testing.T) {
+func TestNoTrialDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
 		tracker := startTracker(t.Context(), s)
@@ -219,7 +219,7 @@
 
 func (r refusing) Refuses(_ context.Context, addr string) bool { return r[addr] }
 
-func TestOnlyTheEndOfAnEndpointCounts(t *testing.T) {
+func TestOnlyEndpointCrashesCount(t *testing.T) {
 	tracker := Local(refusing{"gone:1": true}, observe.Discard(), observe.NewCounters())
 	if tracker.ReportBroken(t.Context(), BrokenRun{Fingerprint: content, Endpoint: incarnation(0), Addr: "there:1"}) {
 		t.Error("a lost connection counts as a crash")
