--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -81,7 +81,7 @@
 }
 
 // Requests of different kinds take different times; each is compared with its own kind.
-func TestKindsAreComparedWithThemselves(t *testing.T) {
+func TestInstancesAreComparedPerRequestKind(t *testing.T) {
 	r := newRig(2)
 	for range 50 {
 		for i, kind := range []string{"short", "long"} {
@@ -100,7 +100,7 @@
 }
 
 // An instance that is slow and suspect is used when there is no other.
-func TestNoInstanceIsRuledOut(t *testing.T) {
+func TestSlowSuspectInstanceIsUsedAsLastResort(t *testing.T) {
 	r := newRig(1)
 	r.serve(10, 1)
 	r.serve(50, 9)
