--- a/service/agent/run_test.go
+++ b/service/agent/run_test.go
@@ -48,7 +48,7 @@
 	})
 }
 
-func TestLingeringRunIsAttachedTo(t *testing.T) {
+func TestRetainedRunCanBeReattached(t *testing.T) {
 	inBubble(t, engine.Options{}, nil, func(t *testing.T, r *rig) {
 		req := generation("g")
 		req.Retention = time.Minute
--- a/service/agent/weights_test.go
+++ b/service/agent/weights_test.go
@@ -163,9 +163,9 @@
 	})
 }
 
-// TestLaggingStatusIsNotBelieved: a status from before an order's completion must neither
+// TestStaleStatusIsIgnored: a status from before an order's completion must neither
 // put the old weights back into service nor cause a second order.
-func TestLaggingStatusIsNotBelieved(t *testing.T) {
+func TestStaleStatusIsIgnored(t *testing.T) {
 	weightsTest(t, engine.Options{LoadTime: 100 * time.Millisecond}, table.SwapAtOnce, func(t *testing.T, r *weightsRig) {
 		r.engine.StatusLag(time.Second)
 		r.p.publish(4)
@@ -185,9 +185,9 @@
 	})
 }
 
-// TestBrokenWeightsAreTakenOut: a load that this agent did not order fails halfway. The
+// TestBrokenWeightsAreRemovedFromService: a load that this agent did not order fails halfway. The
 // model must leave service and its queued runs must be refused.
-func TestBrokenWeightsAreTakenOut(t *testing.T) {
+func TestBrokenWeightsAreRemovedFromService(t *testing.T) {
 	weightsTest(t, engine.Options{Slots: 1}, table.SwapAtOnce, func(t *testing.T, r *weightsRig) {
 		r.engine.SlowBy(100)
 		running := r.async(generation("running"))
@@ -224,7 +224,7 @@
 	})
 }
 
-func TestNewerAgentTakesTheOrdersOver(t *testing.T) {
+func TestNewerAgentTakesOverOrders(t *testing.T) {
 	weightsTest(t, engine.Options{}, table.SwapAtOnce, func(t *testing.T, r *weightsRig) {
 		next, err := NewTableFencer(r.store, agentID).Next(t.Context())
 		if err != nil {
@@ -255,7 +255,7 @@
 	})
 }
 
-func TestFrozenEngineIsTakenOut(t *testing.T) {
+func TestFrozenEngineIsRemovedFromService(t *testing.T) {
 	weightsTest(t, engine.Options{Slots: 1}, table.SwapAtOnce, func(t *testing.T, r *weightsRig) {
 		running := r.async(generation("running"))
 		synctest.Wait()
