--- a/service/entry/completions_test.go
+++ b/service/entry/completions_test.go
@@ -8,9 +8,9 @@
 	"mulberryscale.example/wire"
 )
 
-// TestUsageStatesOnlyWhatIsCounted checks that an answer does not report the number of
+// TestUsageOmitsUncountedPromptTokens checks that an answer does not report the number of
 // prompt tokens, which engines do not return.
-func TestUsageStatesOnlyWhatIsCounted(t *testing.T) {
+func TestUsageOmitsUncountedPromptTokens(t *testing.T) {
 	done := &wire.Done{Spans: []api.VersionSpan{{Version: 1, Tokens: 2}, {Version: 2, Tokens: 3}}}
 	got, err := json.Marshal(usageOf(done))
 	if err != nil {
--- a/service/entry/swapwait_test.go
+++ b/service/entry/swapwait_test.go
@@ -63,9 +63,9 @@
 	return resp, string(answer)
 }
 
-// TestLookupsOutlastASwapOfAllEngines makes lookups while all engines of the row load new
+// TestLookupsWaitForASwapOfAllEngines makes lookups while all engines of the row load new
 // weights at the same time: the lookups must wait for the load instead of being refused.
-func TestLookupsOutlastASwapOfAllEngines(t *testing.T) {
+func TestLookupsWaitForASwapOfAllEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := deployment.NewMemory()
 		defer fabric.Close()
