--- a/service/node/peers_test.go
+++ b/service/node/peers_test.go
@@ -24,9 +24,9 @@
 	return view
 }
 
-// TestAgentsAreAskedInAnOrderOfOnesOwn checks that processes that cannot reach the store
+// TestAgentOrderDiffersBetweenProcesses checks that processes that cannot reach the store
 // are spread over the agents, and never use their own agent or a plain service's host.
-func TestAgentsAreAskedInAnOrderOfOnesOwn(t *testing.T) {
+func TestAgentOrderDiffersBetweenProcesses(t *testing.T) {
 	const engines = 12
 	view := viewOfEngines(engines)
 	first := map[string]int{}
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestOthersAreDrawnOnWhenAllHaveFailed checks that the next agents are selected after
+// TestNextAgentsAreSelectedAfterAllFail checks that the next agents are selected after
 // all selected ones have failed. Without keys no call is sent, so each fails.
-func TestOthersAreDrawnOnWhenAllHaveFailed(t *testing.T) {
+func TestNextAgentsAreSelectedAfterAllFail(t *testing.T) {
 	o := &relayAgents{node: "n", port: 7300, view: viewOfEngines(7), peers: &peers{}}
 	for round := range 4 {
 		if rotation := int(o.rotation.Load()); rotation != round {
--- a/service/node/usage_test.go
+++ b/service/node/usage_test.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestLongRequestsAreInTheirReport guards against requests that are missing from the
+// TestLongRequestsAreReportedInTheirWindow guards against requests that are missing from the
 // report of the window in which they began, because their answer came after the window.
-func TestLongRequestsAreInTheirReport(t *testing.T) {
+func TestLongRequestsAreReportedInTheirWindow(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind   fleet.Kind
 		sender slowSender
--- a/service/node/watch_test.go
+++ b/service/node/watch_test.go
@@ -68,7 +68,7 @@
 	return ok
 }
 
-func TestInstanceThatLeavesIsGoneAtOnce(t *testing.T) {
+func TestLeavingInstanceIsRemovedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newListRig(t)
 		r.remove("a")
@@ -79,9 +79,9 @@
 	})
 }
 
-// TestEntriesThatLapseInAnOutage checks that instances whose entries expired during an
+// TestEntriesThatExpireDuringStoreOutage checks that instances whose entries expired during an
 // outage of the store are kept for returnGrace after it.
-func TestEntriesThatLapseInAnOutage(t *testing.T) {
+func TestEntriesThatExpireDuringStoreOutage(t *testing.T) {
 	for name, returns := range map[string]bool{"back in time": true, "gone": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -132,10 +132,10 @@
 	}
 }
 
-// TestAuthorityWhoseWriteIsOpenIsNotUsed checks that a process does not use the authority
+// TestAuthorityWithUnconfirmedWriteIsNotUsed checks that a process does not use the authority
 // that it created if the store did not answer its write, since the store may hold another
 // one.
-func TestAuthorityWhoseWriteIsOpenIsNotUsed(t *testing.T) {
+func TestAuthorityWithUnconfirmedWriteIsNotUsed(t *testing.T) {
 	rows := rowstore.New()
 	rows.QueueOutcomes(rowstore.RequestLost)
 	if _, err := loadAuthority(t.Context(), rows); !errors.Is(err, store.ErrUnknown) {
@@ -187,9 +187,9 @@
 	time.Sleep(100 * time.Millisecond)
 }
 
-// TestForeignEntryReplacesAGoodOneForAWhile checks that a row of another writer replaces
+// TestForeignEntryIsReplacedByNextHeartbeat checks that a row of another writer replaces
 // a valid one only until the instance's next heartbeat, and affects no other instance.
-func TestForeignEntryReplacesAGoodOneForAWhile(t *testing.T) {
+func TestForeignEntryIsReplacedByNextHeartbeat(t *testing.T) {
 	for name, value := range map[string]string{
 		"not readable": "\xff", "no fields": `{}`, "unknown state": strings.Replace(string(instanceRow("a").Value), "ready", "odd", 1),
 	} {
@@ -209,9 +209,9 @@
 	}
 }
 
-// TestEntryOfAnUnknownServiceTakesNoAddress checks that an entry of a service that the
+// TestEntryOfUnknownServiceDoesNotReplaceAnInstance checks that an entry of a service that the
 // configuration does not name does not replace the instance at its address.
-func TestEntryOfAnUnknownServiceTakesNoAddress(t *testing.T) {
+func TestEntryOfUnknownServiceDoesNotReplaceAnInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newListRig(t)
 		r.view.SetConfig(&fleet.Config{Version: 1, Services: []fleet.Service{{Name: "s"}}})
@@ -237,9 +237,9 @@
 	}
 }
 
-// TestBirthsOfAnInstance checks that the newest incarnation of an id counts, also when
+// TestNewestIncarnationOfAnInstanceCounts checks that the newest incarnation of an id counts, also when
 // an entry of an older one is read later.
-func TestBirthsOfAnInstance(t *testing.T) {
+func TestNewestIncarnationOfAnInstanceCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newListRig(t)
 		born := func() int64 { return r.view.Snapshot().Instances["a"].StartedAt }
@@ -264,10 +264,10 @@
 	})
 }
 
-// TestHeartbeatsAreNoNews checks that a heartbeat, which changes only the sequence
+// TestHeartbeatsMakeNoNewSnapshot checks that a heartbeat, which changes only the sequence
 // number, makes no new snapshot, while any other change, or a second instance that
 // claims the address, makes one at once.
-func TestHeartbeatsAreNoNews(t *testing.T) {
+func TestHeartbeatsMakeNoNewSnapshot(t *testing.T) {
 	view := fleet.NewView()
 	w := newInstanceWatcher(view, observe.Discard())
 	version := uint64(0)
@@ -299,9 +299,9 @@
 	}
 }
 
-// TestLastWordOfAnAnswerStands applies several rows of an id at once, as they come when
+// TestLastRowOfACombinedAnswerCounts applies several rows of an id at once, as they come when
 // an answer combines changes: the last row counts.
-func TestLastWordOfAnAnswerStands(t *testing.T) {
+func TestLastRowOfACombinedAnswerCounts(t *testing.T) {
 	const ready = `{"Service":"s","Address":"10.0.0.1:80","Zone":"z","Version":"v1","Slots":4,"State":"ready","ColdLeftMs":0,"Sequence":%d,"born":%d}`
 	beat := func(sequence, born int) store.Row { return rowOf("a", fmt.Sprintf(ready, sequence, born)) }
 	changed := rowOf("a", strings.Replace(fmt.Sprintf(ready, 2, 5), `"Slots":4`, `"Slots":5`, 1))
