--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -101,9 +101,9 @@
 	})
 }
 
-// TestTakenKeyFailsNoOther claims keys of which another entry has claimed some before: only the
-// claims of those must fail.
-func TestTakenKeyFailsNoOther(t *testing.T) {
+// TestTakenKeyDoesNotFailOtherClaims claims keys of which another entry has claimed some before:
+// only the claims of those must fail.
+func TestTakenKeyDoesNotFailOtherClaims(t *testing.T) {
 	withFakeTime(t, func(t *testing.T, table *countedTable, s *Store) {
 		for i := 0; i < 200; i += 50 {
 			if _, owned, err := NewStore(table).Create(t.Context(), "row", fmt.Sprint("key-", i), Claim{Owner: "other"}); !owned || err != nil {
--- a/cmd/mulberry-entry/callers_test.go
+++ b/cmd/mulberry-entry/callers_test.go
@@ -15,9 +15,9 @@
 
 const responseText = "two seats are yours"
 
-// TestStopWritesAnswersOut guards against a shutdown that closes the connection of a
+// TestShutdownWaitsForResponsesInFlight guards against a shutdown that closes the connection of a
 // call whose handler has returned, but whose response is not fully written yet.
-func TestStopWritesAnswersOut(t *testing.T) {
+func TestShutdownWaitsForResponsesInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listener := pipenet.Listen()
 		server := newCallersServer(&http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/cmd/mulberryctl/main_test.go
+++ b/cmd/mulberryctl/main_test.go
@@ -180,7 +180,7 @@
 	run(t, "", "apply", "--yes", "--base", "0", file).want(t, 0, "version 1")
 }
 
-func TestOutageIsOneLine(t *testing.T) {
+func TestOutageErrorIsOneLine(t *testing.T) {
 	f := newTableFixture(t)
 	f.service.Outage(true)
 	r := run(t, "", "apply", "--yes", f.file(t, "table.yaml", "", "name: a"))
--- a/duty/order_test.go
+++ b/duty/order_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// TestEveryPieceHasItsCandidates asks all processes of a fleet for their delays for many pieces:
+// TestEachPieceHasFewCandidates asks all processes of a fleet for their delays for many pieces:
 // each piece must have the same small number of candidates with different delays, and over many
 // pieces each process must be the first one about equally often, whatever the size of the fleet.
-func TestEveryPieceHasItsCandidates(t *testing.T) {
+func TestEachPieceHasFewCandidates(t *testing.T) {
 	for _, n := range []int{30, 100, 300} {
 		names := make([]string, n)
 		for i := range names {
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestShortIntervalsKeepTheirHolder checks that with a lease of 3 s the holder may change between
-// windows of 5 s, but not between windows of 2 s.
-func TestShortIntervalsKeepTheirHolder(t *testing.T) {
+// TestHolderChangesOnlyBetweenLongWindows checks that with a lease of 3 s the holder may change
+// between windows of 5 s, but not between windows of 2 s.
+func TestHolderChangesOnlyBetweenLongWindows(t *testing.T) {
 	for interval, want := range map[time.Duration]bool{5 * time.Second: false, 2 * time.Second: true} {
 		if got := ShouldPreferHolder(interval, 3*time.Second); got != want {
 			t.Errorf("%s: %v", interval, got)
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestTheLastHolderGoesFirst(t *testing.T) {
+func TestLastHolderHasNoDelay(t *testing.T) {
 	others := func() []string { return []string{"a", "b", "c"} }
 	o := &CandidateOrder{Self: "a", Others: others, PreferHolder: true}
 	if delay, candidate := o.Delay(1, true); delay != 0 || !candidate {
--- a/duty/term_test.go
+++ b/duty/term_test.go
@@ -37,8 +37,9 @@
 	return h
 }
 
-// TestOneOfTwoClaims checks that only one of two processes that read the same term gets the next.
-func TestOneOfTwoClaims(t *testing.T) {
+// TestOnlyOneOfTwoConcurrentClaimsSucceeds checks that only one of two processes that read the same
+// term gets the next.
+func TestOnlyOneOfTwoConcurrentClaimsSucceeds(t *testing.T) {
 	rows := rowstore.New()
 	a, _ := newTermStore(rows, "a")
 	b, _ := newTermStore(rows, "b")
@@ -112,7 +113,7 @@
 	}
 }
 
-func TestRecordedOnlyByItsHolder(t *testing.T) {
+func TestOnlyTheHolderRecordsDone(t *testing.T) {
 	rows := rowstore.New()
 	a, _ := newTermStore(rows, "a")
 	b, _ := newTermStore(rows, "b")
@@ -129,7 +130,7 @@
 	}
 }
 
-func TestTermThatIsNotReadable(t *testing.T) {
+func TestMalformedTermIsAnError(t *testing.T) {
 	rows := rowstore.New()
 	a, _ := newTermStore(rows, "a")
 	rows.Put(store.Row{Key: a.key(), Value: []byte("{")})
--- a/endpoint/httpendpoint/httpendpoint_test.go
+++ b/endpoint/httpendpoint/httpendpoint_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestStreamIsWhatTheEngineRecorded(t *testing.T) {
+func TestStreamMatchesEngineRecord(t *testing.T) {
 	core, client := startEngine(t, time.Microsecond)
 	s, err := client.Generate(t.Context(), request(7))
 	if err != nil {
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestNamedVersionsOnlyGrow(t *testing.T) {
+func TestNamedVersionsNeverDecrease(t *testing.T) {
 	v := NewView()
 	if !v.SetNamedVersion("m", 3) || v.SetNamedVersion("m", 2) || v.SetNamedVersion("m", 3) || v.Snapshot().NamedVersions["m"] != 3 {
 		t.Errorf("got %v", v.Snapshot().NamedVersions)
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestNeverGoesBack(t *testing.T) {
+func TestNowIsMonotonic(t *testing.T) {
 	last := Now()
 	for range 1000 {
 		now := Now()
--- a/internal/deployment/stop_test.go
+++ b/internal/deployment/stop_test.go
@@ -19,9 +19,9 @@
 
 const lookupBody = `{"model":"lookups","prompt":"what is open in Patan","max_tokens":8}`
 
-// TestStopSendsTheLastAnswer checks that stopping an entry does not cut off a response
+// TestStopDoesNotCutOffUnreadResponse checks that stopping an entry does not cut off a response
 // whose handler has returned but which the caller has not read yet.
-func TestStopSendsTheLastAnswer(t *testing.T) {
+func TestStopDoesNotCutOffUnreadResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := NewMemory()
 		defer fabric.Close()
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestWorkloadsAreSound(t *testing.T) {
+func TestWorkloadsAreValid(t *testing.T) {
 	names := WorkloadNames()
 	if len(names) < 2 {
 		t.Fatalf("workloads %v, want both deployments", names)
--- a/internal/httponce/httponce_test.go
+++ b/internal/httponce/httponce_test.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestTransportByItselfRepeats is the control of the test above: it checks that the
+// TestTransportAloneRetries is the control of the test above: it checks that the
 // transport alone retries the request, so that the test above can fail.
-func TestTransportByItselfRepeats(t *testing.T) {
+func TestTransportAloneRetries(t *testing.T) {
 	s, runs := startBreakingServer(t)
 	c := New()
 	openConnection(t, c, s.URL)
--- a/internal/httponce/probe_test.go
+++ b/internal/httponce/probe_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestProbeTellsWhetherSomethingListens(t *testing.T) {
+func TestRefusesDetectsListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/loadmodel/model_test.go
+++ b/internal/loadmodel/model_test.go
@@ -44,7 +44,7 @@
 
 // If few of many senders have all the calls, the window must grow beyond the fair
 // share, where a fixed limit would delay the calls.
-func TestFewSendersUseTheCapacityOfAll(t *testing.T) {
+func TestFewSendersUseFullCapacity(t *testing.T) {
 	fixed, bounded := measure(t, "few-senders", "two"), measure(t, "few-senders", "window")
 	if bounded.BackgroundP50.Mean > fixed.BackgroundP50.Mean/2 {
 		t.Errorf("half of the calls within %.0f ms, with a fixed limit %.0f ms", bounded.BackgroundP50.Mean, fixed.BackgroundP50.Mean)
@@ -73,7 +73,7 @@
 
 // One of four endpoints takes five times as long. Its response times must keep most
 // requests of either kind away from it; without that, 0.17 were late.
-func TestSlowEndpointGetsLittle(t *testing.T) {
+func TestSlowEndpointGetsFewRequests(t *testing.T) {
 	r := measure(t, "slow-endpoint", "window")
 	if r.Late.Mean > 0.06 {
 		t.Errorf("%.3f of the interactive requests late", r.Late.Mean)
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -90,9 +90,9 @@
 	return n
 }
 
-// TestCutAndResumeGivesTheWholeText checks that a text that is cut off at any token and resumed
+// TestResumedTextIsComplete checks that a text that is cut off at any token and resumed
 // on an engine of another version has the length and the tokens that an oracle computes.
-func TestCutAndResumeGivesTheWholeText(t *testing.T) {
+func TestResumedTextIsComplete(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		req := request("r1", rapid.Int64().Draw(rt, "seed"))
 		req.MaxTokens = rapid.IntRange(2, 300).Draw(rt, "max")
--- a/keys/keys_test.go
+++ b/keys/keys_test.go
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestIssuedPairIsNoAuthority(t *testing.T) {
+func TestIssuedPairCannotBeLoadedAsAuthority(t *testing.T) {
 	a := newAuthorityForTest(t)
 	pair := issue(t, a, "entry-1")
 	if _, err := LoadAuthority(pair); err == nil {
@@ -163,7 +163,7 @@
 	check(t, err)
 }
 
-func TestPairHidesItsKey(t *testing.T) {
+func TestPairDoesNotPrintItsKey(t *testing.T) {
 	a := newAuthorityForTest(t)
 	for _, format := range []string{"%v", "%+v", "%s", "%#v", "%q"} {
 		if text := fmt.Sprintf(format, a.Pair()); strings.Contains(text, "PRIVATE") {
--- a/membership/scale_test.go
+++ b/membership/scale_test.go
@@ -117,9 +117,9 @@
 	}
 }
 
-// TestSubsetMovesLittle checks that few watches move when one entry and one agent are removed
-// from the list.
-func TestSubsetMovesLittle(t *testing.T) {
+// TestSubsetIsStableUnderRemovals checks that few watches move when one entry and one agent are
+// removed from the list.
+func TestSubsetIsStableUnderRemovals(t *testing.T) {
 	list := instanceList(82, 1000, 5)
 	before := subsets(list, DefaultSubset)
 	fewer := slices.Delete(slices.Clone(list), 500, 501)
@@ -141,8 +141,9 @@
 	}
 }
 
-// TestSmallFleetIsWatchedWhole checks that each entry of a small fleet watches all agents.
-func TestSmallFleetIsWatchedWhole(t *testing.T) {
+// TestEachEntryOfSmallFleetWatchesAllAgents checks that each entry of a small fleet watches all
+// agents.
+func TestEachEntryOfSmallFleetWatchesAllAgents(t *testing.T) {
 	list := instanceList(3, 15, 3)
 	for id, agents := range subsets(list, DefaultSubset) {
 		if len(agents) != 15 {
@@ -252,8 +253,8 @@
 	}
 }
 
-// TestListDue checks that a long list is read rarely, and early if many agents are suspect.
-func TestListDue(t *testing.T) {
+// TestListIntervals checks that a long list is read rarely, and early if many agents are suspect.
+func TestListIntervals(t *testing.T) {
 	interval := ListInterval(DefaultListInterval, designEntries+designAgents)
 	if interval < 5*time.Minute || ListInterval(DefaultListInterval, 24) != DefaultListInterval {
 		t.Errorf("the list of the design size is read every %v", interval)
--- a/observe/loglimiter_test.go
+++ b/observe/loglimiter_test.go
@@ -60,7 +60,7 @@
 	})
 }
 
-func TestBudgetSparesWarnings(t *testing.T) {
+func TestLogLimitDoesNotDropWarnings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &lockedBuffer{}
 		logger, err := NewLogger(LogOptions{Format: FormatJSON, Output: out, Repeats: -1})
--- a/observe/observe_test.go
+++ b/observe/observe_test.go
@@ -129,7 +129,7 @@
 	})
 }
 
-func TestRepeatFilterForgets(t *testing.T) {
+func TestRepeatFilterIsBounded(t *testing.T) {
 	f := newRepeatFilter(&logrus.TextFormatter{}, 1)
 	for i := range uint64(3 * maxTrackedLines) {
 		f.admit(i, time.Unix(0, 0))
--- a/proof/claim_test.go
+++ b/proof/claim_test.go
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestKeyOfAnotherRequest checks that reusing an idempotency key with another body is refused
-// as a duplicate.
-func TestKeyOfAnotherRequest(t *testing.T) {
+// TestKeyReuseWithAnotherBodyIsRefused checks that reusing an idempotency key with another body is
+// refused as a duplicate.
+func TestKeyReuseWithAnotherBodyIsRefused(t *testing.T) {
 	runAndCheck(t, smallDeployment(nil), func(h *harness) {
 		h.wantAnswer(h.startBooking(0, "a"))
 		_, err := h.callService(1, rowBookings, "/book", "another", http.Header{api.HeaderIdempotencyKey: {"a"}})
@@ -123,10 +123,10 @@
 	}
 }
 
-// TestRefusalSpeaksForAllAttempts guards against a refusal that covers only the last attempt:
-// the response of an idempotent call is lost and every retry is refused before it runs, so the
-// final refusal must not say not_run=true.
-func TestRefusalSpeaksForAllAttempts(t *testing.T) {
+// TestRefusalAfterLostResponseDoesNotClaimNotRun guards against a refusal that covers only the last
+// attempt: the response of an idempotent call is lost and every retry is refused before it runs, so
+// the final refusal must not say not_run=true.
+func TestRefusalAfterLostResponseDoesNotClaimNotRun(t *testing.T) {
 	runAndCheck(t, smallDeployment(nil), func(h *harness) {
 		for _, s := range h.scorers {
 			s.LoseNextReplies(1)
@@ -145,10 +145,10 @@
 	})
 }
 
-// TestAgentsTakeAnotherIncarnation sends more keys than the agents can remember, so that they
-// start new incarnations: calls continue to succeed, a retry of a recent key gets its response,
-// and a retry of a forgotten key does not run again.
-func TestAgentsTakeAnotherIncarnation(t *testing.T) {
+// TestAgentsStartNewIncarnationsWhenKeysOverflow sends more keys than the agents can remember, so
+// that they start new incarnations: calls continue to succeed, a retry of a recent key gets its
+// response, and a retry of a forgotten key does not run again.
+func TestAgentsStartNewIncarnationsWhenKeysOverflow(t *testing.T) {
 	opts := smallDeployment(nil)
 	opts.agent = func(c *agent.Config) { c.MaxKeys = 20 }
 	runAndCheck(t, opts, func(h *harness) {
--- a/proof/delivery_test.go
+++ b/proof/delivery_test.go
@@ -39,10 +39,10 @@
 	})
 }
 
-// TestNewSessionEndsTheOld posts a step again to the same entry with a newer session: the
+// TestNewSessionClosesOlderSession posts a step again to the same entry with a newer session: the
 // connection of the older session is closed with a refusal, and a later post with an older
 // session number is refused.
-func TestNewSessionEndsTheOld(t *testing.T) {
+func TestNewSessionClosesOlderSession(t *testing.T) {
 	runAndCheck(t, harnessOptions{entries: 1, engines: 1}, func(h *harness) {
 		old := make(chan error, 1)
 		h.callers.Go(func() { old <- h.postStep(7) })
@@ -63,9 +63,9 @@
 	})
 }
 
-// TestDrainHandsAStepOver drains the entry of a step that cannot complete before the drain
-// deadline: the trainer gets a refusal, and another entry continues the step.
-func TestDrainHandsAStepOver(t *testing.T) {
+// TestDrainedStepContinuesAtAnotherEntry drains the entry of a step that cannot complete before the
+// drain deadline: the trainer gets a refusal, and another entry continues the step.
+func TestDrainedStepContinuesAtAnotherEntry(t *testing.T) {
 	runAndCheck(t, threeEntries, func(h *harness) {
 		h.slowEngines(2000)
 		done := make(chan error, 1)
--- a/results/store_test.go
+++ b/results/store_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestNonIdempotentGoesOnWithoutItsReader(t *testing.T) {
+func TestNonIdempotentRunContinuesWithoutReader(t *testing.T) {
 	r := begin(t, New(Options{}), &wire.Run{RunID: "r", NonIdempotent: true, Call: &wire.Call{}})
 	r.Run().Start()
 	r.Close(start)
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestNotStartedFreesTheKey(t *testing.T) {
+func TestKeyOfUnstartedRunCanRunAgain(t *testing.T) {
 	s := New(Options{})
 	req := &wire.Run{RunID: "r", Key: "k", NonIdempotent: true, Call: &wire.Call{}}
 	r := begin(t, s, req)
--- a/scaling/orders_test.go
+++ b/scaling/orders_test.go
@@ -92,9 +92,9 @@
 	})
 }
 
-// TestNothingIsOrderedBlindly: without the store, a configuration or an instance list
+// TestNoOrderWithoutRequiredInputs: without the store, a configuration or an instance list
 // nothing is ordered, nor for a service that is no longer autoscaled.
-func TestNothingIsOrderedBlindly(t *testing.T) {
+func TestNoOrderWithoutRequiredInputs(t *testing.T) {
 	s := rowstore.New()
 	o, view := newOrders(s, 3)
 	client := s.Client()
@@ -125,9 +125,9 @@
 	return nil
 }
 
-// TestOrderIsSentAsDecided sends an order, and expects that the row of a stopped process
-// is deleted.
-func TestOrderIsSentAsDecided(t *testing.T) {
+// TestOrderIsSentAndStoppedProcessRowDeleted sends an order, and expects that the row of a stopped
+// process is deleted.
+func TestOrderIsSentAndStoppedProcessRowDeleted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, scaler := rowstore.New(), &fakeScaler{}
 		o, _ := newOrders(s, 3)
--- a/scaling/policy_test.go
+++ b/scaling/policy_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestLowLoadMustLast(t *testing.T) {
+func TestScaleDownWaitsForStabilization(t *testing.T) {
 	var p Policy
 	low, last := Observed{6, 6, 12}, LastOrder{12, 0}
 	if got := p.Decide(testBounds, low, last, 100*time.Second); got != 12 {
--- a/store/follow_test.go
+++ b/store/follow_test.go
@@ -22,9 +22,9 @@
 func (w *watcher) Lost(error)                   { w.lost++ }
 func (w *watcher) Regained(after time.Duration) { w.regained = append(w.regained, after) }
 
-// TestFollowTellsEachLossAndReturnOnce interrupts the connection to the store twice and
+// TestFollowReportsEachOutageOnce interrupts the connection to the store twice and
 // expects one Lost and one Regained for each outage.
-func TestFollowTellsEachLossAndReturnOnce(t *testing.T) {
+func TestFollowReportsEachOutageOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		client, w := rowstore.New().Client(), &watcher{}
--- a/store/pace_test.go
+++ b/store/pace_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestCallsOfAFeedDoNotGrowWithItsWriters runs 30, 100 and 300 writers that write
+// TestFeedCallRateIsIndependentOfWriterCount runs 30, 100 and 300 writers that write
 // heartbeats, and compares the rates of the feed's calls.
-func TestCallsOfAFeedDoNotGrowWithItsWriters(t *testing.T) {
+func TestFeedCallRateIsIndependentOfWriterCount(t *testing.T) {
 	calls := func(writers int) (perSecond float64, applied int64) {
 		synctest.Test(t, func(t *testing.T) {
 			const seconds = 20
@@ -80,9 +80,9 @@
 	}
 }
 
-// TestQuietTableIsHeardAtOnce changes a row of a table that has been idle: the change
+// TestChangeOfIdleTableArrivesWithoutPause changes a row of a table that has been idle: the change
 // must arrive without a pause.
-func TestQuietTableIsHeardAtOnce(t *testing.T) {
+func TestChangeOfIdleTableArrivesWithoutPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, w := rowstore.New(), &recorder{}
 		go store.Follow(t.Context(), s, store.Source{Table: "t", Pace: store.Pace{BytesPerSecond: 2500, MaxPause: time.Second}}, w)
@@ -96,9 +96,9 @@
 	})
 }
 
-// TestLossIsToldBeforeTheRowsThatFollowIt interrupts the connection to the store: a
+// TestOutageIsReportedBeforeLaterRows interrupts the connection to the store: a
 // watcher must be told of the outage before it receives the first rows after it.
-func TestLossIsToldBeforeTheRowsThatFollowIt(t *testing.T) {
+func TestOutageIsReportedBeforeLaterRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := rowstore.New()
 		client, w := s.Client(), &callRecorder{}
--- a/store/relay/relay_test.go
+++ b/store/relay/relay_test.go
@@ -84,7 +84,7 @@
 	return store.Snapshot{}, fmt.Errorf("%w: silent", store.ErrUnknown)
 }
 
-func TestCallsGoOnThroughOthers(t *testing.T) {
+func TestRefusedCallsAreRelayedThroughPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFixture()
 		r.direct.SetError(errBusy)
@@ -119,7 +119,7 @@
 	})
 }
 
-func TestSilentPathDelaysNoCallForLong(t *testing.T) {
+func TestUnresponsiveDirectPathDelaysOnlyFirstCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFixture()
 		r.relayed.Direct = silentStore{r.direct}
@@ -135,9 +135,9 @@
 	})
 }
 
-// TestOwnPathIsUsedAgain restores the direct path: after about a second calls must no
+// TestRestoredDirectPathIsUsedAgain restores the direct path: after about a second calls must no
 // longer be relayed.
-func TestOwnPathIsUsedAgain(t *testing.T) {
+func TestRestoredDirectPathIsUsedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFixture()
 		var switches []bool
@@ -166,9 +166,9 @@
 	})
 }
 
-// TestStoreThatIsAwayForAllIsLeftAlone lets the store refuse all processes for ten
+// TestFewRelayedCallsWhileStoreRefusesAll lets the store refuse all processes for ten
 // seconds and counts the relayed calls.
-func TestStoreThatIsAwayForAllIsLeftAlone(t *testing.T) {
+func TestFewRelayedCallsWhileStoreRefusesAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFixture()
 		clients := append([]*rowstore.Client{r.direct}, r.peers...)
@@ -193,10 +193,10 @@
 	})
 }
 
-// TestRefusedOnlyIfNoWayLeavesItOpen makes a write on the direct path get no response
-// while the store refuses all peers. The write may have been applied, so the result must
+// TestUnansweredDirectWriteIsUnknownThoughPeersAreRefused makes a write on the direct path get no
+// response while the store refuses all peers. The write may have been applied, so the result must
 // be ErrUnknown, not ErrRefused.
-func TestRefusedOnlyIfNoWayLeavesItOpen(t *testing.T) {
+func TestUnansweredDirectWriteIsUnknownThoughPeersAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, outcome := range []rowstore.Outcome{rowstore.ReplyLost, rowstore.RequestLost, rowstore.Late} {
 			r := newFixture()
@@ -249,10 +249,10 @@
 	return store.Snapshot{}, fmt.Errorf("%w: silent", store.ErrUnknown)
 }
 
-// TestSilentOthersHoldUpNoCall separates a process from the store and from all peers. Its
+// TestUnresponsivePeersDoNotDelayFailure separates a process from the store and from all peers. Its
 // calls must fail as soon as on the direct path alone, so that the process recovers as
 // soon as the partition heals.
-func TestSilentOthersHoldUpNoCall(t *testing.T) {
+func TestUnresponsivePeersDoNotDelayFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const wait, bound = time.Second, 2 * time.Second
 		relayed := &relay.Store{Direct: boundedFeed{rowstore.New(), bound}, Peers: silentPeers{}}
--- a/tablesync/spread_test.go
+++ b/tablesync/spread_test.go
@@ -187,9 +187,9 @@
 	})
 }
 
-// TestSpreadPassesOverFrozenSources: pulls from sources that hang time out, and the node
+// TestSpreadSkipsUnresponsiveSources: pulls from sources that hang time out, and the node
 // then pulls the table from another source.
-func TestSpreadPassesOverFrozenSources(t *testing.T) {
+func TestSpreadSkipsUnresponsiveSources(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 0, 4) // agents send no notices
 		defer f.close()
@@ -212,9 +212,9 @@
 	})
 }
 
-// TestSpreadIsContentWithLess: when the only source of the newest version is gone, the
+// TestSpreadFallsBackToNextNewestVersion: when the only source of the newest version is gone, the
 // node pulls the next newest version from another source.
-func TestSpreadIsContentWithLess(t *testing.T) {
+func TestSpreadFallsBackToNextNewestVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 0, 2)
 		defer f.close()
--- a/trainer/client_test.go
+++ b/trainer/client_test.go
@@ -55,8 +55,9 @@
 	return step
 }
 
-// TestUnwantedSamplesAreDropped sends samples twice, too old ones, and one of another step.
-func TestUnwantedSamplesAreDropped(t *testing.T) {
+// TestDuplicateStaleAndForeignSamplesAreDropped sends samples twice, too old ones, and one of
+// another step.
+func TestDuplicateStaleAndForeignSamplesAreDropped(t *testing.T) {
 	e := &entry{answer: func(req *api.StepRequest, send func(string, any)) {
 		send(api.EventSample, sampleOf("unknown", 5))
 		send(api.EventSample, sampleOf("a", 3))
@@ -78,9 +79,9 @@
 	}
 }
 
-// TestBrokenSessionAsksForTheRest ends a session without its end event: the next
+// TestResumedSessionRequestsMissingSamples ends a session without its end event: the next
 // one must ask only for the samples that are still missing.
-func TestBrokenSessionAsksForTheRest(t *testing.T) {
+func TestResumedSessionRequestsMissingSamples(t *testing.T) {
 	e := &entry{}
 	e.answer = func(req *api.StepRequest, send func(string, any)) {
 		send(api.EventPlacement, api.Placement{ID: "b", Hint: "agent-1@127.0.0.1:1"})
--- a/transport/codec/codec_test.go
+++ b/transport/codec/codec_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestSequenceAndEnd(t *testing.T) {
+func TestDecodeSequenceThenEOF(t *testing.T) {
 	var buf bytes.Buffer
 	for i := range 3 {
 		data, err := Marshal(small{N: i})
--- a/transport/quictransport/quictransport_test.go
+++ b/transport/quictransport/quictransport_test.go
@@ -213,7 +213,7 @@
 // A peer that becomes unresponsive, because its process is frozen or its network
 // is down, must fail the streams on both sides; once it responds again, Open must
 // reach it.
-func TestSilentPeerIsNoticed(t *testing.T) {
+func TestUnresponsivePeerFailsStreams(t *testing.T) {
 	ctx := testContext(t)
 	a := newAuthority(t)
 	l, err := ListenOptions("127.0.0.1:0", sourceOf(t, a, "agent-1"), shortTimeouts)
--- a/transport/quictransport/reset_test.go
+++ b/transport/quictransport/reset_test.go
@@ -85,7 +85,7 @@
 
 // A lost connection fails its streams before it cancels its context. An Open in
 // between must dial a new connection rather than fail twice on the lost one.
-func TestOpenRedialsWhileALostConnectionStillLooksAlive(t *testing.T) {
+func TestOpenRedialsBeforeLostConnectionIsClosed(t *testing.T) {
 	ctx := testContext(t)
 	a := newAuthority(t)
 	server := requestServer(t, "127.0.0.1:0", sourceOf(t, a, "agent-1"), Options{})
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -163,7 +163,7 @@
 	})
 }
 
-func TestRequestsOfNoOrganisationAreNotCounted(t *testing.T) {
+func TestRequestsWithoutOrganisationAreNotCounted(t *testing.T) {
 	c := NewCounter(testWindows)
 	c.Add("", time.Now())
 	if taken := c.takeChanged(); len(taken) != 0 {
@@ -190,9 +190,9 @@
 	return nil
 }
 
-// TestReportIsSentAsDecided checks that rows that change after the decision don't change the
-// report.
-func TestReportIsSentAsDecided(t *testing.T) {
+// TestLaterRowChangesDoNotChangeReport checks that rows that change after the decision don't change
+// the report.
+func TestLaterRowChangesDoNotChangeReport(t *testing.T) {
 	s, sender := rowstore.New(), &fakeSender{}
 	r := newReporter(s, sender)
 	put := func(zone string, window uint64, entry string, counts Counts) {
@@ -238,9 +238,9 @@
 	}
 }
 
-// TestWindowsInTheirOrder checks that windows are reported in order, that the backlog after a long
-// outage is bounded, and that the first report ever is of the last due window.
-func TestWindowsInTheirOrder(t *testing.T) {
+// TestWindowsAreReportedInOrder checks that windows are reported in order, that the backlog after a
+// long outage is bounded, and that the first report ever is of the last due window.
+func TestWindowsAreReportedInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReporter(rowstore.New(), nil)
 		now := testWindows.Index(time.Now())
