--- a/service/node/watch_test.go
+++ b/service/node/watch_test.go
@@ -237,8 +237,8 @@
 	}
 }
 
-// TestNewestIncarnationOfAnInstanceCounts checks that the newest incarnation of an id counts, also when
-// an entry of an older one is read later.
+// TestNewestIncarnationOfAnInstanceCounts checks that the newest incarnation of an id
+// counts, also when an entry of an older one is read later.
 func TestNewestIncarnationOfAnInstanceCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newListRig(t)
